--- a/packages/fennelfork/src/fennelfork/gather/__init__.py
+++ b/packages/fennelfork/src/fennelfork/gather/__init__.py
@@ -1,6 +1,6 @@
-"""One answer out of the replies of many shards.
+"""Partitioning, coverage and merging of queries over many shards.
 
-The public names stand in `__init__.pyi`; each is loaded when first used.
+The public names are declared in `__init__.pyi` and imported on first use.
 """
 
 import lazy_loader
--- a/packages/fennelfork/src/fennelfork/gather/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/gather/__init__.pyi
@@ -1,4 +1,4 @@
-"""One answer out of the replies of many shards."""
+"""Partitioning, coverage and merging of queries over many shards."""
 
 from ._coverage import CompleteCoverage as CompleteCoverage
 from ._coverage import Coverage as Coverage
--- a/packages/fennelfork/src/fennelfork/gather/_coverage.py
+++ b/packages/fennelfork/src/fennelfork/gather/_coverage.py
@@ -1,4 +1,4 @@
-"""How much of the keys an answer covers, and how much its caller needs."""
+"""Coverage of answers, and the coverage that callers demand."""
 
 import functools
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
 
 @attrs.frozen(kw_only=True)
 class MissingRange:
-    """Keys that an answer does not cover, and why."""
+    """Key range that an answer does not cover, with the reason."""
 
     span: KeyRange
     reason: FailureCode
@@ -19,12 +19,12 @@
 
 @attrs.frozen(kw_only=True)
 class Coverage:
-    """What an answer covers.
+    """Coverage of an answer.
 
     Attributes:
-        complete: whether every key of the front is covered.
-        fraction: covered keys among all keys, below 1 unless complete.
-        missing: the ranges that are not covered, lowest first.
+        complete: whether all keys of the front are covered.
+        fraction: fraction of covered keys, below 1 unless complete.
+        missing: ranges that are not covered, in key order.
     """
 
     complete: bool
@@ -34,12 +34,12 @@
 
 @attrs.frozen(kw_only=True)
 class CompleteCoverage:
-    """The caller takes the whole answer or a refusal."""
+    """Demand for a complete answer."""
 
 
 @attrs.frozen(kw_only=True)
 class PartialCoverage:
-    """The caller takes a partial answer from a fraction of keys upward."""
+    """Demand for an answer with a minimum fraction of covered keys."""
 
     floor: float
 
@@ -49,15 +49,15 @@
     held: Iterable[KeyRange],
     failed: Iterable[MissingRange],
 ) -> Coverage:
-    """Count coverage by ranges.
+    """Compute the coverage of an answer.
 
     Args:
         whole: all keys of the front.
-        held: the ranges whose records are in.
-        failed: the ranges that were asked for in vain, with the reason.
+        held: ranges whose records were received.
+        failed: ranges of failed sub-queries, with the reasons.
 
     Returns:
-        The coverage; a gap that nobody was asked for is `NOT_HELD`.
+        The coverage; gaps without a sub-query have the reason `NOT_HELD`.
     """
     gaps = missing_ranges(full_range, held)
     missing_width = sum(gap.width for gap in gaps)
@@ -73,16 +73,16 @@
 
 @functools.singledispatch
 def accepts_coverage(demand: object, coverage: Coverage) -> bool:
-    """Tell whether a caller's demand takes an answer of such coverage.
+    """Return whether a coverage satisfies the demand of a caller.
 
     Args:
         demand: `CompleteCoverage` or `PartialCoverage`.
-        coverage: what the answer covers.
+        coverage: coverage of the answer.
 
     Raises:
-        TypeError: for a demand of another type.
+        TypeError: if `demand` is not a coverage demand.
     """
-    raise TypeError(f'not a demand of coverage: {demand!r}')
+    raise TypeError(f'unsupported coverage demand: {demand!r}')
 
 
 @accepts_coverage.register
@@ -103,7 +103,7 @@
     gap: KeyRange,
     reasons: list[MissingRange],
 ) -> Iterable[MissingRange]:
-    """Split one gap by the reasons known for its parts."""
+    """Split a gap by the failed ranges that overlap it."""
     covered_until = gap.lo
     for known in reasons:
         lo = max(known.span.lo, covered_until)
--- a/packages/fennelfork/src/fennelfork/gather/_merge.py
+++ b/packages/fennelfork/src/fennelfork/gather/_merge.py
@@ -1,4 +1,4 @@
-"""One answer out of the parts of one query."""
+"""Merging of the replies to the sub-queries of one query."""
 
 import functools
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlannedSubQuery:
-    """A sub-query of a query: which shard, and what its reply must echo."""
+    """Sub-query for one shard, with the fields that its reply must echo."""
 
     shard: str
     expected: ExpectedReply
@@ -24,7 +24,7 @@
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """The merged answer of a query, at one snapshot."""
+    """Merged answer of a query at one snapshot."""
 
     snapshot: int
     records: tuple[Record, ...]
@@ -33,13 +33,13 @@
 
 @attrs.define(kw_only=True)
 class Merge:
-    """Takes the parts of one query at one snapshot, each at most once.
+    """Replies and failures of the sub-queries of one query.
 
     Attributes:
         whole: all keys of the front.
-        snapshot: the one snapshot of all parts.
-        plan: the sub-queries, by name.
-        earlier: whether a round at another snapshot ran before.
+        snapshot: snapshot that all sub-queries read.
+        plan: planned sub-queries, by name.
+        earlier_verdict: verdict of a previous round at another snapshot.
     """
 
     full_range: KeyRange
@@ -51,7 +51,7 @@
 
     @property
     def pending(self) -> tuple[PlannedSubQuery, ...]:
-        """The sub-queries that are neither in nor failed."""
+        """Sub-queries that have neither a reply nor a failure."""
         settled = self._replies.keys() | self._failures.keys()
         return tuple(
             planned
@@ -61,7 +61,7 @@
 
     @property
     def reachable(self) -> tuple[KeyRange, ...]:
-        """The ranges that are in or may still come."""
+        """Ranges of the sub-queries that have not failed."""
         return tuple(
             planned.expected.span
             for name, planned in self.plan.items()
@@ -70,12 +70,12 @@
 
     @property
     def failures(self) -> tuple[Failure, ...]:
-        """The failures of sub-queries that have no part."""
+        """Failures of the sub-queries that have no reply."""
         return tuple(self._failures.values())
 
     @property
     def snapshot_gone(self) -> bool:
-        """Whether a server lost the snapshot, so that a rerun may help."""
+        """Whether a sub-query failed because its snapshot is gone."""
         return any(
             failure.code is FailureCode.SNAPSHOT_GONE
             for failure in self.failures
@@ -83,7 +83,7 @@
 
     @property
     def verdict(self) -> Verdict:
-        """Whether any part of the query ran."""
+        """Verdict on all sub-queries and the previous round."""
         verdicts = [failure.verdict for failure in self.failures]
         if self._replies:
             verdicts.append(Verdict.RAN)
@@ -92,10 +92,10 @@
         return functools.reduce(Verdict.join, verdicts, self.earlier_verdict)
 
     def add_reply(self, reply: Reply) -> Result[Reply, Failure]:
-        """Take one part, if it is whole, expected and not yet in.
+        """Add a reply that is valid, expected and not a duplicate.
 
         Returns:
-            The reply, or `BAD_REPLY` that leaves the merge as it was.
+            The reply, or a `BAD_REPLY` failure that leaves the merge unchanged.
         """
         planned = self.plan.get(reply.sub_query)
         if planned is None or reply.sub_query in self._replies:
@@ -103,7 +103,7 @@
                 Failure(
                     code=FailureCode.BAD_REPLY,
                     verdict=Verdict.RAN,
-                    detail=f'not awaited: sub-query {reply.sub_query}',
+                    detail=f'unexpected sub-query {reply.sub_query}',
                 ),
             )
         checked = check_reply(planned.expected, reply)
@@ -113,12 +113,12 @@
         return checked
 
     def record_failure(self, sub_query: str, failure: Failure) -> None:
-        """Note that a sub-query got no part; a part that is in stays in."""
+        """Record the failure of a sub-query that has no reply."""
         if sub_query in self.plan and sub_query not in self._replies:
             self._failures[sub_query] = failure
 
     def build_answer(self) -> Answer:
-        """Merge what is in now, lowest key first."""
+        """Merge the replies received so far, in key order."""
         parts = sorted(self._replies.values(), key=_part_start)
         return Answer(
             snapshot=self.snapshot,
@@ -131,9 +131,9 @@
         )
 
     def _missing(self) -> list[MissingRange]:
-        """Say why each sub-query without a part has none.
+        """Return the range and the reason of each sub-query without a reply.
 
-        One that is still pending when the answer leaves is out of time.
+        The reason of pending sub-queries is `DEADLINE`.
         """
         missing = [
             MissingRange(
@@ -157,11 +157,11 @@
     partition: PartitionMap,
     full_range: KeyRange,
 ) -> Merge:
-    """Plan the sub-queries of a query and await their parts.
+    """Create the merge of a query from a pinned partition map.
 
     Args:
-        request_id: of the caller's request.
-        partition: the pinned map.
+        request_id: id of the request of the caller.
+        partition: pinned partition map.
         whole: all keys of the front.
     """
     planned = [
@@ -180,7 +180,7 @@
     snapshot: int,
     asked: Assignment,
 ) -> PlannedSubQuery:
-    """Name a sub-query so that a rerun at another snapshot differs."""
+    """Plan a sub-query whose name is unique to its snapshot and range."""
     span = asked.span
     expected = ExpectedReply(
         request_id=request_id,
--- a/packages/fennelfork/src/fennelfork/gather/_partition.py
+++ b/packages/fennelfork/src/fennelfork/gather/_partition.py
@@ -1,4 +1,4 @@
-"""Which shard answers which keys at one snapshot of the index."""
+"""Assignment of key ranges to shards at one snapshot of the index."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -15,7 +15,7 @@
 
 @attrs.frozen(kw_only=True)
 class SnapshotView:
-    """The ranges that one shard holds at one snapshot."""
+    """Key ranges that a shard holds at one snapshot."""
 
     version: int
     ranges: tuple[KeyRange, ...]
@@ -23,7 +23,7 @@
 
 @attrs.frozen(kw_only=True)
 class ShardView:
-    """What the servers of one shard say that they hold."""
+    """Snapshots that the servers of one shard reported."""
 
     shard: str
     snapshots: tuple[SnapshotView, ...]
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class Assignment:
-    """Keys that one shard is asked for."""
+    """Key range that one shard is queried for."""
 
     shard: str
     span: KeyRange
@@ -39,14 +39,14 @@
 
 @attrs.frozen(kw_only=True)
 class PartitionMap:
-    """Disjoint assignments at one snapshot, lowest key first."""
+    """Disjoint assignments at one snapshot, in key order."""
 
     snapshot: int
     assignments: tuple[Assignment, ...]
 
     @property
     def width(self) -> int:
-        """How many keys the assignments cover."""
+        """Number of keys that the assignments cover."""
         return sum(assignment.span.width for assignment in self.assignments)
 
 
@@ -55,16 +55,15 @@
     full_range: KeyRange,
     exclude: frozenset[int] = _NONE_EXCLUDED,
 ) -> Result[PartitionMap, Failure]:
-    """Choose the snapshot that a query reads, and who is asked for what.
+    """Select the snapshot of a query and assign key ranges to shards.
 
-    While records move, shards hold ranges of an old and of a new snapshot.
-    Only one of them is read, and overlapping ranges are cut, so that no key
-    is asked for twice.
+    While records move, shards hold ranges of several snapshots. A query reads
+    only one of them, and overlaps are cut so that each key is read once.
 
     Args:
-        views: what each shard holds.
-        whole: the keys to cover.
-        exclude: snapshots found to be gone since `views` was read.
+        views: snapshots and ranges that each shard holds.
+        whole: keys to cover.
+        exclude: snapshots that are known to be gone.
 
     Returns:
         The map of the newest snapshot that covers `full_range`, or else of the
@@ -111,7 +110,7 @@
     held: list[Assignment],
     full_range: KeyRange,
 ) -> PartitionMap:
-    """Cut what is held to disjoint parts of `full_range`, few and wide."""
+    """Cut the held ranges to disjoint parts of `full_range`, few and wide."""
     assignments: list[Assignment] = []
     covered_until = full_range.lo
     for held_range in sorted(held, key=_by_start):
--- a/packages/fennelfork/src/fennelfork/gather/_query.py
+++ b/packages/fennelfork/src/fennelfork/gather/_query.py
@@ -1,4 +1,4 @@
-"""What a caller asks of a front, and the answer it gets."""
+"""Queries of callers and the answers to them."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -13,17 +13,17 @@
 
 @attrs.frozen(kw_only=True)
 class QueryRequest:
-    """One query of one caller.
+    """Query of a caller.
 
     Attributes:
-        request_id: chosen by the caller, echoed by every party.
-        front: the search front.
-        deadline_at_ms: when the answer is of no use any more, by the clock
-            of the daemon that received the request.
-        tenant: who asks.
-        traffic_class: what kind of work it is, as configured.
-        query: what to look for, passed on to the backend servers unread.
-        demand: how much coverage the caller needs.
+        request_id: id that the caller chose and all replies echo.
+        front: name of the search front.
+        deadline_at_ms: deadline on the clock of the daemon that received
+            the request.
+        tenant: tenant of the caller.
+        traffic_class: configured traffic class of the request.
+        query: query that is passed unchanged to the backend servers.
+        demand: coverage that the caller demands.
     """
 
     request_id: str
@@ -37,7 +37,7 @@
 
 @attrs.frozen(kw_only=True)
 class Work:
-    """What was done for one answer, counted over its sub-queries."""
+    """Numbers of sub-queries and extra attempts of one answer."""
 
     sub_queries: int = 0
     hedges: int = 0
@@ -47,12 +47,12 @@
 
 @attrs.frozen(kw_only=True)
 class QueryAnswer:
-    """What the root gives back for one query.
+    """Answer of the root daemon to one query.
 
     Attributes:
         answer: records and coverage at one snapshot.
-        config_version: the configuration that it was made under.
-        work: what was done for it.
+        config_version: active configuration version.
+        work: numbers of sub-queries and extra attempts.
     """
 
     answer: Answer
--- a/packages/fennelfork/src/fennelfork/gather/_range.py
+++ b/packages/fennelfork/src/fennelfork/gather/_range.py
@@ -7,29 +7,31 @@
 
 @attrs.frozen(kw_only=True, order=True)
 class KeyRange:
-    """The keys from `lo` up to, not including, `hi`."""
+    """Keys from `lo`, inclusive, to `hi`, exclusive."""
 
     lo: int
     hi: int
 
     @property
     def width(self) -> int:
-        """How many keys the range spans."""
+        """Number of keys in the range."""
         return self.hi - self.lo
 
     def holds(self, key: int) -> bool:
-        """Tell whether `key` lies in the range."""
+        """Return whether the range contains `key`."""
         return self.lo <= key < self.hi
 
 
 def key_range(lo: int, hi: int) -> KeyRange:
-    """Build a range of at least one key.
+    """Create a range of at least one key.
 
     Raises:
         ValueError: if `hi` is not above `lo`, or `lo` is negative.
     """
     if not 0 <= lo < hi:
-        raise ValueError(f'not a range of keys: [{lo}, {hi})')
+        raise ValueError(
+            f'invalid key range [{lo}, {hi}): expected 0 <= lo < hi',
+        )
     return KeyRange(lo=lo, hi=hi)
 
 
@@ -40,11 +42,11 @@
     """Find the parts of `full_range` that no range of `held` covers.
 
     Args:
-        whole: the range to cover.
-        held: ranges in any order, which may overlap or reach outside.
+        whole: range to cover.
+        held: ranges in any order, which may overlap or exceed the range.
 
     Returns:
-        The uncovered ranges, lowest first, not touching each other.
+        The uncovered ranges in key order, not adjacent to each other.
     """
     gaps: list[KeyRange] = []
     covered_until = full_range.lo
--- a/packages/fennelfork/src/fennelfork/gather/_refusal.py
+++ b/packages/fennelfork/src/fennelfork/gather/_refusal.py
@@ -1,4 +1,4 @@
-"""Whether a merged query goes out as an answer, or as what failure."""
+"""Decision whether a query is answered or refused."""
 
 from typing import Final
 
@@ -19,36 +19,35 @@
     merge: Merge,
     demand: CompleteCoverage | PartialCoverage,
 ) -> bool:
-    """Tell whether what failed already rules out the coverage demanded.
+    """Return whether the failures so far rule out the demanded coverage.
 
-    Such a query gets its final answer at once: waiting for its other parts
-    would only hold that back. A lost snapshot does not count, as the whole
-    query may run again on another one.
+    Such a query is refused without waiting for the other sub-queries. A lost
+    snapshot is not counted, because the query may be rerun on another one.
 
     Args:
-        merge: the parts and failures so far.
-        demand: how much coverage the caller needs.
+        merge: replies and failures so far.
+        demand: coverage that the caller demands.
     """
     if not merge.failures or merge.snapshot_gone:
         return False
-    at_best = coverage_of(merge.full_range, merge.reachable, ())
-    return not accepts_coverage(demand, at_best)
+    best_case = coverage_of(merge.full_range, merge.reachable, ())
+    return not accepts_coverage(demand, best_case)
 
 
 def refusal_of(
     merge: Merge,
     demand: CompleteCoverage | PartialCoverage,
 ) -> Failure | None:
-    """Judge a query of which nothing more is awaited.
+    """Return the failure of a finished query, or `None` if it is answered.
 
     Args:
-        merge: the parts and failures of its sub-queries.
-        demand: how much coverage the caller needs.
+        merge: replies and failures of the sub-queries.
+        demand: coverage that the caller demands.
 
     Returns:
-        None if the answer may go out; else the failure, whose verdict joins
-        all parts. A query that a backend server calls invalid is refused as
-        such whatever the demand: asked again it fails again.
+        `None` if the coverage satisfies the demand, or the failure, with the
+        joined verdict. A query that a backend server rejected as invalid is
+        always refused, because a retry would fail as well.
     """
     for failure in merge.failures:
         if failure.code is FailureCode.BAD_REQUEST:
--- a/packages/fennelfork/src/fennelfork/gather/_reply.py
+++ b/packages/fennelfork/src/fennelfork/gather/_reply.py
@@ -1,4 +1,4 @@
-"""Checks of one reply against the sub-query that it claims to answer."""
+"""Validation of replies against their sub-queries."""
 
 from collections.abc import Mapping, Sequence
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen(kw_only=True)
 class Record:
-    """One record: its key, and its content, which is not looked into."""
+    """Record with its key and opaque content."""
 
     key: int
     content: Mapping[str, object]
@@ -20,13 +20,13 @@
 
 @attrs.frozen(kw_only=True)
 class ExpectedReply:
-    """What a reply must echo to be the answer of a sub-query.
+    """Fields that the reply to a sub-query must echo.
 
     Attributes:
-        request_id: of the caller's request.
+        request_id: id of the request of the caller.
         sub_query: name of the sub-query, unique within the request.
-        snapshot: the index version that was asked for.
-        span: the keys that were asked for.
+        snapshot: requested index version.
+        span: requested keys.
     """
 
     request_id: str
@@ -37,11 +37,11 @@
 
 @attrs.frozen(kw_only=True)
 class Reply:
-    """A reply as it arrived, not yet believed.
+    """Reply that may not have been validated.
 
     Attributes:
-        count: how many records the server says that it sent.
-        records: the records that arrived.
+        count: number of records that the server declared.
+        records: records that were received.
     """
 
     request_id: str
@@ -56,17 +56,17 @@
     expected: ExpectedReply,
     reply: Reply,
 ) -> Result[Reply, Failure]:
-    """Accept a reply only if it is whole and belongs to the sub-query.
+    """Validate that a reply is complete and belongs to a sub-query.
 
     Args:
-        expected: the sub-query as it was sent.
-        reply: what came back.
+        expected: fields of the sub-query that was sent.
+        reply: reply that was received.
 
     Returns:
-        The reply, or `BAD_REPLY` that says what is wrong: a crossed reply,
-        another snapshot or range, a truncated body, a record doubled, out of
-        order or out of range. Its verdict is `RAN` if the reply is of this
-        sub-query, else it is unknown whether this sub-query ran.
+        The reply, or a `BAD_REPLY` failure: the reply belongs to another
+        sub-query, has another snapshot or range, is truncated, or has
+        records that are duplicate, unsorted or out of range. The verdict is
+        `RAN` if the reply belongs to the sub-query, else `MAY_HAVE_RUN`.
     """
     crossed = _identity_mismatch(expected, reply)
     if crossed:
--- a/packages/fennelfork/src/fennelfork/gather/_scatter.py
+++ b/packages/fennelfork/src/fennelfork/gather/_scatter.py
@@ -1,4 +1,4 @@
-"""What goes between the root of a query and the homes of its shards."""
+"""Messages between the root daemon and the home daemons of a query."""
 
 import attrs
 
@@ -10,14 +10,14 @@
 
 @attrs.frozen(kw_only=True)
 class ScatterRequest:
-    """The sub-queries of one query that go to one home.
+    """Sub-queries of one query for one home daemon.
 
     Attributes:
-        snapshot: the index version that every part must be of.
-        query: the caller's query as JSON text.
-        deadline_ms: what remains of the deadline.
-        config_version: the configuration that the root works under.
-        level: the part of such requests that the root lets in.
+        snapshot: index version that all sub-queries read.
+        query: query of the caller as JSON text.
+        deadline_ms: remaining time until the deadline.
+        config_version: active configuration version of the root daemon.
+        level: share of such requests that the root daemon admits.
     """
 
     request_id: str
@@ -34,17 +34,17 @@
 
 @attrs.frozen(kw_only=True)
 class SubQueryOutcome:
-    """What came of one sub-query.
+    """Reply or failure of one sub-query.
 
     Attributes:
-        planned: the sub-query.
-        reply: the reply, if there is one.
-        failure: why there is none.
-        hedges: second copies that were started.
-        retries: copies that were started after a failure.
-        queue_ms: how long it waited at the home for a slot.
-        server_ms: how long the server that answered took.
-        server: name of the backend server that answered.
+        planned: planned sub-query.
+        reply: valid reply, or `None`.
+        failure: failure, or `None` if there is a reply.
+        hedges: number of hedges.
+        retries: number of retries.
+        queue_ms: queueing time at the home daemon.
+        server_ms: latency of the backend server that responded.
+        server: name of the backend server that responded.
     """
 
     planned: PlannedSubQuery
@@ -59,13 +59,13 @@
 
 @attrs.frozen(kw_only=True)
 class ScatterOutcome:
-    """The merged message that a home gives back.
+    """Outcomes of the sub-queries that one home daemon received.
 
     Attributes:
-        parts: one for each sub-query of the order.
-        shards: what the home knows of the snapshots of the shards asked.
-        config_version: the configuration that the home works under.
-        level: the part of such requests that the home takes.
+        parts: outcome of each sub-query of the request.
+        shards: snapshots that the queried shards hold.
+        config_version: active configuration version of the home daemon.
+        level: share of such requests that the home daemon admits.
     """
 
     parts: tuple[SubQueryOutcome, ...]
--- a/packages/fennelfork/src/fennelfork/home/__init__.py
+++ b/packages/fennelfork/src/fennelfork/home/__init__.py
@@ -1,6 +1,6 @@
-"""The home of a shard: hands out the slots of its backend servers.
+"""Admission and scheduling of sub-queries at the home daemon of a shard.
 
-The public names stand in `__init__.pyi`; each is loaded when first used.
+The public names are declared in `__init__.pyi` and imported on first use.
 """
 
 import lazy_loader
--- a/packages/fennelfork/src/fennelfork/home/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/home/__init__.pyi
@@ -1,4 +1,4 @@
-"""The home of a shard: hands out the slots of its backend servers."""
+"""Admission and scheduling of sub-queries at the home daemon of a shard."""
 
 from ._admission import Arrival as Arrival
 from ._admission import HomeAdmission as HomeAdmission
--- a/packages/fennelfork/src/fennelfork/home/_admission.py
+++ b/packages/fennelfork/src/fennelfork/home/_admission.py
@@ -1,4 +1,4 @@
-"""What a home takes in, and what it refuses at once."""
+"""Admission control of a home daemon."""
 
 import math
 from typing import Final
@@ -12,21 +12,21 @@
 from fennelfork.home._fair import Flow, Shares, fair_rates
 
 _WINDOW_MS: Final = 300.0
-# A rate read sooner than this after the first event says nothing.
+# Minimum age of a rate; avoids extreme values after the first event.
 _MIN_RATE_AGE_MS: Final = 50.0
 _MIN_TRACKED_EVENTS: Final = 0.01
-# Below so many flows none is looked for to be forgotten.
+# Number of flows below which idle flows are not removed.
 _MIN_SWEEP_FLOWS: Final = 64
 _HASH_BITS: Final = 64
 _HASH_RANGE: Final = 2**_HASH_BITS
-# Slightly more than the slots can run, so that they never idle; what has
-# queued up for it comes off again.
+# Above 1, so that slots do not become idle; the resulting queue is subtracted
+# from the capacity.
 _TARGET_UTILISATION: Final = 1.05
-# A home lets through somewhat more than its level: roots refuse by the lowest
-# level of all homes, and a part refused by one home wastes those of the others.
+# Home daemons admit more than their level because root daemons already apply
+# the lowest level. A rejected sub-query wastes the others of its query.
 _LEVEL_MARGIN: Final = 1.15
-# A queue may take this part of the time that is left: a burst whose deadlines
-# can be met is no overload.
+# Share of the remaining time that may be spent in the queue before the shard
+# counts as overloaded.
 _MAX_QUEUE_SHARE: Final = 0.25
 _SERVICE_GAIN: Final = 0.02
 _RETRY_MS: Final = 1000
@@ -34,25 +34,25 @@
 
 @attrs.define(kw_only=True)
 class Rate:
-    """Events per millisecond, the older ones fading out."""
+    """Rate of events with exponential decay."""
 
     _since_ms: float
     _at_ms: float
     _count: float = 0
 
     def record(self, now_ms: float, weight: float) -> None:
-        """Count one event, which stands for `weight` of them."""
-        self._fade(now_ms)
+        """Record an event that represents `weight` events."""
+        self._decay(now_ms)
         self._count += weight
 
     def per_ms(self, now_ms: float) -> float:
-        """Give the rate of the last window or so."""
-        self._fade(now_ms)
+        """Return the recent number of events per millisecond."""
+        self._decay(now_ms)
         age_ms = max(_MIN_RATE_AGE_MS, now_ms - self._since_ms)
         shard_latencies = 1 - math.exp(-age_ms / _WINDOW_MS)
         return self._count / (_WINDOW_MS * shard_latencies)
 
-    def _fade(self, now_ms: float) -> None:
+    def _decay(self, now_ms: float) -> None:
         elapsed_ms = max(0, now_ms - self._at_ms)
         self._count *= math.exp(-elapsed_ms / _WINDOW_MS)
         self._at_ms = now_ms
@@ -60,14 +60,14 @@
 
 @attrs.frozen(kw_only=True)
 class LoadEstimate:
-    """What stands before a new sub-query at its home.
+    """Load of a shard from the point of view of a new sub-query.
 
     Attributes:
-        slots: slots that may be in use on servers which can run it.
-        free: those of them that are free now.
-        ahead: queued sub-queries that get a slot before it.
-        least_ms: the time that a run takes at the median.
-        left_ms: the time until the deadline.
+        slots: number of usable slots on eligible servers.
+        free_slots: number of free slots on eligible servers.
+        queued_ahead: number of queued sub-queries that are served first.
+        median_run_ms: median latency of an attempt.
+        remaining_ms: time until the deadline.
     """
 
     slots: int
@@ -79,13 +79,13 @@
 
 @attrs.frozen(kw_only=True)
 class Arrival:
-    """A new sub-query, as admission sees it.
+    """New sub-query that admission control decides on.
 
     Attributes:
-        flow: whose it is.
-        request_id: of the caller's request.
-        weight: how many requests it stands for: its root let one in this
-            many in, and refused the others.
+        flow: flow of the sub-query.
+        request_id: id of the request of the caller.
+        weight: number of offered requests per request that the root daemon
+            admitted.
     """
 
     flow: Flow
@@ -95,7 +95,7 @@
 
 @attrs.define(kw_only=True)
 class HomeAdmission:
-    """Measured arrivals and service times of one shard."""
+    """Admission control of one shard, from arrival rates and service time."""
 
     shares: Shares
     service_ms: float = 0
@@ -105,19 +105,19 @@
     _next_sweep: int = _MIN_SWEEP_FLOWS
 
     def record_service_time(self, held_ms: float) -> None:
-        """Note for how long a slot was held."""
+        """Record the time for which a slot was held."""
         if self.service_ms == 0:
             self.service_ms = held_ms
         self.service_ms += _SERVICE_GAIN * (held_ms - self.service_ms)
 
     def predict_wait_ms(self, load: LoadEstimate) -> float:
-        """Predict how long a new sub-query waits for a slot."""
+        """Return the predicted queueing time of a new sub-query."""
         if load.free_slots > load.queued_ahead:
             return 0
         return (load.queued_ahead + 1) * self.service_ms / load.slots
 
     def level(self, flow: Flow, now_ms: float) -> float:
-        """Tell which part of a flow's requests is taken at present."""
+        """Return the share of the requests of a flow that is admitted."""
         if now_ms >= self._overloaded_until_ms:
             return 1
         return self._levels.get(flow, 1)
@@ -128,10 +128,10 @@
         load: LoadEstimate,
         now_ms: float,
     ) -> Result[float, Failure]:
-        """Decide whether a new sub-query may wait for a slot.
+        """Admit or reject a new sub-query.
 
         Returns:
-            The predicted wait, or a refusal that says when to ask again.
+            The predicted queueing time, or a failure with a retry delay.
         """
         self._record_arrival(arrival, now_ms)
         wait_ms = self.predict_wait_ms(load)
@@ -143,7 +143,7 @@
         if wait_ms + load.median_run_ms > load.remaining_ms:
             return _refuse(
                 FailureCode.DEADLINE,
-                f'a slot is free in {wait_ms:.0f} ms, the deadline is nearer',
+                f'the predicted wait of {wait_ms:.0f} ms exceeds the deadline',
                 wait_ms,
             )
         limit = _LEVEL_MARGIN * self.level(arrival.flow, now_ms)
@@ -160,7 +160,7 @@
         rate.record(now_ms, arrival.weight)
 
     def _sweep(self, now_ms: float) -> None:
-        """Forget flows that went away, each time that they have doubled."""
+        """Remove idle flows each time that the number of flows doubles."""
         if len(self._arrivals) < self._next_sweep:
             return
         self._forget(self._offered(now_ms))
@@ -172,7 +172,7 @@
         }
 
     def _set_levels(self, load: LoadEstimate, now_ms: float) -> None:
-        """Work out which part of each flow its fair share can carry."""
+        """Compute the admission level of each flow from its fair share."""
         offered = self._offered(now_ms)
         capacity_per_ms = load.slots / self.service_ms
         excess_queued = max(
@@ -198,17 +198,17 @@
 
 
 def hash_fraction(request_id: str) -> float:
-    """Give a request its fixed place between 0 and 1.
+    """Return the hash of a request id as a fraction between 0 and 1.
 
-    Every home draws the same for one request. Under overload all of them so
-    take the same requests; drawn independently, hardly any query would have
-    all of its parts taken, and what ran for the rest would be wasted.
+    All home daemons compute the same fraction, so that under overload they
+    admit the same requests. Independent decisions would waste the work of
+    queries that only some of the home daemons admit.
     """
     return xxhash.xxh64_intdigest(request_id.encode()) / _HASH_RANGE
 
 
 def refuse_overload(request_id: str) -> Result[float, Failure]:
-    """Refuse a request that its flow's fair share does not carry."""
+    """Return the failure of a request that exceeds the share of its flow."""
     return _refuse(
         FailureCode.SHED,
         'more is offered than this share of the servers can run',
--- a/packages/fennelfork/src/fennelfork/home/_attribution.py
+++ b/packages/fennelfork/src/fennelfork/home/_attribution.py
@@ -1,4 +1,4 @@
-"""What outcomes say of a server, whatever its endpoints say."""
+"""Attribution of the outcomes of attempts to backend servers."""
 
 import functools
 from typing import Final
@@ -13,7 +13,7 @@
 from fennelfork.servers._ejection import may_eject
 
 _TAIL: Final = 0.99
-# A health endpoint that lags does not undo a server's own refusal.
+# Time for which a refusal as draining overrides the health endpoint.
 _DRAIN_TRUSTED_MS: Final = 5000.0
 _SUSPECT_CODES: Final = frozenset(
     (
@@ -26,7 +26,7 @@
 
 
 def record_success(blackboard: ShardBlackboard, attempt: Attempt) -> None:
-    """Note a good reply."""
+    """Record a valid response of a server."""
     record_latency(blackboard, attempt)
     server = blackboard.servers.get(attempt.server)
     if server is not None:
@@ -37,24 +37,24 @@
 def record_failure(
     blackboard: ShardBlackboard, attempt: Attempt, failure: Failure
 ) -> None:
-    """Draw from a failure what it says of the server."""
+    """Record the failure of an attempt for its server."""
     server = blackboard.servers.get(attempt.server)
     if server is None or attempt.cancelled:
         return
     if failure.code in _SUSPECT_CODES:
         _count_failure(blackboard, server)
         if failure.verdict is Verdict.NOT_RUN:
-            # It took no connection: a fact, no matter of comparison.
+            # The server accepts no connections.
             _eject(blackboard, server)
         return
     _apply_refusal(blackboard, server, attempt, failure.code)
 
 
 def record_slow_attempt(blackboard: ShardBlackboard, attempt: Attempt) -> None:
-    """Note a copy that was cancelled because it took too long.
+    """Record an attempt that was cancelled because it was slow.
 
-    It took at least this long: without such samples the quantile would
-    drift down, hedge by hedge.
+    The elapsed time is recorded as a latency sample; otherwise the quantile
+    would decrease with each hedge.
     """
     record_latency(blackboard, attempt)
     server = blackboard.servers.get(attempt.server)
@@ -63,7 +63,7 @@
 
 
 def is_slow(blackboard: ShardBlackboard, attempt: Attempt) -> bool:
-    """Tell whether a copy without a reply is far behind its shard."""
+    """Return whether an unanswered attempt exceeds the tail latency."""
     if not blackboard.shard_latencies.has_enough_samples:
         return False
     elapsed_ms = blackboard.clock.now_ms() - attempt.sent_ms
@@ -71,7 +71,7 @@
 
 
 def record_latency(blackboard: ShardBlackboard, attempt: Attempt) -> None:
-    """Record how long an attempt took, or has taken up to now."""
+    """Record the time since an attempt was sent as a latency sample."""
     elapsed_ms = blackboard.clock.now_ms() - attempt.sent_ms
     blackboard.shard_latencies.record(elapsed_ms)
     server = blackboard.servers.get(attempt.server)
@@ -85,7 +85,7 @@
     attempt: Attempt,
     code: FailureCode,
 ) -> None:
-    """Take a refusing server at its word."""
+    """Update the state of a server that refused an attempt."""
     if code is FailureCode.SHED:
         server.record_shed(
             blackboard.clock.now_ms(), blackboard.admission.service_ms
@@ -98,7 +98,7 @@
     elif code is FailureCode.SNAPSHOT_GONE:
         server.record_lost_snapshot(attempt.task.snapshot)
     elif code is FailureCode.NOT_HELD:
-        # Until its health endpoint says again that it holds them.
+        # The next health report may add the snapshot again.
         server.snapshots = tuple(
             held
             for held in server.snapshots
--- a/packages/fennelfork/src/fennelfork/home/_blackboard.py
+++ b/packages/fennelfork/src/fennelfork/home/_blackboard.py
@@ -1,4 +1,4 @@
-"""Blackboard of one shard at its home; the controllers read and write it."""
+"""Blackboard of one shard at its home daemon."""
 
 import heapq
 import random
@@ -32,17 +32,17 @@
 
 @attrs.define(kw_only=True)
 class ServerState:
-    """What the home knows of one server.
+    """State of one backend server at the home daemon.
 
     Attributes:
-        facts: from the configuration.
-        connections: this daemon's connections to it.
-        snapshots: what it holds, by its own word.
-        draining: whether it said so itself.
-        cold: whether it reported that it warms up.
-        leaving: whether another source said that it leaves.
-        full_until_ms: it shed work although a slot counted as free.
-        sheds_in_row: how often it did, without a reply in between.
+        config: configuration of the server.
+        connections: connections of this daemon to the server.
+        snapshots: snapshots that the server reported.
+        draining: whether the server reported that it is draining.
+        cold: whether the server reported that it is warming up.
+        leaving: whether another source reported that the server is leaving.
+        overloaded_until_ms: end of the backoff after a shed attempt.
+        consecutive_sheds: number of sheds since the last response.
     """
 
     config: ServerConfig
@@ -60,13 +60,13 @@
 
     @property
     def accepts_work(self) -> bool:
-        """Whether it may get new work at all."""
+        """Whether the server is neither draining nor leaving."""
         return not (self.draining or self.leaving)
 
     def record_shed(self, now_ms: float, service_ms: float) -> None:
-        """Leave it alone for a service time, longer if it goes on so.
+        """Back off from the server, for longer after consecutive sheds.
 
-        Copies sent together are shed together and count once.
+        Sheds during the backoff are not counted.
         """
         if now_ms < self.overloaded_until_ms:
             return
@@ -76,18 +76,18 @@
         self.consecutive_sheds += 1
 
     def mark_draining_until(self, at_ms: float) -> None:
-        """Note that it refuses work as it drains, whatever it reports."""
+        """Record that the server refused an attempt as draining."""
         self.draining = True
         self._draining_until_ms = at_ms
 
     def record_lost_snapshot(self, version: int | None) -> None:
-        """Note that a snapshot is gone, whatever it reports."""
+        """Record that the server lost a snapshot."""
         if version is not None:
             self._lost_snapshots.add(version)
             self._keep_snapshots(self.snapshots)
 
     def apply_report(self, report: ServerReport, now_ms: float) -> None:
-        """Take what its health endpoint says, as far as it is believed."""
+        """Apply a health report that more recent refusals do not override."""
         self.draining = report.draining or now_ms < self._draining_until_ms
         if report.cold and not self.cold:
             self.ejection.begin_slow_start()
@@ -105,7 +105,7 @@
 
 @attrs.define(kw_only=True)
 class Job:
-    """A piece of work that has no answer yet."""
+    """Unfinished task with its attempts."""
 
     task: Task
     queued_ms: float
@@ -118,7 +118,7 @@
 
     @property
     def verdict(self) -> Verdict:
-        """Whether any copy ran; those still under way may have run."""
+        """Verdict on all attempts, including outstanding ones."""
         outstanding = (
             Verdict.MAY_HAVE_RUN if self.active_attempts else Verdict.NOT_RUN
         )
@@ -130,7 +130,7 @@
 
     @property
     def stats(self) -> TaskStats:
-        """What was done for it up to now."""
+        """Statistics of the attempts up to now."""
         return TaskStats(
             queue_ms=self.queue_ms,
             hedges=self.hedges,
@@ -138,14 +138,14 @@
         )
 
     def record_failed_attempt(self, verdict: Verdict) -> None:
-        """Note whether a copy that has ended without a reply ran."""
+        """Add the verdict of an attempt that failed."""
         known = self._failed_verdict
         self._failed_verdict = verdict if known is None else known.join(verdict)
 
 
 @attrs.define(kw_only=True)
 class Attempt:
-    """One copy that was sent to a server."""
+    """One attempt on a backend server."""
 
     task: Task
     server: str
@@ -156,13 +156,13 @@
 
 @attrs.frozen(kw_only=True)
 class Timer:
-    """Something to look at when its time has come.
+    """Timer of a job, of an attempt, or for a dispatch.
 
     Attributes:
-        at_ms: the time.
-        start_by: a job that has no slot yet is refused now.
-        job: the job to look at, if any.
-        attempt: the attempt to look at, if any.
+        at_ms: time at which the timer is due.
+        is_start_deadline: whether only a job that is still queued is refused.
+        job: name of the job; empty if there is none.
+        attempt: number of the attempt; zero if there is none.
     """
 
     at_ms: float
@@ -173,7 +173,7 @@
 
 @attrs.define(kw_only=True)
 class ShardBlackboard:
-    """The state of one shard at its home."""
+    """State of one shard that its controllers share."""
 
     clock: Clock
     rng: random.Random
@@ -189,31 +189,31 @@
     attempts: dict[int, Attempt] = attrs.field(factory=dict)
     overdue: dict[int, Attempt] = attrs.field(factory=dict)
     last_attempt: int = 0
-    # By time, then in the order they were set: tuples compare fast.
+    # Sorted by time, then by the order of creation.
     _timers: list[tuple[float, int, Timer]] = attrs.field(factory=list)
     _timer_count: int = 0
 
     @property
     def next_timer_ms(self) -> float | None:
-        """When the next timer is due that still has something to look at."""
+        """Time of the next timer whose job or attempt has not ended."""
         while self._timers and self._is_obsolete(self._timers[0][-1]):
             heapq.heappop(self._timers)
         return self._timers[0][0] if self._timers else None
 
     def set_timer(self, timer: Timer) -> None:
-        """Have something looked at later."""
+        """Schedule a timer."""
         self._timer_count += 1
         heapq.heappush(self._timers, (timer.at_ms, self._timer_count, timer))
 
     def pop_due_timer(self) -> Timer | None:
-        """Take the next timer, if its time has come."""
+        """Remove and return the next timer if it is due."""
         next_ms = self.next_timer_ms
         if next_ms is None or next_ms > self.clock.now_ms():
             return None
         return heapq.heappop(self._timers)[-1]
 
     def _is_obsolete(self, timer: Timer) -> bool:
-        """Tell whether what a timer was set for has ended meanwhile."""
+        """Return whether the job or attempt of a timer has ended."""
         if timer.attempt:
             return timer.attempt not in self.attempts
         return bool(timer.job) and timer.job not in self.jobs
@@ -222,7 +222,7 @@
 def shard_blackboard(
     settings: HomeSettings, clock: Clock, rng: random.Random
 ) -> ShardBlackboard:
-    """Build the state of a shard without servers."""
+    """Create the blackboard of a shard without servers."""
     return ShardBlackboard(
         clock=clock,
         rng=rng,
--- a/packages/fennelfork/src/fennelfork/home/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/home/_dispatch.py
@@ -1,4 +1,4 @@
-"""Hands out free slots: queued work first, then hedges."""
+"""Dispatch of queued jobs and hedges to free slots."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -16,13 +16,12 @@
 from fennelfork.servers._hedge import hedge_delay_ms
 from fennelfork.servers._rank import Candidate, best
 
-# Copies of one sub-query that may run at the same time: a third only when the
-# second is overdue as well.
+# A second hedge is sent only when the first one is overdue as well.
 _MAX_ACTIVE_ATTEMPTS: Final = 3
 
 
 def dispatch(blackboard: ShardBlackboard) -> list[Action]:
-    """Start all that a slot is free for."""
+    """Send queued jobs, then hedges, while slots are free."""
     actions: list[Action] = []
     sent = _dispatch_next(blackboard)
     while sent is not None:
@@ -35,14 +34,14 @@
 def eligible_servers(
     blackboard: ShardBlackboard, task: Task
 ) -> Iterator[ServerState]:
-    """Give the servers that may run the work once a slot is free."""
+    """Yield the servers that can run a task."""
     for server in blackboard.servers.values():
         if server.accepts_work and can_run(server, task):
             yield server
 
 
 def can_run(server: ServerState, task: Task) -> bool:
-    """Tell whether a server has the snapshot and the keys of the work."""
+    """Return whether a server holds the snapshot and the keys of a task."""
     return any(
         task.span in held.ranges or not missing_ranges(task.span, held.ranges)
         for held in server.snapshots
@@ -51,7 +50,7 @@
 
 
 def usable_slots(blackboard: ShardBlackboard, server: ServerState) -> int:
-    """Tell how many slots of a server may be in use now."""
+    """Return how many slots of a server may be used."""
     now_ms = blackboard.clock.now_ms()
     if now_ms < server.overloaded_until_ms:
         return blackboard.slots.busy(server.config.name)
@@ -59,7 +58,7 @@
 
 
 def free_slots(blackboard: ShardBlackboard, server: ServerState) -> int:
-    """Tell how many slots of a server are free for new work."""
+    """Return how many slots of a server are free."""
     if not server.connections.has_capacity:
         return 0
     busy = blackboard.slots.busy(server.config.name)
@@ -69,7 +68,7 @@
 def blocking_reason(
     blackboard: ShardBlackboard, task: Task
 ) -> FailureCode | None:
-    """Say why no server could run the work, however long it waits."""
+    """Return why no server can run a task, or `None` if one can."""
     if any(eligible_servers(blackboard, task)):
         return None
     accepting = [
@@ -103,10 +102,10 @@
 def _choose_server(
     blackboard: ShardBlackboard, job: Job, *, hedge: bool
 ) -> str | None:
-    """Filter, then rank.
+    """Return the best eligible server with a free slot, or `None`.
 
-    A hedge goes to a server that has no copy yet, while there is one at all:
-    it waits for a slot there.
+    A hedge goes to an untried server if there is one, even if it has to wait
+    for a slot.
     """
     eligible = list(eligible_servers(blackboard, job.task))
     if hedge:
@@ -140,7 +139,7 @@
 
 
 def _send_hedges(blackboard: ShardBlackboard) -> Iterator[Send]:
-    """Send second copies of what is overdue, while budget and slots last."""
+    """Send hedges for overdue attempts within the budget."""
     for number, attempt in tuple(blackboard.overdue.items()):
         job = blackboard.jobs.get(attempt.task.job)
         if job is None or len(job.active_attempts) >= _MAX_ACTIVE_ATTEMPTS:
@@ -183,7 +182,7 @@
 def _set_hedge_timer(
     blackboard: ShardBlackboard, number: int, task: Task
 ) -> None:
-    """Set the time at which a copy without a reply is overdue."""
+    """Schedule the timer that marks an attempt as overdue."""
     delay_ms = hedge_delay_ms(
         blackboard.settings.hedge, blackboard.shard_latencies
     )
--- a/packages/fennelfork/src/fennelfork/home/_draining.py
+++ b/packages/fennelfork/src/fennelfork/home/_draining.py
@@ -1,4 +1,4 @@
-"""Backend servers that said themselves that they are leaving."""
+"""Exclusion of backend servers that refused requests as draining."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -8,19 +8,19 @@
 from fennelfork._clock import Clock
 from fennelfork.once._target import NamedServer
 
-# A server that came back is used again this long after its last refusal.
+# Time for which a server is excluded after a refusal.
 _EXCLUSION_MS: Final = 30_000
 
 
 @attrs.define(kw_only=True)
 class DrainingServers:
-    """Remembers refusals as draining, which no health endpoint may belie."""
+    """Servers that recently refused a request as draining."""
 
     _clock: Clock
     _until_ms: dict[str, float] = attrs.field(factory=dict)
 
     def record_refusal(self, address: str) -> None:
-        """Take note that the server there refused a request as draining."""
+        """Record that the server at an address refused a request as draining."""
         now_ms = self._clock.now_ms()
         for other, until_ms in tuple(self._until_ms.items()):
             if until_ms <= now_ms:
@@ -31,7 +31,7 @@
         self,
         servers: Iterable[NamedServer],
     ) -> tuple[NamedServer, ...]:
-        """Leave out the servers that refused not long ago."""
+        """Return the servers without those that recently refused a request."""
         now_ms = self._clock.now_ms()
         return tuple(
             server
@@ -41,5 +41,5 @@
 
 
 def draining_servers(clock: Clock) -> DrainingServers:
-    """Build an empty memory."""
+    """Create a record without refusals."""
     return DrainingServers(clock=clock)
--- a/packages/fennelfork/src/fennelfork/home/_fair.py
+++ b/packages/fennelfork/src/fennelfork/home/_fair.py
@@ -1,4 +1,4 @@
-"""Fair shares between tenants and traffic classes."""
+"""Weighted fair shares of tenants and traffic classes."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -18,13 +18,13 @@
 
 @attrs.frozen(kw_only=True)
 class Shares:
-    """Weights of tenants and classes; one that is not named weighs 1."""
+    """Weights of tenants and traffic classes; the default weight is 1."""
 
     tenants: Mapping[str, float] = attrs.field(factory=dict)
     classes: Mapping[str, float] = attrs.field(factory=dict)
 
     def weight(self, flow: Flow) -> float:
-        """Give the weight of a flow, the product of its two weights."""
+        """Return the weight of the tenant times that of the traffic class."""
         return self.tenants.get(
             flow.tenant,
             _DEFAULT_WEIGHT,
@@ -36,16 +36,16 @@
     shares: Shares,
     capacity: float,
 ) -> dict[Flow, float]:
-    """Share out a capacity, max-min fair by weight.
+    """Allocate a capacity by weighted max-min fairness.
 
     Args:
-        offered: the rate that each flow offers.
-        shares: the weights.
-        capacity: the rate to share out.
+        offered: offered rate of each flow.
+        shares: weights of the flows.
+        capacity: total rate to allocate.
 
     Returns:
-        The rate that each flow gets: all it offers while that is below its
-        share; what such flows leave is shared by the others.
+        The allocated rate of each flow. Flows that offer less than their share
+        get the offered rate; the other flows share the remainder.
     """
     granted: dict[Flow, float] = {}
     remaining = capacity
--- a/packages/fennelfork/src/fennelfork/home/_gate.py
+++ b/packages/fennelfork/src/fennelfork/home/_gate.py
@@ -1,4 +1,4 @@
-"""What a root refuses at once, by what the homes can take."""
+"""Admission control of a root daemon, based on reports of home daemons."""
 
 from typing import Final
 
@@ -10,21 +10,21 @@
 from fennelfork.home._admission import hash_fraction, refuse_overload
 from fennelfork.home._fair import Flow
 
-# A level that no home has confirmed for so long says nothing any more.
+# Reported levels expire after this time.
 _LEVEL_LIFETIME_MS: Final = 1000.0
-# Below this, so few would get through that nobody learnt of better times.
+# A minimum keeps some requests flowing, whose answers report new levels.
 _MIN_LEVEL: Final = 0.01
 
 
 @attrs.frozen(kw_only=True)
 class AdmissionLevel:
-    """Which part of a flow's requests a home takes.
+    """Share of the requests of a flow that a home daemon admits.
 
     Attributes:
-        front: the front that is asked.
-        flow: whose requests.
-        home: name of the daemon.
-        level: the part, between 0 and 1.
+        front: name of the front.
+        flow: flow of the requests.
+        home: name of the home daemon.
+        level: share of admitted requests, between 0 and 1.
     """
 
     front: str
@@ -41,10 +41,10 @@
 
 @attrs.define(kw_only=True)
 class EntryGate:
-    """Refuses at the root what some home would refuse.
+    """Rejects requests at the root that some home daemon would reject.
 
-    A query needs every home, so the lowest level counts. A request's draw is
-    the same everywhere: what one root lets in, all homes take.
+    A query needs all home daemons, so the lowest level applies. Decisions
+    depend on the hash of the request id, so that all daemons agree.
     """
 
     _clock: Clock
@@ -53,7 +53,7 @@
     )
 
     def record_level(self, reported: AdmissionLevel) -> None:
-        """Take what a home says; a level of 1 is only forgotten."""
+        """Record the level of a home daemon; a level of 1 removes the entry."""
         levels = self._reported_levels.setdefault(
             (reported.front, reported.flow), {}
         )
@@ -68,7 +68,7 @@
             self._reported_levels.pop((reported.front, reported.flow))
 
     def level(self, front: str, flow: Flow) -> float:
-        """Give the part of a flow's requests that is let in."""
+        """Return the share of the requests of a flow that is admitted."""
         oldest_ms = self._clock.now_ms() - _LEVEL_LIFETIME_MS
         levels = self._reported_levels.get((front, flow), {})
         trusted = [
@@ -84,10 +84,10 @@
         flow: Flow,
         request_id: str,
     ) -> Result[float, Failure]:
-        """Decide whether a request is let in.
+        """Admit or reject a request.
 
         Returns:
-            The level at which it was let in, or a refusal that is `NOT_RUN`.
+            The current level, or a failure with the verdict `NOT_RUN`.
         """
         level = self.level(front, flow)
         if hash_fraction(request_id) >= level:
@@ -96,5 +96,5 @@
 
 
 def entry_gate(clock: Clock) -> EntryGate:
-    """Build a gate that lets everything in."""
+    """Create a gate that admits all requests."""
     return EntryGate(clock=clock)
--- a/packages/fennelfork/src/fennelfork/home/_intake.py
+++ b/packages/fennelfork/src/fennelfork/home/_intake.py
@@ -1,4 +1,4 @@
-"""Takes new work in, or refuses it at once; and ends it in time."""
+"""Admission of new tasks, and handling of timers."""
 
 from returns.pipeline import is_successful
 from returns.result import Failure as Err
@@ -23,13 +23,13 @@
 
 
 def admit_task(blackboard: ShardBlackboard, task: Task) -> list[Action]:
-    """Queue new work, or refuse it if it cannot be met.
+    """Queue a new task, or refuse it.
 
     Raises:
-        ValueError: if the job's name is in use.
+        ValueError: if a job with the same name exists.
     """
     if task.job in blackboard.jobs:
-        raise ValueError(f'job {task.job} is offered twice')
+        raise ValueError(f'job {task.job!r} already exists')
     job = Job(task=task, queued_ms=blackboard.clock.now_ms())
     blackboard.jobs[task.job] = job
     predicted = _predict_wait(blackboard, task)
@@ -45,7 +45,7 @@
 
 
 def handle_timer(blackboard: ShardBlackboard, timer: Timer) -> list[Action]:
-    """Look at what a timer was set for."""
+    """Handle a timer that is due."""
     if timer.attempt:
         return _handle_attempt_timer(blackboard, timer.attempt)
     job = blackboard.jobs.get(timer.job)
@@ -53,9 +53,9 @@
         timer.is_start_deadline and timer.job not in blackboard.queue
     ):
         return []
-    late = not_run(FailureCode.DEADLINE, 'the deadline cannot be met')
+    expired = not_run(FailureCode.DEADLINE, 'the deadline cannot be met')
     cancels = cancel_attempts(blackboard, job, is_lost=False)
-    return [refuse(blackboard, job, late), *cancels]
+    return [refuse(blackboard, job, expired), *cancels]
 
 
 def _handle_attempt_timer(
@@ -65,11 +65,11 @@
     if attempt is None:
         return []
     if attempt.cancelled:
-        silent = not_run(
+        unconfirmed = not_run(
             FailureCode.CANCELLED,
-            'the server confirms no cancel',
+            'the server did not confirm the cancellation',
         )
-        return handle_failure(blackboard, number, silent)
+        return handle_failure(blackboard, number, unconfirmed)
     blackboard.overdue[number] = attempt
     return []
 
@@ -77,7 +77,7 @@
 def _predict_wait(
     blackboard: ShardBlackboard, task: Task
 ) -> Result[float, Failure]:
-    """Predict the wait of new work, or find a reason to refuse it."""
+    """Return the predicted queueing time of a task, or a failure."""
     code = blocking_reason(blackboard, task)
     if code is not None:
         return Err(not_run(code, 'no server of the shard can run it'))
--- a/packages/fennelfork/src/fennelfork/home/_messages.py
+++ b/packages/fennelfork/src/fennelfork/home/_messages.py
@@ -1,4 +1,4 @@
-"""What the scheduler of a home is asked, and what it orders."""
+"""Inputs and actions of the scheduler of a home daemon."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -16,17 +16,17 @@
 
 @attrs.frozen(kw_only=True)
 class Task:
-    """One sub-query or one execution that a home is asked to get done.
+    """Sub-query or execution that a home daemon schedules.
 
     Attributes:
-        job: name of it at this home, never used twice.
-        request_id: of the caller's request.
-        span: the keys that it needs.
-        snapshot: the index version that it needs; none if any will do.
-        deadline_ms: on the home's clock.
-        flow: tenant and class.
-        idempotent: whether running it twice does no harm.
-        weight: how many offered requests it stands for.
+        job: name of the job, unique at this home daemon.
+        request_id: id of the request of the caller.
+        span: keys that the task reads or writes.
+        snapshot: required index version; `None` for any version.
+        deadline_ms: deadline on the clock of the home daemon.
+        flow: tenant and traffic class.
+        idempotent: whether the task may run more than once.
+        weight: number of offered requests that the task represents.
     """
 
     job: str
@@ -41,12 +41,12 @@
 
 @attrs.frozen(kw_only=True)
 class ServerConfig:
-    """What the configuration says of one backend server.
+    """Configuration of one backend server.
 
     Attributes:
-        name: its name in the shard.
-        slots: how many requests it runs at once.
-        connections: most connections that this daemon opens to it.
+        name: name of the server, unique in the shard.
+        slots: number of requests that the server runs concurrently.
+        connections: maximum number of connections from this daemon.
     """
 
     name: str
@@ -56,7 +56,7 @@
 
 @attrs.frozen(kw_only=True)
 class ServerReport:
-    """What a server's health endpoint says; it may lag or lie."""
+    """State that a health endpoint reported; it may be outdated or wrong."""
 
     cold: bool
     draining: bool
@@ -65,14 +65,14 @@
 
 @attrs.frozen(kw_only=True)
 class HomeSettings:
-    """Policies of one shard at its home.
+    """Scheduling policies of one shard.
 
     Attributes:
-        hedge: when a second copy is sent.
-        hedge_ratio: extra runs a sub-query.
-        retry_ratio: retries a success.
-        shares: weights of tenants and classes.
-        queue_limit: most sub-queries that wait.
+        hedge: hedge policy.
+        hedge_ratio: number of hedges per sub-query.
+        retry_ratio: number of retries per successful attempt.
+        shares: weights of tenants and traffic classes.
+        queue_limit: maximum number of queued sub-queries.
     """
 
     hedge: HedgePolicy = attrs.field(factory=NoHedge)
@@ -84,13 +84,13 @@
 
 @attrs.frozen(kw_only=True)
 class Send:
-    """Send a copy of the work to a server.
+    """Send an attempt of a task to a backend server.
 
     Attributes:
-        attempt: number of the copy, never used twice by one scheduler.
-        task: what to send.
-        server: where to.
-        fresh_connection: open a new connection for it.
+        attempt: number of the attempt, unique in the scheduler.
+        task: task to send.
+        server: name of the backend server.
+        fresh_connection: whether a new connection is required.
     """
 
     attempt: int
@@ -101,13 +101,14 @@
 
 @attrs.frozen(kw_only=True)
 class Cancel:
-    """Ask a server to cancel a copy; its slot stays held until it says so.
+    """Cancel an attempt; the slot is held until the server confirms.
 
     Attributes:
-        attempt: number of the copy.
-        task: as it was sent.
-        server: where it was sent.
-        suspect: whether not a byte came back in the time of a hedge.
+        attempt: number of the attempt.
+        task: task that was sent.
+        server: name of the backend server.
+        suspect: whether the attempt was slow, so that the connection may be
+            unresponsive.
     """
 
     attempt: int
@@ -118,7 +119,7 @@
 
 @attrs.frozen(kw_only=True)
 class TaskStats:
-    """What was done for a piece of work."""
+    """Queueing time and extra attempts of a task."""
 
     queue_ms: float
     hedges: int
@@ -127,7 +128,7 @@
 
 @attrs.frozen(kw_only=True)
 class TaskAnswered:
-    """The reply of an attempt is the answer of the work."""
+    """Report that the response of an attempt is the result of the task."""
 
     task: Task
     attempt: int
@@ -137,7 +138,7 @@
 
 @attrs.frozen(kw_only=True)
 class TaskRefused:
-    """The work ends without an answer."""
+    """Report that the task ended with a failure."""
 
     task: Task
     failure: Failure
--- a/packages/fennelfork/src/fennelfork/home/_outcome.py
+++ b/packages/fennelfork/src/fennelfork/home/_outcome.py
@@ -1,4 +1,4 @@
-"""What follows from a reply, a failure or a confirmed cancel."""
+"""Handling of responses and failures of attempts."""
 
 from typing import Final
 
@@ -13,7 +13,7 @@
 from fennelfork.home._dispatch import eligible_servers
 from fennelfork.home._messages import Action, Cancel, TaskAnswered, TaskRefused
 
-# A server that confirms no cancel is not waited for any longer than this.
+# Time after which the slot of an unconfirmed cancellation is released.
 _CANCEL_TIMEOUT_MS: Final = 2000.0
 _FINAL_CODES: Final = frozenset(
     (
@@ -25,7 +25,7 @@
 
 
 def handle_reply(blackboard: ShardBlackboard, number: int) -> list[Action]:
-    """Take the checked reply of an attempt."""
+    """Handle the valid response of an attempt."""
     attempt = end_attempt(blackboard, number)
     if attempt is None:
         return []
@@ -49,7 +49,7 @@
 def handle_failure(
     blackboard: ShardBlackboard, number: int, failure: Failure
 ) -> list[Action]:
-    """Take the failure of an attempt: wait, try again, or give up."""
+    """Handle a failed attempt: wait for others, retry, or refuse the job."""
     attempt = end_attempt(blackboard, number)
     if attempt is None:
         return []
@@ -70,7 +70,7 @@
 
 
 def end_attempt(blackboard: ShardBlackboard, number: int) -> Attempt | None:
-    """Give back the slot of an attempt that has ended, once."""
+    """Release the slot of an attempt that has ended."""
     attempt = blackboard.attempts.pop(number, None)
     if attempt is not None:
         blackboard.slots.release(number)
@@ -86,12 +86,12 @@
 def cancel_attempts(
     blackboard: ShardBlackboard, job: Job, *, is_lost: bool
 ) -> list[Action]:
-    """Order the cancel of all copies of a job that has ended.
+    """Cancel all active attempts of a job that has ended.
 
     Args:
-        board: the state.
-        job: the job.
-        lost: whether its first copy lost against a hedge.
+        blackboard: state of the shard.
+        job: job that has ended.
+        is_lost: whether a hedge was answered before the first attempt.
     """
     return [
         _cancel(blackboard, number, is_lost=is_lost)
@@ -100,7 +100,7 @@
 
 
 def enqueue(blackboard: ShardBlackboard, job: Job) -> list[Action]:
-    """Let a job wait for a slot; a full queue puts some job out."""
+    """Queue a job; if the queue is full, refuse one of its jobs."""
     evicted = blackboard.queue.push(
         job.task.job,
         job.task.flow,
@@ -110,7 +110,7 @@
         return []
     full = not_run(
         FailureCode.QUEUE_FULL,
-        'the queue of the home is full',
+        'the queue of the home daemon is full',
         retry_after_ms=max(1, int(blackboard.admission.service_ms)),
     )
     return [refuse(blackboard, blackboard.jobs[evicted], full)]
@@ -119,7 +119,7 @@
 def refuse(
     blackboard: ShardBlackboard, job: Job, failure: Failure
 ) -> TaskRefused:
-    """End a job without an answer, with the verdict on all its copies."""
+    """End a job with a failure that has the verdict on all attempts."""
     blackboard.jobs.pop(job.task.job)
     blackboard.queue.remove(job.task.job)
     return TaskRefused(
@@ -160,8 +160,8 @@
     median_run_ms = blackboard.shard_latencies.median_ms
     if blackboard.clock.now_ms() + median_run_ms >= job.task.deadline_ms:
         return False
-    # A shed costs its server next to nothing, and that server is left alone
-    # for a while; with a second home about, sheds are part of the work.
+    # A shed attempt cost the server little, and the backoff of the server
+    # limits the number of retries.
     return (
         failure.code is FailureCode.SHED or blackboard.retry_budget.withdraw()
     )
--- a/packages/fennelfork/src/fennelfork/home/_queue.py
+++ b/packages/fennelfork/src/fennelfork/home/_queue.py
@@ -1,4 +1,4 @@
-"""Bounded queue of a home: fair between flows, by deadline within one."""
+"""Bounded queue with weighted fair queueing and deadline order."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -8,13 +8,13 @@
 
 from fennelfork.home._fair import Flow, Shares
 
-# How many jobs of one flow are looked at when the first finds no server.
+# Jobs of a flow that are considered if no server can run the first one.
 _LOOK_AHEAD_JOBS: Final = 8
 
 
 @attrs.frozen(kw_only=True, order=True)
 class Entry:
-    """A queued job; entries sort by deadline, then by arrival."""
+    """Queued job; entries are ordered by deadline, then by arrival."""
 
     deadline_ms: float
     arrival: int
@@ -24,7 +24,7 @@
 
 @attrs.define(kw_only=True)
 class _FlowQueue:
-    """The jobs of one flow, and the virtual time of its next turn."""
+    """Queued jobs of one flow, and the virtual time of its next turn."""
 
     weight: float
     turn: float
@@ -33,15 +33,15 @@
 
 @attrs.define(kw_only=True)
 class FairQueue:
-    """Jobs that wait for a slot.
+    """Jobs that wait for a slot, in weighted fair order.
 
-    Each flow's next turn is a virtual time that moves on by the inverse of
-    its weight when a job of it is taken; the earliest turn goes first. A flow
-    that was idle starts at the present turn, so idling saves nothing up.
+    The flow with the earliest turn is served first. A dequeued job advances
+    the turn of its flow by the inverse of the weight. An idle flow restarts
+    at the current virtual time and gains no credit.
 
     Attributes:
-        limit: most jobs that wait.
-        shares: the weights of flows.
+        limit: maximum number of queued jobs.
+        shares: weights of the flows.
     """
 
     limit: int
@@ -53,23 +53,23 @@
 
     @property
     def jobs(self) -> tuple[str, ...]:
-        """The jobs that wait, in order of arrival."""
+        """Names of the queued jobs, in order of arrival."""
         return tuple(self._entries)
 
     def __len__(self) -> int:
-        """Count the jobs that wait."""
+        """Return the number of queued jobs."""
         return len(self._entries)
 
     def __contains__(self, job: str) -> bool:
-        """Tell whether a job waits."""
+        """Return whether a job is queued."""
         return job in self._entries
 
     def push(self, job: str, flow: Flow, deadline_ms: float) -> str | None:
-        """Add a job; if the queue is full, some job has to go.
+        """Add a job; if the queue is full, evict one.
 
         Returns:
-            The job that was put out, maybe the new one: the latest of the
-            flow that is furthest above its share.
+            The evicted job, which may be the new one, or `None`. The evicted
+            job is the last one of the flow with the most jobs per weight.
         """
         self._arrivals += 1
         entry = Entry(
@@ -88,14 +88,14 @@
         return evicted.job
 
     def dequeue(self, job: str) -> None:
-        """Remove a job that got its turn, and move its flow's turn on."""
+        """Remove a job that gets a slot, and advance the turn of its flow."""
         flow_queue = self._flows[self._entries[job].flow]
         self._virtual_time = max(self._virtual_time, flow_queue.turn)
         flow_queue.turn += 1 / flow_queue.weight
         self.remove(job)
 
     def remove(self, job: str) -> None:
-        """Remove a job that waits; none if it does not."""
+        """Remove a job if it is queued."""
         entry = self._entries.pop(job, None)
         if entry is None:
             return
@@ -107,18 +107,18 @@
             self._flows.pop(entry.flow)
 
     def in_order(self) -> Iterator[str]:
-        """Give jobs in the order of their turns, a few of each flow."""
+        """Yield the first jobs of each flow, in the order of the turns."""
         turns = sorted(self._flows.values(), key=_turn)
         for flow_queue in turns:
             for entry in flow_queue.entries[:_LOOK_AHEAD_JOBS]:
                 yield entry.job
 
     def estimate_ahead(self, flow: Flow, deadline_ms: float) -> float:
-        """Estimate how many jobs get a slot before a new one would.
+        """Estimate how many queued jobs are served before a new job.
 
         Args:
-            flow: of the new job.
-            deadline_ms: of the new job.
+            flow: flow of the new job.
+            deadline_ms: deadline of the new job.
         """
         waiting = [found for found in self._flows.values() if found.entries]
         own = self._flows.get(flow)
@@ -141,9 +141,9 @@
         return float(before + others)
 
     def _reset_flows(self) -> None:
-        """Forget all flows when nothing waits: nobody is behind another.
+        """Remove all flows when the queue is empty.
 
-        Callers choose the names of tenants, so they must not add up.
+        Callers choose tenant names, so idle flows must not accumulate.
         """
         self._virtual_time = max(found.turn for found in self._flows.values())
         self._flows.clear()
--- a/packages/fennelfork/src/fennelfork/home/_route.py
+++ b/packages/fennelfork/src/fennelfork/home/_route.py
@@ -1,4 +1,4 @@
-"""Which home each shard of a query is asked through."""
+"""Assignment of the shards of a query to home daemons."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 @attrs.frozen(kw_only=True)
 class HomeGroup:
-    """Shards that are asked through one home."""
+    """Shards that are queried through one home daemon."""
 
     home: Member
     shards: frozenset[str]
@@ -25,18 +25,18 @@
     shards: Iterable[str],
     avoid: frozenset[str],
 ) -> tuple[HomeGroup, ...]:
-    """Group shards by their home.
+    """Group shards by home daemon.
 
     Args:
-        board: configuration and members.
-        front: name of the front, which must be configured.
-        shards: names of the shards to ask.
-        avoid: members that lately gave no reply; used only where no other
-            member is left.
+        board: blackboard with the configuration and the members.
+        front: name of a configured front.
+        shards: names of the shards to query.
+        avoid: names of members that recently sent no reply, which are used
+            only if no other member is available.
 
     Returns:
-        The groups; shards that are not configured are left out. Unless the
-        daemon routes by home, it is itself the home of all.
+        The groups, without shards that are not configured. Unless the daemon
+        routes by home, the local daemon is the home of all shards.
     """
     if board.routing is not RoutingMode.HOME:
         return _own_group(board, front, shards, avoid)
@@ -54,12 +54,12 @@
 
 
 def homes_of(groups: Iterable[HomeGroup]) -> frozenset[str]:
-    """Give the names of the homes of some groups."""
+    """Return the names of the home daemons of groups."""
     return frozenset(group.home.name for group in groups)
 
 
 def data_centres_of(shard: Shard) -> tuple[str, ...]:
-    """List the data centres of a shard's servers, most servers first."""
+    """Return the data centres of a shard, by descending number of servers."""
     counts = Counter(server.data_centre for server in shard.servers.values())
     by_name = sorted(counts.items())
     by_name.sort(key=_server_count, reverse=True)
@@ -74,7 +74,7 @@
 ) -> tuple[HomeGroup, ...]:
     known = board.document.fronts[front].shards
     own = known.keys() & set(shards)
-    # There is no other home to ask when this one took too long.
+    # The local daemon is the only home, so there is no alternative.
     if not own or board.local.name in avoid:
         return ()
     return (HomeGroup(home=board.local, shards=frozenset(own)),)
--- a/packages/fennelfork/src/fennelfork/home/_scheduler.py
+++ b/packages/fennelfork/src/fennelfork/home/_scheduler.py
@@ -1,8 +1,7 @@
-"""The scheduler of one shard at its home, driven by events.
+"""Event-driven scheduler of one shard at its home daemon.
 
-Each event returns the actions that the adapter carries out. The adapter
-reports the end of each attempt, and calls `tick` when `next_tick_ms` has
-come.
+Each event returns actions for the adapter to carry out. The adapter reports
+the end of each attempt, and calls `tick` at `next_tick_ms`.
 """
 
 import random
@@ -29,10 +28,10 @@
 
 @attrs.frozen(kw_only=True)
 class HomeScheduler:
-    """Hands out the slots of one shard's servers.
+    """Scheduler of the server slots of one shard.
 
     Attributes:
-        servers: takes facts about the servers.
+        servers: controller of the configuration and reports of servers.
     """
 
     servers: HomeServers
@@ -40,34 +39,34 @@
 
     @property
     def next_tick_ms(self) -> float | None:
-        """When `tick` has something to do."""
+        """Time at which `tick` must be called, or `None`."""
         return self._blackboard.next_timer_ms
 
     @property
     def queued(self) -> int:
-        """How many pieces of work wait for a slot."""
+        """Number of queued tasks."""
         return len(self._blackboard.queue)
 
     @property
     def busy(self) -> int:
-        """How many slots are held."""
+        """Number of slots in use."""
         return self._blackboard.slots.total
 
     @property
     def server_statuses(self) -> tuple[ServerStatus, ...]:
-        """The servers, as operators are shown them."""
+        """Status of each server, for operators."""
         return server_statuses(self._blackboard)
 
     def level(self, flow: Flow) -> float:
-        """Tell which part of a flow's requests is taken at present."""
+        """Return the share of the requests of a flow that is admitted."""
         now_ms = self._blackboard.clock.now_ms()
         return self._blackboard.admission.level(flow, now_ms)
 
     def submit(self, task: Task) -> list[Action]:
-        """Take in a piece of work, or refuse it at once.
+        """Queue a task, or refuse it.
 
         Raises:
-            ValueError: if the job's name is in use.
+            ValueError: if a job with the same name exists.
         """
         return [
             *admit_task(self._blackboard, task),
@@ -75,36 +74,39 @@
         ]
 
     def on_reply(self, attempt: int) -> list[Action]:
-        """Take the whole and checked reply of an attempt."""
+        """Handle the complete and valid response of an attempt."""
         return [
             *handle_reply(self._blackboard, attempt),
             *dispatch(self._blackboard),
         ]
 
     def on_failure(self, attempt: int, failure: Failure) -> list[Action]:
-        """Take the failure of an attempt, a reply that lies among them."""
+        """Handle the failure of an attempt, such as an invalid response."""
         return [
             *handle_failure(self._blackboard, attempt, failure),
             *dispatch(self._blackboard),
         ]
 
     def on_cancelled(self, attempt: int) -> list[Action]:
-        """Take a server's word that a cancelled attempt has ended."""
+        """Handle the confirmation that a cancelled attempt has ended."""
         end_attempt(self._blackboard, attempt)
         return dispatch(self._blackboard)
 
     def withdraw(self, job: str) -> list[Action]:
-        """End work that nobody waits for any longer."""
+        """Cancel a job whose requester has gone."""
         found = self._blackboard.jobs.get(job)
         if found is None:
             return []
         cancels = cancel_attempts(self._blackboard, found, is_lost=False)
-        gone = not_run(FailureCode.CANCELLED, 'nobody waits for it')
-        refused = refuse(self._blackboard, found, gone)
+        cancelled = not_run(
+            FailureCode.CANCELLED,
+            'the requester no longer waits for the result',
+        )
+        refused = refuse(self._blackboard, found, cancelled)
         return [refused, *cancels, *dispatch(self._blackboard)]
 
     def tick(self) -> list[Action]:
-        """Do what time calls for."""
+        """Handle all timers that are due."""
         actions: list[Action] = []
         timer = self._blackboard.pop_due_timer()
         while timer is not None:
@@ -114,7 +116,7 @@
 
 
 def home_scheduler(clock: Clock, rng: random.Random) -> HomeScheduler:
-    """Build the scheduler of a shard that has no servers yet."""
+    """Create the scheduler of a shard without servers."""
     state = shard_blackboard(HomeSettings(), clock, rng)
     return HomeScheduler(
         blackboard=state, servers=HomeServers(blackboard=state)
--- a/packages/fennelfork/src/fennelfork/home/_servers.py
+++ b/packages/fennelfork/src/fennelfork/home/_servers.py
@@ -1,4 +1,4 @@
-"""What a home knows of a shard's servers, and from whom."""
+"""Configuration and reported state of the servers of a shard."""
 
 from collections.abc import Iterable
 
@@ -18,13 +18,13 @@
 
 @attrs.frozen(kw_only=True)
 class HomeServers:
-    """Writes facts about servers to the blackboard of their shard."""
+    """Controller that updates the servers on the blackboard of a shard."""
 
     _blackboard: ShardBlackboard
 
     @property
     def has_snapshots(self) -> bool:
-        """Whether any server that stays said what it holds."""
+        """Whether any available server reported snapshots."""
         return any(
             server.snapshots
             for server in self._blackboard.servers.values()
@@ -32,7 +32,7 @@
         )
 
     def view(self, shard: str) -> ShardView:
-        """Tell what the servers that stay hold."""
+        """Return the snapshots that the available servers hold."""
         held: dict[int, list[SnapshotView]] = {}
         for server in self._blackboard.servers.values():
             if server.accepts_work:
@@ -47,7 +47,7 @@
         )
 
     def connections(self, server: str) -> ConnectionLedger | None:
-        """Give the connections to a server; none if it is unknown."""
+        """Return the connections to a server, or `None` if unknown."""
         found = self._blackboard.servers.get(server)
         return found.connections if found else None
 
@@ -56,7 +56,7 @@
         settings: HomeSettings,
         servers: Iterable[ServerConfig],
     ) -> list[Action]:
-        """Take the settings and servers of a configuration version."""
+        """Apply the settings and servers of a configuration version."""
         state = self._blackboard
         state.settings = settings
         state.queue.limit = settings.queue_limit
@@ -65,14 +65,14 @@
         state.hedge_budget.ratio = settings.hedge_ratio
         state.retry_budget.ratio = settings.retry_ratio
         named = {config.name: config for config in servers}
-        for gone in state.servers.keys() - named.keys():
-            state.servers.pop(gone)
+        for removed in state.servers.keys() - named.keys():
+            state.servers.pop(removed)
         for name, config in named.items():
             _apply_config(state.servers, name, config)
         return dispatch(state)
 
     def on_report(self, server: str, report: ServerReport) -> list[Action]:
-        """Take what a server's health endpoint says."""
+        """Apply a health report of a server."""
         found = self._blackboard.servers.get(server)
         if found is None:
             return []
@@ -80,7 +80,7 @@
         return dispatch(self._blackboard)
 
     def on_leaving(self, server: str) -> None:
-        """Take another source's word that a server leaves."""
+        """Record that another source reported a server as leaving."""
         found = self._blackboard.servers.get(server)
         if found is not None:
             found.leaving = True
--- a/packages/fennelfork/src/fennelfork/home/_slots.py
+++ b/packages/fennelfork/src/fennelfork/home/_slots.py
@@ -1,14 +1,14 @@
-"""Exact count of the slots that the home has handed out."""
+"""Accounting of the server slots that a home daemon uses."""
 
 import attrs
 
 
 @attrs.define(kw_only=True)
 class SlotTable:
-    """Which attempt holds a slot of which server.
+    """Slots that attempts hold on servers.
 
-    A slot stays held until the server is known to be done with it: a reply,
-    a refusal or a confirmed cancel.
+    A slot is held until the server responds, refuses the attempt or confirms
+    the cancellation.
     """
 
     _held: dict[str, set[int]] = attrs.field(factory=dict)
@@ -16,18 +16,18 @@
 
     @property
     def total(self) -> int:
-        """How many slots are held on all servers."""
+        """Number of slots in use on all servers."""
         return len(self._server_of)
 
     def busy(self, server: str) -> int:
-        """Tell how many slots of a server are held."""
+        """Return how many slots of a server are in use."""
         return len(self._held.get(server, ()))
 
     def acquire(self, server: str, attempt: int) -> None:
-        """Hand out a slot.
+        """Assign a slot of a server to an attempt.
 
         Raises:
-            ValueError: if the attempt holds one already.
+            ValueError: if the attempt already holds a slot.
         """
         if attempt in self._server_of:
             raise ValueError(f'attempt {attempt} already holds a slot')
@@ -35,7 +35,7 @@
         self._held.setdefault(server, set()).add(attempt)
 
     def release(self, attempt: int) -> bool:
-        """Take a slot back; tell whether it was held."""
+        """Release the slot of an attempt, and return whether it held one."""
         server = self._server_of.pop(attempt, None)
         if server is None:
             return False
--- a/packages/fennelfork/src/fennelfork/home/_status.py
+++ b/packages/fennelfork/src/fennelfork/home/_status.py
@@ -1,4 +1,4 @@
-"""A backend server as operators are shown it by its home."""
+"""Status of backend servers, for operators."""
 
 import enum
 
@@ -9,10 +9,10 @@
 
 @enum.unique
 class ServerCondition(enum.Enum):
-    """What a home does with a server, and why.
+    """Condition of a server at its home daemon.
 
-    EJECTED servers get no work for a while, RETURNING and COLD ones a few
-    requests at a time, LEAVING and DRAINING ones nothing new.
+    EJECTED servers get no requests, RETURNING and COLD servers are in slow
+    start, LEAVING and DRAINING servers get no new requests.
     """
 
     SERVING = 'serving'
@@ -25,13 +25,13 @@
 
 @attrs.frozen(kw_only=True)
 class ServerStatus:
-    """One server at one moment.
+    """Status of one server.
 
     Attributes:
-        name: as configured.
-        condition: whether it gets work.
-        busy: slots in use.
-        snapshots: index versions that it holds, by its own word.
+        name: configured name of the server.
+        condition: condition of the server.
+        busy: number of slots in use.
+        snapshots: index versions that the server reported.
     """
 
     name: str
@@ -41,10 +41,10 @@
 
 
 def server_statuses(blackboard: ShardBlackboard) -> tuple[ServerStatus, ...]:
-    """Show the servers of a shard, by name.
+    """Return the status of the servers of a shard, by name.
 
     Args:
-        board: the state of the shard at its home.
+        board: state of the shard.
     """
     return tuple(
         ServerStatus(
@@ -67,6 +67,6 @@
         (ejection.in_slow_start, ServerCondition.RETURNING),
     )
     return next(
-        (condition for holds, condition in conditions if holds),
+        (condition for applies, condition in conditions if applies),
         ServerCondition.SERVING,
     )
--- a/packages/fennelfork/src/fennelfork/servers/__init__.py
+++ b/packages/fennelfork/src/fennelfork/servers/__init__.py
@@ -1,6 +1,6 @@
-"""Choice and judgement of backend servers: rank, hedges, budgets, ejection.
+"""Selection, hedging, retry budgets and ejection of backend servers.
 
-The public names stand in `__init__.pyi`; each is loaded when first used.
+The public names are declared in `__init__.pyi` and imported on first use.
 """
 
 import lazy_loader
--- a/packages/fennelfork/src/fennelfork/servers/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/servers/__init__.pyi
@@ -1,4 +1,4 @@
-"""Choice and judgement of backend servers: rank, hedges, budgets, ejection."""
+"""Selection, hedging, retry budgets and ejection of backend servers."""
 
 from ._budget import Budget as Budget
 from ._budget import budget as budget
--- a/packages/fennelfork/src/fennelfork/servers/_budget.py
+++ b/packages/fennelfork/src/fennelfork/servers/_budget.py
@@ -1,21 +1,21 @@
-"""A budget of extra work that only ordinary work refills."""
+"""Token bucket for extra attempts that is refilled by regular work."""
 
 from typing import Final
 
 import attrs
 
 _WHOLE_TOKEN: Final = 1.0
-# Sums of fractions such as twenty times 0.05 fall short by rounding.
+# Tolerance for the rounding error of repeated deposits.
 _ROUNDING: Final = 1e-9
 
 
 @attrs.define(kw_only=True)
 class Budget:
-    """Tokens for extra runs; time alone brings none back.
+    """Tokens that pay for extra attempts; elapsed time adds no tokens.
 
     Attributes:
-        ratio: tokens that one ordinary run brings.
-        limit: the most tokens that can be saved.
+        ratio: number of tokens added by one deposit.
+        limit: maximum number of tokens in the budget.
     """
 
     ratio: float
@@ -24,15 +24,15 @@
 
     @property
     def tokens(self) -> float:
-        """How many extra runs could be paid for."""
+        """Number of tokens in the budget."""
         return self._tokens
 
     def deposit(self) -> None:
-        """Note one ordinary run."""
+        """Add `ratio` tokens, up to `limit`."""
         self._tokens = min(self.limit, self._tokens + self.ratio)
 
     def withdraw(self) -> bool:
-        """Pay for one extra run, if there is a whole token."""
+        """Remove one token, and return whether one was available."""
         if self._tokens + _ROUNDING < _WHOLE_TOKEN:
             return False
         self._tokens -= _WHOLE_TOKEN
@@ -40,16 +40,19 @@
 
 
 def budget(ratio: float, limit: float, initial: float = 0) -> Budget:
-    """Build a budget.
+    """Create a budget.
 
     Args:
-        ratio: tokens that one ordinary run brings, at least 0.
-        limit: the most tokens that can be saved.
-        initial: tokens to begin with.
+        ratio: number of tokens added by one deposit, at least 0.
+        limit: maximum number of tokens in the budget.
+        initial: initial number of tokens.
 
     Raises:
         ValueError: if `ratio` is negative or `initial` is above `limit`.
     """
     if ratio < 0 or initial > limit:
-        raise ValueError(f'not a budget: {ratio} a run, {initial} of {limit}')
+        raise ValueError(
+            f'invalid budget: ratio {ratio} must not be negative, and initial '
+            f'{initial} must not exceed limit {limit}',
+        )
     return Budget(ratio=ratio, limit=limit, tokens=initial)
--- a/packages/fennelfork/src/fennelfork/servers/_connection.py
+++ b/packages/fennelfork/src/fennelfork/servers/_connection.py
@@ -1,28 +1,28 @@
-"""Connections to one backend server: limit, reuse, and silence."""
+"""Bookkeeping of the connections to one backend server."""
 
 from typing import Final
 
 import attrs
 
-# An idle connection younger than this is used as it is.
+# A connection that was idle for longer is probed before it is reused.
 _PROBE_IDLE_MS: Final = 1000.0
 _MAX_IDLE_MS: Final = 30_000.0
-# A server that turned a connection away holds as many as it may, perhaps of
-# daemons that lost power: it forgets those within seconds. Until it is asked
-# for a further one again, some five calls go by.
+# Delay before a new connection is opened to a server that refused one. The
+# server may be at its connection limit because of daemons that lost power.
 TURNED_AWAY_MS: Final = 250.0
 
 
 @attrs.frozen(kw_only=True)
 class ConnectionChoice:
-    """What the adapter does for one request.
+    """Connection that is selected for one request.
 
     Attributes:
         connection: number of the connection.
-        opened: whether it is to be opened now.
-        probe: whether it idled too long to be trusted without a probe.
-        close: idle connections to close first, to stay below the limit.
-        idle_ms: for how long it was not used.
+        opened: whether the adapter must open the connection.
+        probe: whether the connection must be probed before use because it was
+            idle for long.
+        close: idle connections to close first, to respect the limit.
+        idle_ms: time for which the connection was idle.
     """
 
     connection: int
@@ -34,10 +34,11 @@
 
 @attrs.define(kw_only=True)
 class ConnectionLedger:
-    """Which connections to a server are open, and which of them idle.
+    """Open and idle connections to one backend server.
 
     Attributes:
-        limit: most open connections of this daemon to the server.
+        limit: maximum number of open connections from this daemon to the
+            server.
     """
 
     limit: int
@@ -49,23 +50,23 @@
 
     @property
     def open(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._opened_ms)
 
     @property
     def has_capacity(self) -> bool:
-        """Whether one more request finds a connection."""
+        """Whether a connection is available for one more request."""
         return bool(self._idle_since_ms) or self.open < self.limit
 
     def use(self, now_ms: float, *, fresh: bool) -> ConnectionChoice | None:
-        """Choose the connection of one request.
+        """Select the connection for one request.
 
         Args:
-            now_ms: the present time.
-            fresh: open a new one, whatever idles.
+            now_ms: current time.
+            fresh: whether a new connection is required.
 
         Returns:
-            The choice, or none if all are in use at the limit.
+            The selected connection, or `None` if no connection is available.
         """
         if self._idle_since_ms and not fresh:
             return self._reuse(now_ms)
@@ -73,7 +74,7 @@
         if self.open >= self.limit or now_ms < self._refused_until_ms:
             if not self._idle_since_ms:
                 return None
-            close = (self._forget(next(iter(self._idle_since_ms))),)
+            close = (self._remove(next(iter(self._idle_since_ms))),)
         self._last_connection += 1
         self._opened_ms[self._last_connection] = now_ms
         return ConnectionChoice(
@@ -81,19 +82,20 @@
         )
 
     def turned_away(self, now_ms: float) -> None:
-        """Note that the server takes no further connection at present."""
+        """Record that the server refused a new connection."""
         self._refused_until_ms = now_ms + TURNED_AWAY_MS
 
     def done(self, connection: int, now_ms: float, *, usable: bool) -> bool:
-        """Take a connection back after a request.
+        """Return a connection to the pool after a request.
 
         Args:
-            connection: its number.
-            now_ms: the present time.
-            usable: false if a reply may still arrive on it, or it broke.
+            connection: number of the connection.
+            now_ms: current time.
+            usable: whether the connection may be reused; false if it failed
+                or a response may still arrive on it.
 
         Returns:
-            Whether to keep it open.
+            Whether to keep the connection open.
         """
         has_enough_samples = connection in self._opened_ms
         if (
@@ -103,17 +105,19 @@
         ):
             self._idle_since_ms[connection] = now_ms
             return True
-        self._forget(connection)
+        self._remove(connection)
         return False
 
     def record_unresponsive(self, connection: int) -> tuple[int, ...]:
-        """Note that a connection carries nothing while new ones work.
+        """Invalidate an unresponsive connection and all older connections.
 
-        What lost track of it lost its peers of that age or older too.
+        The cause, such as a middlebox that dropped its state, affects every
+        connection that is at least as old.
 
         Returns:
-            The connections to close now: this one and the idle ones of that
-            age. Those in use are closed when their request ends.
+            The connections to close now: the unresponsive one and idle ones
+            that are at least as old. Connections in use are closed when their
+            request ends.
         """
         opened_ms = self._opened_ms.get(connection)
         if opened_ms is None:
@@ -125,25 +129,25 @@
         }
         close = {connection} | (peers & self._idle_since_ms.keys())
         self._invalidated |= peers - close
-        return tuple(self._forget(number) for number in sorted(close))
+        return tuple(self._remove(number) for number in sorted(close))
 
     def invalidate_all(self) -> tuple[int, ...]:
-        """Have every connection closed: the idle ones, given here, now."""
+        """Invalidate all connections, and return the idle ones to close now."""
         idle = tuple(self._idle_since_ms)
         self._invalidated |= self._opened_ms.keys() - self._idle_since_ms.keys()
-        return tuple(self._forget(number) for number in idle)
+        return tuple(self._remove(number) for number in idle)
 
     def evict_idle(self, now_ms: float) -> tuple[int, ...]:
-        """Give the connections that idled too long, to be closed."""
-        old = [
+        """Remove and return the connections that were idle for too long."""
+        expired = [
             number
             for number, since_ms in self._idle_since_ms.items()
             if now_ms - since_ms >= _MAX_IDLE_MS
         ]
-        return tuple(self._forget(number) for number in old)
+        return tuple(self._remove(number) for number in expired)
 
     def _reuse(self, now_ms: float) -> ConnectionChoice:
-        """Take the one that idled least, so that the rest can retire."""
+        """Select the most recently used connection, so that others expire."""
         number, since_ms = self._idle_since_ms.popitem()
         idle_ms = now_ms - since_ms
         return ConnectionChoice(
@@ -153,7 +157,7 @@
             idle_ms=idle_ms,
         )
 
-    def _forget(self, connection: int) -> int:
+    def _remove(self, connection: int) -> int:
         self._opened_ms.pop(connection, None)
         self._idle_since_ms.pop(connection, None)
         self._invalidated.discard(connection)
--- a/packages/fennelfork/src/fennelfork/servers/_ejection.py
+++ b/packages/fennelfork/src/fennelfork/servers/_ejection.py
@@ -1,11 +1,10 @@
-"""Own judgement of a backend server, whatever its health endpoint says."""
+"""Ejection of failing backend servers, based on the outcomes of attempts."""
 
 import math
 from typing import Final
 
 import attrs
 
-# With a hedge at the 95th percentile, a good server loses one in 25 by chance.
 _MAX_CONSECUTIVE_FAILURES: Final = 5
 _INITIAL_EJECTION_MS: Final = 500.0
 _MAX_EJECTION_MS: Final = 30_000.0
@@ -14,11 +13,11 @@
 
 @attrs.define(kw_only=True)
 class Standing:
-    """How far a server is trusted.
+    """Ejection state of one backend server.
 
     Attributes:
-        ejected_until_ms: no work before this time.
-        ramp: most slots in use while the server returns or warms up.
+        ejected_until_ms: end of the ejection.
+        ramp: maximum number of slots in use during slow start.
     """
 
     ejected_until_ms: float = -math.inf
@@ -28,12 +27,12 @@
 
     @property
     def in_slow_start(self) -> bool:
-        """Whether the server still has to prove itself."""
+        """Whether the number of usable slots is limited by slow start."""
         return self.ramp != math.inf
 
     @property
     def doubted(self) -> bool:
-        """Whether one more bad outcome calls for ejection."""
+        """Whether the consecutive failures have reached the ejection threshold."""
         limit = (
             1
             if self._ejections and self.in_slow_start
@@ -42,17 +41,17 @@
         return self._consecutive_failures >= limit
 
     def ejected(self, now_ms: float) -> bool:
-        """Tell whether the server gets no work now."""
+        """Return whether the server is ejected."""
         return now_ms < self.ejected_until_ms
 
     def usable(self, slots: int, now_ms: float) -> int:
-        """Tell how many of a server's slots may be in use now."""
+        """Return how many of the slots of the server may be used."""
         if self.ejected(now_ms):
             return 0
         return int(min(slots, self.ramp))
 
     def note_good(self, slots: int) -> None:
-        """Note a good outcome: the ramp doubles until all slots are open."""
+        """Record a success; during slow start it doubles the ramp."""
         self._consecutive_failures = 0
         if not self.in_slow_start:
             return
@@ -62,11 +61,11 @@
             self._ejections = 0
 
     def note_bad(self) -> None:
-        """Note a failure, a lost hedge or a reply that lies."""
+        """Record a failure, a lost hedge or an invalid response."""
         self._consecutive_failures += 1
 
     def eject(self, now_ms: float) -> None:
-        """Give the server no work for a while, longer each time in a row."""
+        """Eject the server, for twice as long after each consecutive ejection."""
         length_ms = _INITIAL_EJECTION_MS * _DOUBLE**self._ejections
         self.ejected_until_ms = now_ms + min(length_ms, _MAX_EJECTION_MS)
         self._ejections += 1
@@ -74,18 +73,18 @@
         self.ramp = 1
 
     def begin_slow_start(self) -> None:
-        """Open the slots of a cold server one step at a time."""
+        """Limit the server to one slot and start the ramp."""
         self.ramp = min(self.ramp, 1)
 
 
 def may_eject(ejected: int, servers: int) -> bool:
-    """Tell whether one more server of a shard may be ejected as slow.
+    """Return whether one more server of a shard may be ejected for latency.
 
-    Judged by latency, most servers of a shard cannot be outliers; ejecting
-    them would put their load on the rest.
+    At most half of the servers of a shard are ejected, so that the load on
+    the remaining servers stays bounded.
 
     Args:
-        ejected: how many servers of the shard are ejected now.
-        servers: how many it has.
+        ejected: number of ejected servers of the shard.
+        servers: number of all servers of the shard.
     """
     return (ejected + 1) * _DOUBLE <= servers
--- a/packages/fennelfork/src/fennelfork/servers/_hedge.py
+++ b/packages/fennelfork/src/fennelfork/servers/_hedge.py
@@ -1,4 +1,4 @@
-"""When a second copy of a sub-query is worth sending."""
+"""Hedge policies and the latency histograms that they use."""
 
 import functools
 from typing import Final
@@ -11,17 +11,17 @@
 _DIGITS: Final = 2
 _PERCENT: Final = 100
 _HALF: Final = 0.5
-# A quantile is read again after this many new samples.
+# Number of new samples after which cached quantiles are recomputed.
 _REFRESH_SAMPLES: Final = 128
-# Samples of one window; the answer comes from the last one or two windows.
+# Number of samples of one window.
 _WINDOW_SAMPLES: Final = 2000
-# Fewer samples say too little about a tail.
+# Minimum number of samples for a quantile.
 _MIN_SAMPLES: Final = 50
 
 
 @attrs.define(kw_only=True)
 class Latencies:
-    """Recent latencies of one shard, in two windows that take turns."""
+    """Recent latencies of one shard, in two rotating windows."""
 
     _recent: HdrHistogram
     _older: HdrHistogram
@@ -31,16 +31,16 @@
 
     @property
     def has_enough_samples(self) -> bool:
-        """Whether there are enough samples to read a quantile."""
+        """Whether there are enough samples to compute a quantile."""
         return self._count >= _MIN_SAMPLES
 
     @property
     def median_ms(self) -> float:
-        """The median, or zero while too little is known."""
+        """Median latency, or zero while there are too few samples."""
         return self.quantile_ms(_HALF) if self.has_enough_samples else 0
 
     def record(self, latency_ms: float) -> None:
-        """Add one sample."""
+        """Record one latency sample."""
         self._recent.record_value(
             min(_MAX_LATENCY_US, max(1, int(latency_ms * _US_PER_MS))),
         )
@@ -52,10 +52,10 @@
             self._rotate_windows()
 
     def quantile_ms(self, quantile: float) -> float:
-        """Read a quantile, at most a few samples old.
+        """Return a quantile of the latency, which may be cached.
 
         Args:
-            quantile: between 0 and 1.
+            quantile: number between 0 and 1.
         """
         found = self._cached_quantiles.get(quantile)
         if found is None:
@@ -70,7 +70,7 @@
             for window in (self._recent, self._older)
             if window.total_count
         )
-        # The fuller window speaks: a young one knows no tail.
+        # The window with more samples estimates the tail better.
         _total, found_us = max(counted, default=(0, 0))
         return float(found_us) / _US_PER_MS
 
@@ -85,23 +85,23 @@
 
 @attrs.frozen(kw_only=True)
 class NoHedge:
-    """Never send a second copy."""
+    """Policy that sends no hedges."""
 
 
 @attrs.frozen(kw_only=True)
 class FixedHedge:
-    """Send a second copy after a fixed delay."""
+    """Policy that sends a hedge after a fixed delay."""
 
     delay_ms: float
 
 
 @attrs.frozen(kw_only=True)
 class QuantileHedge:
-    """Send a second copy after a quantile of the shard's own latency.
+    """Policy that sends a hedge after a latency quantile of the shard.
 
     Attributes:
-        quantile: between 0 and 1.
-        delay_ms: the delay until enough latencies are known.
+        quantile: number between 0 and 1.
+        delay_ms: delay while there are too few latency samples.
     """
 
     quantile: float
@@ -112,30 +112,30 @@
 
 
 def latencies() -> Latencies:
-    """Build an empty record of latencies."""
-    return Latencies(recent=_window(), older=_window())
+    """Create an empty latency record."""
+    return Latencies(recent=_create_window(), older=_create_window())
 
 
 @functools.singledispatch
 def hedge_delay_ms(policy: object, recent: Latencies) -> float | None:
-    """Tell how long to wait for a reply before a second copy is sent.
+    """Return how long to wait for a response before a hedge is sent.
 
     Args:
-        policy: the front's policy.
+        policy: hedge policy of the front.
         recent: recent latencies of the shard.
 
     Returns:
-        The delay, or none if no copy is ever sent.
+        The delay, or `None` if no hedge is sent.
 
     Raises:
-        TypeError: for a policy of another type.
+        TypeError: if `policy` is not a hedge policy.
     """
-    raise TypeError(f'not a hedge policy: {policy!r}')
+    raise TypeError(f'unsupported hedge policy: {policy!r}')
 
 
 @hedge_delay_ms.register
 def _no_delay(policy: NoHedge, recent: Latencies) -> None:
-    """Never."""
+    """Return no delay, since `NoHedge` sends no hedges."""
 
 
 @hedge_delay_ms.register
@@ -150,5 +150,5 @@
     return policy.delay_ms
 
 
-def _window() -> HdrHistogram:
+def _create_window() -> HdrHistogram:
     return HdrHistogram(1, _MAX_LATENCY_US, _DIGITS)
--- a/packages/fennelfork/src/fennelfork/servers/_rank.py
+++ b/packages/fennelfork/src/fennelfork/servers/_rank.py
@@ -1,4 +1,4 @@
-"""Choice of a replica: filter, then rank."""
+"""Ranking of the backend servers that can run a request."""
 
 import random
 from collections.abc import Iterable
@@ -6,26 +6,26 @@
 
 import attrs
 
-# A sample counts for at most this many times the mean, so that one
-# straggler does not turn the work away from a good server.
+# Samples are clipped at this multiple of the mean, so that a single outlier
+# has little effect.
 _MAX_SAMPLE_RATIO: Final = 4
 _GAIN: Final = 0.1
 
 
 @attrs.define(kw_only=True)
 class ObservedLatency:
-    """Moving mean of one server's latency as this daemon saw it.
+    """Exponential moving average of the latency of one server.
 
     Attributes:
-        mean_ms: zero while nothing is known.
-        gain: weight of each new sample, from 0 to 1.
+        mean_ms: average latency; zero before the first sample.
+        gain: weight of a new sample, from 0 to 1.
     """
 
     mean_ms: float = 0
     gain: float = _GAIN
 
     def record(self, latency_ms: float) -> None:
-        """Add one sample."""
+        """Record one latency sample."""
         if self.mean_ms == 0:
             self.mean_ms = latency_ms
             return
@@ -35,16 +35,16 @@
 
 @attrs.frozen(kw_only=True)
 class Candidate:
-    """A server that passed the filter, with what the ranking looks at.
+    """Eligible server with the values that determine the rank.
 
     Attributes:
-        server: its name.
-        latency_ms: own observed mean latency, zero while unknown.
-        outstanding: slots held on it.
-        slots: slots it has.
-        warming: whether it is cold or returns from ejection.
-        tried: whether the sub-query was already sent to it.
-        distance_ms: by how much it has to be faster than one nearby.
+        server: name of the server.
+        latency_ms: observed mean latency; zero while unknown.
+        outstanding: number of slots in use.
+        slots: number of slots of the server.
+        warming: whether the server is in slow start.
+        tried: whether the request was already sent to the server.
+        distance_ms: network distance that is added to the latency.
     """
 
     server: str
@@ -60,11 +60,11 @@
     candidates: Iterable[Candidate],
     rng: random.Random,
 ) -> Candidate | None:
-    """Choose among the servers that passed the filter.
+    """Return the candidate with the best rank, or `None`.
 
     Args:
-        candidates: the servers with a free slot that can run the work.
-        rng: breaks ties, so that idle servers take turns.
+        candidates: servers with a free slot that can run the request.
+        rng: random number generator that breaks ties.
     """
     return min(
         candidates,
@@ -74,9 +74,9 @@
 
 
 def _rank_key(candidate: Candidate) -> tuple[bool, float, float]:
-    """Prefer one not yet tried, then the earliest expected finish.
+    """Return the sort key: untried first, then by expected latency.
 
-    A warming server is ranked as if one more sub-query waited there.
+    A server in slow start is ranked as if one more slot was in use.
     """
     load = (candidate.outstanding + candidate.warming) / candidate.slots
     expected_ms = candidate.latency_ms * (1 + load) + candidate.distance_ms
--- a/packages/fennelfork/tests/core_builders_answers.py
+++ b/packages/fennelfork/tests/core_builders_answers.py
@@ -21,17 +21,17 @@
 
 
 def shard(name: str, *snapshots: SnapshotView) -> ShardView:
-    """Build what one shard holds."""
+    """Build the snapshots of one shard."""
     return ShardView(shard=name, snapshots=snapshots)
 
 
 def records(keys: Iterable[int]) -> tuple[Record, ...]:
-    """Build a record a key."""
+    """Build one record per key."""
     return tuple(Record(key=key, content={'key': key}) for key in keys)
 
 
 def reply_to(expected: ExpectedReply, keys: Iterable[int]) -> Reply:
-    """Build the true reply to a sub-query."""
+    """Build a valid reply to a sub-query."""
     found = records(keys)
     return Reply(
         request_id=expected.request_id,
--- a/packages/fennelfork/tests/core_builders_home.py
+++ b/packages/fennelfork/tests/core_builders_home.py
@@ -1,4 +1,4 @@
-"""Builders of a home scheduler with servers, work and time."""
+"""Builders of a home scheduler with servers, tasks and a clock."""
 
 import random
 from collections.abc import Iterable
@@ -39,7 +39,7 @@
 
 @attrs.define(kw_only=True)
 class Rig:
-    """A scheduler under a clock that a test moves."""
+    """Scheduler with a clock that the test advances."""
 
     time: ManualTime
     home: HomeScheduler
@@ -55,7 +55,7 @@
         request_id: str = '',
         weight: float = 1,
     ) -> list[Action]:
-        """Offer one piece of work."""
+        """Submit one task."""
         self._jobs += 1
         job = f'j{self._jobs}'
         task = Task(
@@ -71,7 +71,7 @@
         return self.home.submit(task)
 
     def after(self, by_ms: float) -> list[Action]:
-        """Let time pass, then tick."""
+        """Advance the clock, then tick."""
         self.time.advance(by_ms)
         return self.home.tick()
 
@@ -83,7 +83,7 @@
     slots: int = 2,
     held: Iterable[SnapshotView] = SERVING.snapshots,
 ) -> Rig:
-    """Build a shard of like servers, named s0, s1 and so on."""
+    """Build a shard of equal servers that are named s0, s1 and so on."""
     time = ManualTime(at_ms=1000)
     home = home_scheduler(manual_clock(time), random.Random(4))
     facts = [
@@ -98,27 +98,27 @@
 
 
 def sends(actions: Iterable[Action]) -> list[Send]:
-    """Pick what is sent."""
+    """Return the `Send` actions."""
     return [action for action in actions if isinstance(action, Send)]
 
 
 def cancels(actions: Iterable[Action]) -> list[Cancel]:
-    """Pick what is cancelled."""
+    """Return the `Cancel` actions."""
     return [action for action in actions if isinstance(action, Cancel)]
 
 
 def refusals(actions: Iterable[Action]) -> list[TaskRefused]:
-    """Pick what is refused."""
+    """Return the `TaskRefused` actions."""
     return [action for action in actions if isinstance(action, TaskRefused)]
 
 
 def answers(actions: Iterable[Action]) -> list[TaskAnswered]:
-    """Pick what is answered."""
+    """Return the `TaskAnswered` actions."""
     return [action for action in actions if isinstance(action, TaskAnswered)]
 
 
 def warm(shard: Rig, *, runs: int = 60, took_ms: float = 10) -> None:
-    """Let a shard learn its service time."""
+    """Run tasks so that the shard measures its service time."""
     for _ in range(runs):
         sent = sends(shard.submit())
         shard.time.advance(took_ms)
--- a/packages/fennelfork/tests/test_flow_bounds.py
+++ b/packages/fennelfork/tests/test_flow_bounds.py
@@ -1,4 +1,4 @@
-"""Memory of a home under callers that invent tenants."""
+"""Memory use of a home daemon when callers use many tenant names."""
 
 from fennelfork.home import Flow, Shares
 from fennelfork.home._admission import Arrival, HomeAdmission, LoadEstimate
@@ -14,18 +14,18 @@
 
 
 class TestFairQueue:
-    """Flows of the queue."""
+    """Flows that the queue retains."""
 
-    def test_forgets_flows_once_it_is_empty(self) -> None:
-        """When nothing waits, no flow is remembered, however many came."""
+    def test_removes_flows_when_empty(self) -> None:
+        """An empty queue retains no flows."""
         queue = FairQueue(limit=10, shares=Shares())
         for at in range(1000):
             queue.push(f'j{at}', _flow(at), deadline_ms=at)
             queue.dequeue(f'j{at}')
         assert not queue._flows
 
-    def test_a_debt_lasts_while_others_wait(self) -> None:
-        """A flow that had its turn stays behind one that still waits."""
+    def test_keeps_turn_while_others_wait(self) -> None:
+        """A flow that was served is ordered after one that still waits."""
         queue = FairQueue(limit=10, shares=Shares())
         for job in ('a1', 'a2'):
             queue.push(job, _flow(1), deadline_ms=1)
@@ -35,10 +35,10 @@
 
 
 class TestHomeAdmission:
-    """Rates of flows."""
+    """Rates that admission control retains."""
 
-    def test_forgets_flows_that_went_away(self) -> None:
-        """Tenants that each ask once do not stay in memory."""
+    def test_removes_idle_flows(self) -> None:
+        """Rates of tenants with a single request are removed."""
         admission = HomeAdmission(shares=Shares())
         for at in range(5000):
             arrival = Arrival(flow=_flow(at), request_id=f'r{at}')
--- a/packages/fennelfork/tests/test_gather_merge.py
+++ b/packages/fennelfork/tests/test_gather_merge.py
@@ -1,4 +1,4 @@
-"""Merging of parts, coverage, and what callers demand of it."""
+"""Merging of replies, and coverage demands."""
 
 import attrs
 import pytest
@@ -32,7 +32,7 @@
 
 
 class TestMerge:
-    """Parts in, one answer out."""
+    """Merging of replies and failures."""
 
     @given(st.permutations(range(3)), st.integers(0, 3))
     def test_complete_only_with_every_range(
@@ -40,7 +40,7 @@
         order: list[int],
         arrived: int,
     ) -> None:
-        """In any order, completeness and fraction count the ranges in."""
+        """Coverage counts the received ranges, in any order."""
         merge = _merge()
         planned = merge.pending
         for index in order[:arrived]:
@@ -55,16 +55,16 @@
         assert answer.coverage.fraction == pytest.approx(arrived / 3)
         assert len(answer.coverage.missing) == 3 - arrived
 
-    def test_takes_a_part_once(self) -> None:
-        """The loser of a hedge that answers too is not merged again."""
+    def test_rejects_duplicate_reply(self) -> None:
+        """The late reply of a lost hedge is not merged again."""
         merge = _merge()
         part = reply_to(merge.pending[0].expected, [3])
         assert is_successful(merge.add_reply(part))
         assert merge.add_reply(part).failure().code is FailureCode.BAD_REPLY
         assert len(merge.build_answer().records) == 1
 
-    def test_leaves_out_a_false_part(self) -> None:
-        """A crossed part changes neither records nor coverage."""
+    def test_rejects_unexpected_reply(self) -> None:
+        """A reply to another sub-query does not change the coverage."""
         merge = _merge()
         part = reply_to(merge.pending[0].expected, [3])
         crossed = attrs.evolve(part, request_id='r2')
@@ -73,8 +73,8 @@
         assert not is_successful(merge.add_reply(unknown))
         assert merge.build_answer().coverage.fraction == 0
 
-    def test_says_why_ranges_are_missing(self) -> None:
-        """Failed, late and unheld ranges each have their own reason."""
+    def test_reports_reasons_of_missing_ranges(self) -> None:
+        """Failed, pending and unassigned ranges have different reasons."""
         merge = _merge(reach=25)
         planned = merge.pending
         merge.record_failure(planned[0].expected.sub_query, _SHED)
@@ -86,8 +86,8 @@
             (25, FailureCode.NOT_HELD),
         ]
 
-    def test_a_part_goes_before_a_failure(self) -> None:
-        """A failure does not undo a part, and a late part undoes it."""
+    def test_reply_overrides_failure(self) -> None:
+        """A failure does not replace a reply, but a reply replaces a failure."""
         merge = _merge()
         expected = merge.pending[0].expected
         merge.record_failure(expected.sub_query, _SHED)
@@ -95,8 +95,8 @@
         merge.record_failure(expected.sub_query, _SHED)
         assert not merge.failures
 
-    def test_verdict_of_the_parts(self) -> None:
-        """Nothing ran only if every sub-query says so."""
+    def test_verdict_of_sub_queries(self) -> None:
+        """The verdict is `NOT_RUN` only if no sub-query ran."""
         merge = _merge()
         planned = merge.pending
         for part in planned:
@@ -105,16 +105,16 @@
         merge.add_reply(reply_to(planned[1].expected, []))
         assert merge.verdict is Verdict.RAN
 
-    def test_a_rerun_does_not_hide_what_ran(self) -> None:
-        """A rerun that is refused whole leaves the first round's verdict."""
+    def test_rerun_keeps_earlier_verdict(self) -> None:
+        """A refused rerun keeps the verdict of the first round."""
         rerun = _merge()
         rerun.earlier_verdict = Verdict.RAN
         for part in rerun.pending:
             rerun.record_failure(part.expected.sub_query, _SHED)
         assert rerun.verdict is Verdict.RAN
 
-    def test_notes_a_lost_snapshot(self) -> None:
-        """A lost snapshot calls for a rerun of the whole query."""
+    def test_reports_lost_snapshot(self) -> None:
+        """A lost snapshot allows a rerun of the query."""
         merge = _merge()
         assert not merge.snapshot_gone
         gone = not_run(FailureCode.SNAPSHOT_GONE, 'snapshot 7 is gone')
@@ -122,11 +122,11 @@
         assert merge.snapshot_gone
 
 
-class TestAllows:
-    """What a caller demands of coverage."""
+class TestAcceptsCoverage:
+    """Demands for complete and partial coverage."""
 
-    def test_whole_or_refused(self) -> None:
-        """A caller that wants the whole takes nothing less."""
+    def test_complete_demand(self) -> None:
+        """A demand for complete coverage rejects partial coverage."""
         merge = _merge()
         assert not accepts_coverage(
             CompleteCoverage(), merge.build_answer().coverage
@@ -137,8 +137,8 @@
             CompleteCoverage(), merge.build_answer().coverage
         )
 
-    def test_partial_from_its_floor(self) -> None:
-        """A caller that takes a part gets it from its floor upward."""
+    def test_partial_demand(self) -> None:
+        """Partial coverage is accepted from the floor upward."""
         merge = _merge()
         for part in merge.pending[:2]:
             merge.add_reply(reply_to(part.expected, []))
--- a/packages/fennelfork/tests/test_gather_partition.py
+++ b/packages/fennelfork/tests/test_gather_partition.py
@@ -1,4 +1,4 @@
-"""Pinning a snapshot and its partition map."""
+"""Selection of a snapshot and its partition map."""
 
 from collections import Counter
 
@@ -40,10 +40,10 @@
 
 
 class TestPin:
-    """Which snapshot is read, and who is asked."""
+    """Selected snapshot and assignments."""
 
-    def test_takes_the_newest_that_is_whole(self) -> None:
-        """During a repartition the old snapshot serves until all moved."""
+    def test_selects_newest_complete_snapshot(self) -> None:
+        """A repartition uses the old snapshot until the new one is complete."""
         moving = [
             shard('s0', snapshot(7, (0, 15)), snapshot(8, (0, 10))),
             shard('s1', snapshot(7, (15, 30))),
@@ -52,16 +52,16 @@
         moved = [*moving, shard('s2', snapshot(8, (10, 30)))]
         assert pin_snapshot(moved, _WHOLE).unwrap().snapshot == 8
 
-    def test_takes_the_best_covered_if_none_is_whole(self) -> None:
-        """Coverage goes before age, and age decides between equals."""
+    def test_selects_best_coverage(self) -> None:
+        """Higher coverage is preferred, then the newer snapshot."""
         views = [
             shard('s0', snapshot(5, (0, 20)), snapshot(6, (5, 25))),
             shard('s1', snapshot(7, (0, 3))),
         ]
         assert pin_snapshot(views, _WHOLE).unwrap().snapshot == 6
 
-    def test_leaves_out_a_snapshot_that_is_gone(self) -> None:
-        """A rerun does not pin the snapshot that was lost."""
+    def test_excludes_lost_snapshot(self) -> None:
+        """A rerun does not select the lost snapshot."""
         views = [shard('s0', snapshot(7, (0, 30)), snapshot(8, (0, 30)))]
         again = pin_snapshot(views, _WHOLE, exclude=frozenset((8,)))
         assert again.unwrap().snapshot == 7
@@ -71,13 +71,13 @@
         assert nothing.code is FailureCode.SNAPSHOT_GONE
         assert nothing.verdict is Verdict.NOT_RUN
 
-    def test_refuses_when_nothing_is_held(self) -> None:
-        """Without any held key there is nothing to ask."""
+    def test_fails_without_held_keys(self) -> None:
+        """The failure is `NO_SERVER` when no shard holds a key."""
         assert pin_snapshot([], _WHOLE).failure().code is FailureCode.NO_SERVER
 
     @given(_VIEWS)
-    def test_asks_each_held_key_once(self, views: list) -> None:
-        """Each key held at the pinned snapshot is asked for exactly once."""
+    def test_assigns_each_held_key_once(self, views: list) -> None:
+        """Each key held at the selected snapshot is assigned exactly once."""
         pinned = pin_snapshot(views, _WHOLE)
         if not is_successful(pinned):
             return
--- a/packages/fennelfork/tests/test_gather_range.py
+++ b/packages/fennelfork/tests/test_gather_range.py
@@ -14,21 +14,21 @@
 
 
 class TestKeyRange:
-    """The checked factory."""
+    """Validation of the bounds."""
 
     @pytest.mark.parametrize(('lo', 'hi'), [(3, 3), (4, 2), (-1, 2)])
     def test_refuses_empty_or_negative(self, lo: int, hi: int) -> None:
-        """A range without a key, or below zero, is refused."""
-        with pytest.raises(ValueError, match='not a range'):
+        """An empty range or a negative bound raises `ValueError`."""
+        with pytest.raises(ValueError, match='invalid key range'):
             key_range(lo, hi)
 
 
 class TestMissingRanges:
-    """Coverage of a whole by parts."""
+    """Ranges that are not covered."""
 
     @given(st.lists(_RANGES, max_size=6))
     def test_agrees_with_a_count_of_keys(self, held: list[KeyRange]) -> None:
-        """The gaps are just the keys of the whole that no part holds."""
+        """The gaps contain exactly the keys that no range holds."""
         whole = key_range(5, 50)
         gaps = missing_ranges(whole, held)
         expected = {
--- a/packages/fennelfork/tests/test_gather_refusal.py
+++ b/packages/fennelfork/tests/test_gather_refusal.py
@@ -1,4 +1,4 @@
-"""Whether a merged query goes out as an answer."""
+"""Decision whether a query is answered or refused."""
 
 import pytest
 from core_builders_answers import reply_to
@@ -33,21 +33,21 @@
 
 
 class TestRefusalOf:
-    """The last word on a query."""
+    """Failure of a finished query."""
 
     @pytest.mark.parametrize(
         'demand',
         [CompleteCoverage(), PartialCoverage(floor=0)],
     )
-    def test_invalid_query_is_told(self, demand) -> None:
-        """What servers call invalid is no shed and is not to be repeated."""
+    def test_reports_invalid_query(self, demand) -> None:
+        """An invalid query is refused with the failure of the servers."""
         merge = _merge()
         for name in merge.plan:
             merge.record_failure(name, _INVALID)
         assert refusal_of(merge, demand) == _INVALID
 
     def test_invalid_keeps_the_verdict_of_all_parts(self) -> None:
-        """If another server ran its part, the refusal says so."""
+        """The verdict is `RAN` if another sub-query ran."""
         merge = _merge()
         first, second = merge.plan.values()
         merge.add_reply(reply_to(first.expected, [1]))
@@ -57,7 +57,7 @@
         assert refusal.verdict is Verdict.RAN
 
     def test_shed_by_all(self) -> None:
-        """Where nothing ran the caller hears so, and when to come back."""
+        """The failure is `NOT_RUN` with a retry delay."""
         merge = _merge()
         for name in merge.plan:
             merge.record_failure(name, _SHED)
@@ -66,8 +66,8 @@
         assert refusal.verdict is Verdict.NOT_RUN
         assert refusal.retry_after_ms == 200
 
-    def test_half_goes_out_if_allowed(self) -> None:
-        """A demand of half is met by half."""
+    def test_partial_answer_is_allowed(self) -> None:
+        """Half coverage satisfies a demand of 0.5, but not of 0.6."""
         merge = _merge()
         first, second = merge.plan.values()
         merge.add_reply(reply_to(first.expected, [1]))
@@ -78,11 +78,11 @@
         assert refusal.verdict is Verdict.RAN
 
 
-class TestIsHopeless:
-    """A query that is given up on is not waited for."""
+class TestIsUnsatisfiable:
+    """Early detection that the demand cannot be met."""
 
-    def test_one_refused_part_ends_a_whole_demand(self) -> None:
-        """The other part may not hold the refusal back; its doubt stays."""
+    def test_one_failure_rules_out_complete_coverage(self) -> None:
+        """The pending sub-query may have run."""
         merge = _merge()
         first, second = merge.plan
         assert not is_unsatisfiable(merge, CompleteCoverage())
@@ -92,15 +92,15 @@
         refusal = refusal_of(merge, CompleteCoverage())
         assert refusal.verdict is Verdict.MAY_HAVE_RUN
 
-    def test_a_floor_that_can_be_reached_goes_on(self) -> None:
-        """Half may still come in; more than half cannot."""
+    def test_reachable_coverage_is_awaited(self) -> None:
+        """Half coverage is still possible, more than half is not."""
         merge = _merge()
         merge.record_failure(next(iter(merge.plan)), _SHED)
         assert not is_unsatisfiable(merge, PartialCoverage(floor=0.5))
         assert is_unsatisfiable(merge, PartialCoverage(floor=0.6))
 
-    def test_a_lost_snapshot_goes_on(self) -> None:
-        """The query may run again on another snapshot."""
+    def test_lost_snapshot_is_not_counted(self) -> None:
+        """The query may be rerun on another snapshot."""
         merge = _merge()
         gone = not_run(FailureCode.SNAPSHOT_GONE, 'dropped')
         merge.record_failure(next(iter(merge.plan)), gone)
--- a/packages/fennelfork/tests/test_gather_reply.py
+++ b/packages/fennelfork/tests/test_gather_reply.py
@@ -1,4 +1,4 @@
-"""Replies that must not be believed."""
+"""Validation of replies."""
 
 import attrs
 import pytest
@@ -18,19 +18,19 @@
 
 
 class TestCheckReply:
-    """Each way in which a reply can lie."""
+    """Valid replies and each kind of invalid reply."""
 
     @pytest.mark.parametrize('keys', [[], [10], [10, 12, 19]])
-    def test_accepts_the_true_reply(self, keys: list[int]) -> None:
-        """A whole reply of this sub-query is accepted, also when empty."""
+    def test_accepts_valid_reply(self, keys: list[int]) -> None:
+        """A complete reply is accepted, also without records."""
         assert is_successful(check_reply(_EXPECTED, reply_to(_EXPECTED, keys)))
 
     @pytest.mark.parametrize(
         'change',
         [{'request_id': 'r2'}, {'sub_query': 's1@7:10-20'}],
     )
-    def test_refuses_a_crossed_reply(self, change: dict) -> None:
-        """The reply of another request says nothing about this one."""
+    def test_rejects_reply_of_other_sub_query(self, change: dict) -> None:
+        """The sub-query may have run if the reply is not its own."""
         failure = check_reply(
             _EXPECTED, attrs.evolve(_WELL_FORMED, **change)
         ).failure()
@@ -50,8 +50,8 @@
             {'records': records([10, 12, 20])},
         ],
     )
-    def test_refuses_a_false_reply(self, change: dict) -> None:
-        """Wrong snapshot or range, truncated, doubled, unsorted, outside."""
+    def test_rejects_inconsistent_reply(self, change: dict) -> None:
+        """Wrong snapshot, range or count; duplicate or unsorted records."""
         failure = check_reply(
             _EXPECTED, attrs.evolve(_WELL_FORMED, **change)
         ).failure()
--- a/packages/fennelfork/tests/test_home_draining.py
+++ b/packages/fennelfork/tests/test_home_draining.py
@@ -1,4 +1,4 @@
-"""Servers that refuse as draining are left out for a while."""
+"""Exclusion of servers that refused requests as draining."""
 
 import attrs
 
@@ -21,10 +21,10 @@
 
 
 class TestDrainingServers:
-    """The memory of refusals."""
+    """Expiry of the exclusion."""
 
-    def test_left_out_until_later(self) -> None:
-        """A server that refused is out for 30 s, and no other is."""
+    def test_exclusion_expires(self) -> None:
+        """Only the server that refused is excluded, for 30 s."""
         time = ManualTime()
         draining = draining_servers(manual_clock(time))
         draining.record_refusal('127.0.0.1:1')
@@ -33,8 +33,8 @@
         time.advance(1)
         assert draining.exclude_draining(_BOTH) == _BOTH
 
-    def test_refused_again(self) -> None:
-        """A second refusal begins the time anew."""
+    def test_refusal_extends_exclusion(self) -> None:
+        """A second refusal restarts the exclusion."""
         time = ManualTime()
         draining = draining_servers(manual_clock(time))
         draining.record_refusal('127.0.0.1:1')
--- a/packages/fennelfork/tests/test_home_fair.py
+++ b/packages/fennelfork/tests/test_home_fair.py
@@ -1,4 +1,4 @@
-"""Fair shares of a capacity, and turns in the queue."""
+"""Weighted fair allocation and weighted fair queueing."""
 
 import pytest
 from core_builders_home import AUDIT, COUNTER
@@ -14,8 +14,8 @@
 class TestFairRates:
     """Max-min fairness by weight."""
 
-    def test_leftovers_are_shared(self) -> None:
-        """A light flow gets all, the heavy ones share the rest by weight."""
+    def test_unused_share_is_reallocated(self) -> None:
+        """Heavy flows share the rest by weight after a light flow."""
         other = Flow(tenant='third', traffic_class='audit')
         offered = {COUNTER: 100, AUDIT: 100, other: 0.5}
         granted = fair_rates(offered, _SHARES, capacity=9.5)
@@ -24,13 +24,13 @@
         assert granted[AUDIT] == pytest.approx(1)
 
     @given(_RATES, _RATES, _RATES)
-    def test_wastes_and_invents_nothing(
+    def test_allocates_available_capacity(
         self,
         counter: float,
         audit: float,
         capacity: float,
     ) -> None:
-        """All is granted that is offered and fits, and never more."""
+        """The allocation is the minimum of capacity and offered rate."""
         offered = {COUNTER: counter, AUDIT: audit}
         granted = fair_rates(offered, _SHARES, capacity)
         fits = min(capacity, counter + audit)
@@ -39,10 +39,10 @@
 
 
 class TestFairQueue:
-    """Turns by weight, deadlines within a flow."""
+    """Order of jobs between flows and within a flow."""
 
     def test_turns_follow_weights(self) -> None:
-        """Of nine turns the flow of weight 8 gets eight."""
+        """The flow of weight 8 gets eight of nine turns."""
         queue = FairQueue(limit=99, shares=_SHARES)
         for number in range(20):
             queue.push(f'a{number}', AUDIT, 100)
@@ -55,7 +55,7 @@
         assert taken.count('c') in {15, 16, 17}
 
     def test_earliest_deadline_first_in_a_flow(self) -> None:
-        """Within one flow the deadline decides, then the arrival."""
+        """Jobs of a flow are ordered by deadline, then by arrival."""
         queue = FairQueue(limit=9, shares=_SHARES)
         for job, deadline_ms in (('b', 50), ('a', 20), ('c', 50)):
             queue.push(job, COUNTER, deadline_ms)
--- a/packages/fennelfork/tests/test_home_gate.py
+++ b/packages/fennelfork/tests/test_home_gate.py
@@ -1,4 +1,4 @@
-"""The gate of a root, and the levels that homes tell."""
+"""Admission at root daemons, and the levels of home daemons."""
 
 import pytest
 from core_builders_home import AUDIT, COUNTER, refusals, rig, sends, warm
@@ -23,17 +23,17 @@
 
 
 def _in_hash_range(lo: int, hi: int) -> set[str]:
-    """Give the requests whose draw, in hundredths, is in the range."""
+    """Return the requests whose hash fraction, in percent, is in range."""
     return {
         name for name in _NAMES if lo <= int(hash_fraction(name) * 100) < hi
     }
 
 
 class TestEntryGate:
-    """What is refused before any home is asked."""
+    """Admission by the reported levels."""
 
-    def test_the_lowest_level_counts(self) -> None:
-        """It lets in just what every home takes, and refuses as not run."""
+    def test_applies_lowest_level(self) -> None:
+        """Admits what all home daemons admit, and refuses as not run."""
         gate = entry_gate(manual_clock(ManualTime()))
         assert len(_admitted(gate)) == 200
         gate.record_level(_level_of('vm-1', 0.5))
@@ -45,14 +45,14 @@
         }
         assert verdicts == {Verdict.NOT_RUN}
 
-    def test_other_flows_are_not_held_back(self) -> None:
-        """A level counts for its tenant and class alone."""
+    def test_other_flows_are_not_limited(self) -> None:
+        """A level applies only to its tenant and traffic class."""
         gate = entry_gate(manual_clock(ManualTime()))
         gate.record_level(_level_of('vm-1', 0.1))
         assert gate.level('raft', AUDIT) == 1
 
-    def test_forgets_what_is_old_or_over(self) -> None:
-        """A level ends when its home takes all, or is not heard again."""
+    def test_levels_expire(self) -> None:
+        """A level ends when it is 1 or was not reported for a second."""
         time = ManualTime()
         gate = entry_gate(manual_clock(time))
         gate.record_level(_level_of('vm-1', 0.1))
@@ -64,11 +64,11 @@
 
 
 class TestLevel:
-    """What a home says that it takes."""
+    """Admission level of a home daemon."""
 
     @pytest.mark.parametrize('weight', [1, 5])
     def test_falls_under_overload_and_recovers(self, weight: float) -> None:
-        """Ten times the capacity gives a tenth, however much roots refuse."""
+        """Tenfold load gives a level of 0.1, regardless of root admission."""
         shard = rig()
         warm(shard, took_ms=100)
         assert shard.home.level(COUNTER) == 1
--- a/packages/fennelfork/tests/test_home_status.py
+++ b/packages/fennelfork/tests/test_home_status.py
@@ -1,4 +1,4 @@
-"""Servers as operators are shown them by their home."""
+"""Status of backend servers, for operators."""
 
 import pytest
 from core_builders_home import COLD, DRAINING, SERVING, rig
@@ -7,11 +7,11 @@
 from fennelfork.home import ServerCondition, ServerReport
 
 
-class TestSights:
-    """One sight a server, by name."""
+class TestStatuses:
+    """Status of each server, by name."""
 
-    def test_counts_slots_and_names_snapshots(self) -> None:
-        """Slots in use are counted exactly, whatever the server says."""
+    def test_counts_slots_and_lists_snapshots(self) -> None:
+        """The status has the slots in use and the reported snapshots."""
         shard = rig(servers=2)
         shard.submit()
         statuses = shard.home.server_statuses
@@ -32,13 +32,13 @@
         report: ServerReport,
         condition: ServerCondition,
     ) -> None:
-        """The condition is what the server last said of itself."""
+        """The condition follows the last health report."""
         shard = rig(servers=1)
         shard.home.servers.on_report('s0', report)
         assert shard.home.server_statuses[0].condition is condition
 
     def test_leaving(self) -> None:
-        """Another source's word that it leaves shows as well."""
+        """A report from another source sets the condition."""
         shard = rig(servers=1)
         shard.home.servers.on_leaving('s0')
         assert (
@@ -46,7 +46,7 @@
         )
 
     def test_ejected_then_returning(self) -> None:
-        """A server that fails again and again shows as ejected, then back."""
+        """A failing server is ejected and then returns in slow start."""
         shard = rig(servers=2)
         failure = may_have_run(FailureCode.BAD_REPLY, 'the body is not JSON')
         for attempt in range(1, 30):
--- a/packages/fennelfork/tests/test_servers_connection.py
+++ b/packages/fennelfork/tests/test_servers_connection.py
@@ -1,13 +1,13 @@
-"""Connections to a server: limit, reuse and silence."""
+"""Limit, reuse and invalidation of connections to a server."""
 
 from fennelfork.servers import ConnectionLedger
 
 
 class TestLedger:
-    """Which connection carries a request."""
+    """Selection of the connection for a request."""
 
-    def test_holds_the_limit(self) -> None:
-        """No third connection; a fresh one takes the place of an idle."""
+    def test_respects_limit(self) -> None:
+        """At the limit a new connection replaces an idle one or is refused."""
         ledger = ConnectionLedger(limit=2)
         first = ledger.use(0, fresh=False)
         ledger.use(0, fresh=False)
@@ -19,8 +19,8 @@
         assert fresh.close == (first.connection,)
         assert ledger.open == 2
 
-    def test_probes_what_idled(self) -> None:
-        """A connection is reused as it is for a second, then probed."""
+    def test_probes_idle_connection(self) -> None:
+        """A connection is probed after more than one second of idle time."""
         ledger = ConnectionLedger(limit=2)
         used = ledger.use(0, fresh=False)
         ledger.done(used.connection, 0, usable=True)
@@ -29,15 +29,15 @@
         ledger.done(used.connection, 1000, usable=True)
         assert ledger.use(2001, fresh=False).probe
 
-    def test_never_reuses_one_that_timed_out(self) -> None:
-        """A late answer on it would cross."""
+    def test_timed_out_connection_is_not_reused(self) -> None:
+        """A late response could be taken for that of the next request."""
         ledger = ConnectionLedger(limit=2)
         used = ledger.use(0, fresh=False)
         assert not ledger.done(used.connection, 9, usable=False)
         assert ledger.use(9, fresh=False).opened
 
-    def test_silence_takes_its_peers_along(self) -> None:
-        """Idle peers of that age close now, busy ones when they end."""
+    def test_unresponsive_connection_invalidates_older_ones(self) -> None:
+        """Idle connections close at once, busy ones when the request ends."""
         ledger = ConnectionLedger(limit=9)
         unresponsive, idle, busy = (
             ledger.use(0, fresh=True).connection for _ in range(3)
@@ -49,8 +49,8 @@
         assert ledger.done(young, 6, usable=True)
         assert not ledger.record_unresponsive(unresponsive)
 
-    def test_retires_the_long_idle(self) -> None:
-        """A connection that nobody needs is closed."""
+    def test_evicts_idle_connections(self) -> None:
+        """A connection that was idle for 30 s is closed."""
         ledger = ConnectionLedger(limit=2)
         used = ledger.use(0, fresh=False).connection
         ledger.done(used, 0, usable=True)
--- a/packages/fennelfork/tests/test_servers_hedge.py
+++ b/packages/fennelfork/tests/test_servers_hedge.py
@@ -1,4 +1,4 @@
-"""Hedge delays from recent latencies, and the budgets of extra work."""
+"""Hedge delays and budgets of extra attempts."""
 
 import pytest
 
@@ -13,15 +13,15 @@
 
 
 class TestDelay:
-    """The three policies."""
+    """Delay of each hedge policy."""
 
     def test_none_and_fixed(self) -> None:
-        """One never hedges, one waits for what it is told."""
+        """`NoHedge` has no delay, and `FixedHedge` the configured one."""
         assert hedge_delay_ms(NoHedge(), latencies()) is None
         assert hedge_delay_ms(FixedHedge(delay_ms=30), latencies()) == 30
 
     def test_quantile_of_recent_latencies(self) -> None:
-        """The delay starts as set and follows the shard's own latency."""
+        """The initial delay is replaced by the latency quantile."""
         policy = QuantileHedge(quantile=0.95, delay_ms=30)
         recent = latencies()
         assert hedge_delay_ms(policy, recent) == 30
@@ -32,17 +32,17 @@
             recent.record(5)
         assert hedge_delay_ms(policy, recent) == pytest.approx(5, rel=0.05)
 
-    def test_refuses_what_is_no_policy(self) -> None:
-        """A policy of another type is a defect."""
-        with pytest.raises(TypeError, match='not a hedge policy'):
+    def test_rejects_unsupported_policy(self) -> None:
+        """A policy of another type raises `TypeError`."""
+        with pytest.raises(TypeError, match='unsupported hedge policy'):
             hedge_delay_ms('often', latencies())
 
 
 class TestBudget:
-    """Tokens."""
+    """Deposits and withdrawals of tokens."""
 
-    def test_ordinary_work_pays_for_extra(self) -> None:
-        """Twenty runs at 5% pay for one more, and no more than the limit."""
+    def test_deposits_pay_for_extra_attempts(self) -> None:
+        """Twenty deposits of 0.05 pay for one attempt, up to the limit."""
         tokens = budget(0.05, limit=2)
         assert not tokens.withdraw()
         for _ in range(20):
@@ -53,8 +53,8 @@
             tokens.deposit()
         assert tokens.tokens == pytest.approx(2)
 
-    def test_refuses_nonsense(self) -> None:
-        """A negative ratio and more tokens than the limit are defects."""
+    def test_rejects_invalid_arguments(self) -> None:
+        """A negative ratio or too many initial tokens raise `ValueError`."""
         for ratio, initial in ((-1, 0), (0.1, 3)):
-            with pytest.raises(ValueError, match='not a budget'):
+            with pytest.raises(ValueError, match='invalid budget'):
                 budget(ratio, limit=2, initial=initial)
