--- a/packages/fennelfork/tests/test_home_machine.py
+++ b/packages/fennelfork/tests/test_home_machine.py
@@ -1,4 +1,4 @@
-"""The scheduler against servers that fail in any order."""
+"""Stateful test of the scheduler with failing servers."""
 
 from collections import Counter
 
@@ -28,10 +28,10 @@
 from fennelfork.servers import FixedHedge
 
 _SLOTS = 2
-# Where the books count what servers shed.
+# Key of the number of shed attempts.
 _SHED = 'shed'
 _SERVERS = st.sampled_from(['s0', 's1', 's2'])
-# What a server did with a copy, and what the home learns of it.
+# Failures of attempts that did not run, and of attempts that may have run.
 _REFUSED = [
     not_run(FailureCode.SHED, 'full'),
     not_run(FailureCode.DRAINING, 'draining'),
@@ -50,12 +50,12 @@
 
 
 class HomeMachine(RuleBasedStateMachine):
-    """Keeps its own books of what ran, and compares."""
+    """Compares the scheduler with a model of the attempts that ran."""
 
-    under_way = Bundle('under_way')
+    outstanding = Bundle('outstanding')
 
     def __init__(self) -> None:
-        """Begin with three servers of two slots."""
+        """Start with three servers of two slots each."""
         super().__init__()
         self.rig = rig(_SETTINGS, slots=_SLOTS)
         self.pending: dict[str, float] = {}
@@ -65,13 +65,13 @@
         self.draining: set[str] = set()
 
     @rule(
-        target=under_way,
+        target=outstanding,
         within_ms=st.integers(1, 300),
         flow=st.sampled_from([COUNTER, AUDIT]),
         idempotent=st.booleans(),
     )
     def submit(self, **asked: object) -> object:
-        """A root asks for work."""
+        """Submit a task."""
         before = set(self.pending)
         actions = self.rig.submit(**asked)
         job = f'j{self.rig._jobs}'  # noqa: WPS437 - the builder's count
@@ -79,44 +79,44 @@
         assert job not in before
         return self.carry_out(actions)
 
-    @rule(target=under_way, send=consumes(under_way))
+    @rule(target=outstanding, send=consumes(outstanding))
     def answer(self, send: Send) -> object:
-        """A server runs a copy and its reply arrives, early or late."""
+        """A server runs an attempt and its response arrives."""
         self.ran[send.task.job] += 1
         self.held.pop(send.attempt, None)
         return self.carry_out(self.rig.home.on_reply(send.attempt))
 
     @rule(
-        target=under_way,
-        send=consumes(under_way),
+        target=outstanding,
+        send=consumes(outstanding),
         failure=st.sampled_from(_REFUSED),
     )
     def refuse(self, send: Send, failure: object) -> object:
-        """A server refuses a copy before it runs."""
+        """A server refuses an attempt before it runs."""
         self.held.pop(send.attempt, None)
         self.sent[_SHED] += failure.code is FailureCode.SHED
         return self.carry_out(self.rig.home.on_failure(send.attempt, failure))
 
     @rule(
-        target=under_way,
-        send=consumes(under_way),
+        target=outstanding,
+        send=consumes(outstanding),
         failure=st.sampled_from(_LOST),
         ran=st.booleans(),
     )
     def lose(self, send: Send, failure: object, *, ran: bool) -> object:
-        """A reply is lost; the copy ran or not."""
+        """A response is lost; the attempt may have run."""
         self.ran[send.task.job] += ran
         self.held.pop(send.attempt, None)
         return self.carry_out(self.rig.home.on_failure(send.attempt, failure))
 
-    @rule(target=under_way, by_ms=st.integers(1, 400))
+    @rule(target=outstanding, by_ms=st.integers(1, 400))
     def wait(self, by_ms: int) -> object:
-        """Time passes; hedges and deadlines fall due."""
+        """Advance the clock past hedge delays and deadlines."""
         return self.carry_out(self.rig.after(by_ms))
 
-    @rule(target=under_way, server=_SERVERS, draining=st.booleans())
+    @rule(target=outstanding, server=_SERVERS, draining=st.booleans())
     def report(self, server: str, *, draining: bool) -> object:
-        """A health endpoint speaks."""
+        """Apply a health report."""
         if draining:
             self.draining.add(server)
         else:
@@ -125,19 +125,19 @@
         return self.carry_out(self.rig.home.servers.on_report(server, said))
 
     @invariant()
-    def slots_are_never_oversold(self) -> None:
-        """No server holds more copies than it has slots."""
+    def slots_are_never_exceeded(self) -> None:
+        """No server has more attempts than slots."""
         held = Counter(self.held.values())
         assert all(count <= _SLOTS for count in held.values())
 
     @invariant()
-    def nothing_outlives_its_deadline(self) -> None:
-        """What is pending has time left, after the last tick."""
+    def no_task_outlives_its_deadline(self) -> None:
+        """No pending task is past its deadline after a tick."""
         now_ms = self.rig.time.at_ms
         assert all(until >= now_ms for until in self.pending.values())
 
     def carry_out(self, actions: list[Action]) -> object:
-        """Check and book what the scheduler orders."""
+        """Check and record the actions of the scheduler."""
         for done in answers(actions):
             self.pending.pop(done.task.job)
         for refused in refusals(actions):
@@ -149,7 +149,7 @@
         return multiple(*sends(actions), *self.confirm(cancels(actions)))
 
     def confirm(self, cancelled: list[Cancel]) -> list[Send]:
-        """Confirm each cancel; a late reply may still come."""
+        """Confirm each cancellation; a late response may still arrive."""
         started: list[Send] = []
         for cancel in cancelled:
             self.held.pop(cancel.attempt)
@@ -160,7 +160,7 @@
         return started
 
     def check_send(self, send: Send) -> None:
-        """Check one copy against the promises."""
+        """Check the guarantees for one attempt."""
         job = send.task.job
         assert send.server not in self.draining
         assert self.rig.time.at_ms < self.pending[job]
@@ -170,13 +170,13 @@
         self.sent[job] += 1
         self.held[send.attempt] = send.server
         jobs = len(self.sent.keys() - {_SHED})
-        # What a server shed is sent again for nothing.
+        # Retries of shed attempts do not use the budget.
         extra = self.sent.total() - jobs - 2 * self.sent[_SHED]
         retries = 10 + 0.1 * self.ran.total()
         assert extra <= 0.5 * jobs + retries
 
     def teardown(self) -> None:
-        """In the end each job has ended and each slot is free."""
+        """Check that all jobs have ended and all slots are free."""
         self.report('s0', draining=False)
         self.carry_out(self.rig.after(1000))
         self.rig.after(5000)
--- a/packages/fennelfork/tests/test_home_scheduler.py
+++ b/packages/fennelfork/tests/test_home_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler of a home: each failure provoked, and what stops it."""
+"""Scheduling at the home daemon, and handling of each failure."""
 
 import attrs
 import pytest
@@ -33,18 +33,18 @@
 
 
 class TestSlots:
-    """Exact counts."""
+    """Accounting of slots."""
 
-    def test_hands_out_each_slot_once(self) -> None:
-        """Six slots take six copies, two a server; the seventh waits."""
+    def test_assigns_each_slot_once(self) -> None:
+        """Six slots run six attempts, two per server; the seventh waits."""
         shard = rig()
         placed = [send.server for send in _fill(shard)]
         assert sorted(placed) == ['s0', 's0', 's1', 's1', 's2', 's2']
         assert not shard.submit()
         assert shard.home.queued == 1
 
-    def test_a_cancelled_copy_keeps_its_slot(self) -> None:
-        """Only the server's word, or a long silence, frees the slot."""
+    def test_cancelled_attempt_keeps_its_slot(self) -> None:
+        """The slot is released when the server confirms the cancellation."""
         shard = rig(servers=2, slots=1)
         first = sends(shard.submit())[0]
         hedge = sends(shard.after(30))[0]
@@ -53,8 +53,8 @@
         shard.home.on_cancelled(first.attempt)
         assert shard.home.busy == 0
 
-    def test_an_unconfirmed_cancel_is_given_up(self) -> None:
-        """A server that confirms nothing does not hold a slot for ever."""
+    def test_unconfirmed_cancel_times_out(self) -> None:
+        """A server that does not confirm does not hold a slot forever."""
         shard = rig(servers=2, slots=1)
         shard.submit()
         hedge = sends(shard.after(30))[0]
@@ -64,10 +64,10 @@
 
 
 class TestHedge:
-    """Second copies."""
+    """Hedges of overdue attempts."""
 
     def test_goes_to_another_server_on_a_fresh_connection(self) -> None:
-        """After the delay a second copy is sent, elsewhere."""
+        """After the delay a hedge is sent to another server."""
         shard = rig()
         first = sends(shard.submit())[0]
         assert not shard.after(29)
@@ -76,7 +76,7 @@
         assert hedge.fresh_connection
 
     def test_first_reply_wins_and_the_loser_is_cancelled(self) -> None:
-        """One answer, one cancel, and the late reply changes nothing."""
+        """One answer and one cancel; the late response has no effect."""
         shard = rig()
         first = sends(shard.submit())[0]
         hedge = sends(shard.after(30))[0]
@@ -86,7 +86,7 @@
         assert not shard.home.on_reply(first.attempt)
 
     def test_waits_for_a_free_slot(self) -> None:
-        """Without a free slot elsewhere there is no hedge until one frees."""
+        """A hedge waits until another server has a free slot."""
         shard = rig(servers=2, slots=1)
         shard.submit()
         other = sends(shard.submit())[0]
@@ -94,15 +94,15 @@
         freed = sends(shard.home.on_reply(other.attempt))
         assert [send.server for send in freed] == [other.server]
 
-    def test_budget_bounds_extra_runs(self) -> None:
-        """At 5% a budget pays for one hedge in twenty sub-queries."""
+    def test_budget_limits_hedges(self) -> None:
+        """A ratio of 5% allows one hedge per twenty sub-queries."""
         shard = rig(attrs.evolve(HEDGED, hedge_ratio=0.05), slots=20)
         for _ in range(40):
             shard.submit()
         assert len(sends(shard.after(30))) == 2
 
-    def test_never_for_work_that_is_not_idempotent(self) -> None:
-        """It is sent once, on a fresh connection, however long it takes."""
+    def test_no_hedge_of_non_idempotent_task(self) -> None:
+        """A non-idempotent task is sent once, on a fresh connection."""
         shard = rig()
         sent = sends(shard.submit(idempotent=False))
         assert [send.fresh_connection for send in sent] == [True]
@@ -110,35 +110,35 @@
 
 
 class TestRetry:
-    """What is tried again."""
+    """Retries of failed attempts."""
 
     def test_other_server_after_a_failure(self) -> None:
-        """Idempotent work goes to another replica, once it is lost."""
+        """An idempotent task is retried on another replica."""
         shard = rig()
         first = sends(shard.submit())[0]
         again = sends(shard.home.on_failure(first.attempt, _LOST))[0]
         assert again.server != first.server
 
     @pytest.mark.parametrize(
-        ('failure', 'copies', 'ends'),
+        ('failure', 'attempts', 'ends'),
         [(_SHED, 1, []), (_LOST, 0, [Verdict.MAY_HAVE_RUN])],
     )
     def test_not_idempotent_only_if_not_run(
         self,
         failure: object,
-        copies: int,
+        attempts: int,
         ends: list[Verdict],
     ) -> None:
-        """A lost reply of an execution ends it; a shed one goes on."""
+        """An execution is retried after a shed, not after a lost response."""
         shard = rig()
         first = sends(shard.submit(idempotent=False))[0]
         ended = shard.home.on_failure(first.attempt, failure)
-        assert len(sends(ended)) == copies
+        assert len(sends(ended)) == attempts
         verdicts = [refused.failure.verdict for refused in refusals(ended)]
         assert verdicts == ends
 
-    def test_budget_ends_a_retry_storm(self) -> None:
-        """With every server failing, retries stay at the budget."""
+    def test_budget_limits_retries(self) -> None:
+        """The budget limits retries when all servers fail."""
         shard = rig(HomeSettings())
         retries: list[Send] = []
         for _ in range(30):
@@ -150,8 +150,8 @@
             shard.after(600)
         assert len(retries) == 10
 
-    def test_sheds_are_no_retry_storm(self) -> None:
-        """A server that sheds is left alone, longer each time in a row."""
+    def test_backoff_limits_retries_of_sheds(self) -> None:
+        """The backoff of a server grows with consecutive sheds."""
         shard = rig(HomeSettings(), servers=1, slots=1)
         waiting = sends(shard.submit(within_ms=2000))
         sheds = 0
@@ -163,8 +163,8 @@
             waiting = sends(actions)
         assert 5 < sheds < 20
 
-    def test_a_shed_is_not_run_to_the_end(self) -> None:
-        """When all servers shed till the deadline, nothing ran."""
+    def test_sheds_until_deadline_are_not_run(self) -> None:
+        """The verdict is `NOT_RUN` when all servers shed until the deadline."""
         shard = rig(HomeSettings())
         refused = []
         for run in range(20):
@@ -179,10 +179,10 @@
 
 
 class TestSnapshot:
-    """One snapshot an answer."""
+    """Attempts on servers that lost the snapshot."""
 
-    def test_a_server_that_lost_it_gets_no_more(self) -> None:
-        """Its stale health report does not bring the snapshot back."""
+    def test_server_without_snapshot_is_excluded(self) -> None:
+        """An outdated health report does not restore the snapshot."""
         shard = rig(servers=1)
         first = sends(shard.submit())[0]
         ended = refusals(shard.home.on_failure(first.attempt, _GONE))
@@ -190,8 +190,8 @@
         shard.home.servers.on_report('s0', SERVING)
         assert not sends(shard.submit())
 
-    def test_another_replica_may_still_have_it(self) -> None:
-        """The sub-query moves on to a replica that holds the snapshot."""
+    def test_other_replica_is_tried(self) -> None:
+        """The sub-query is retried on a replica that holds the snapshot."""
         shard = rig(servers=2)
         first = sends(shard.submit())[0]
         again = sends(shard.home.on_failure(first.attempt, _GONE))
@@ -205,22 +205,22 @@
             ((snapshot(7, (0, 50)),), FailureCode.NOT_HELD),
         ],
     )
-    def test_says_why_nobody_can(
+    def test_reports_why_no_server_can_run(
         self,
         held: tuple,
         code: FailureCode,
     ) -> None:
-        """What no server holds is refused at once, with the reason."""
+        """A task that no server can run is refused with the reason."""
         refused = refusals(rig(held=held).submit())
         assert refused[0].failure.code is code
         assert refused[0].failure.verdict is Verdict.NOT_RUN
 
 
 class TestServers:
-    """Whom to trust with work."""
+    """Selection of servers by their state."""
 
-    def test_draining_gets_nothing_new(self) -> None:
-        """Health, list or a refusal: whichever says it first counts."""
+    def test_draining_server_gets_no_new_attempts(self) -> None:
+        """A health report, another source or a refusal suffices."""
         shard = rig(servers=3)
         shard.home.servers.on_report('s0', DRAINING)
         shard.home.servers.on_leaving('s1')
@@ -231,23 +231,23 @@
         shard.home.servers.on_report('s2', SERVING)
         assert not sends(shard.submit())
 
-    def test_a_lying_server_is_ejected_and_returns_slowly(self) -> None:
-        """Five lost hedges eject it; it comes back one slot at a time."""
+    def test_slow_server_is_ejected_and_ramped_up(self) -> None:
+        """Five lost hedges eject a server; it returns in slow start."""
         shard = rig(servers=2, slots=6)
         shard.home.servers.on_report('s1', DRAINING)
         slow = [sends(shard.submit())[0] for _ in range(5)]
         shard.home.servers.on_report('s1', SERVING)
         for hedge in sends(shard.after(30)):
             shard.home.on_reply(hedge.attempt)
-        for copy in slow:
-            shard.home.on_cancelled(copy.attempt)
+        for attempt in slow:
+            shard.home.on_cancelled(attempt.attempt)
         assert {sends(shard.submit())[0].server for _ in range(6)} == {'s1'}
         shard.time.advance(500)
         back = [send for _ in range(4) for send in sends(shard.submit())]
         assert [send.server for send in back] == ['s0']
 
-    def test_refused_connections_eject_at_once(self) -> None:
-        """A server that takes no connection gets nothing for a while."""
+    def test_refused_connection_ejects_immediately(self) -> None:
+        """A server that refuses a connection is ejected."""
         shard = rig(servers=2)
         first = sends(shard.submit())[0]
         again = sends(shard.home.on_failure(first.attempt, _NO_CONNECT))
@@ -255,15 +255,15 @@
         used = {send.server for send in (*again, *others)}
         assert used == {'s0', 's1'} - {first.server}
 
-    def test_queued_work_starts_when_ejection_ends(self) -> None:
-        """A single server that comes back gets what waited for it."""
+    def test_queued_task_starts_when_ejection_ends(self) -> None:
+        """A queued task is sent when the only server returns."""
         shard = rig(servers=1)
         first = sends(shard.submit(within_ms=5000))[0]
         assert not shard.home.on_failure(first.attempt, _NO_CONNECT)
         assert len(sends(shard.after(500))) == 1
 
     def test_cold_server_warms_up(self) -> None:
-        """A cold server starts with one slot, whatever it keeps saying."""
+        """Repeated cold reports do not restart the slow start."""
         shard = rig(servers=1, slots=4)
         shard.home.servers.on_report('s0', COLD)
         first = sends(shard.submit())[0]
@@ -274,10 +274,10 @@
 
 
 class TestAdmission:
-    """What is refused at once, and what gets its share."""
+    """Admission, deadlines and fairness between flows."""
 
-    def test_refuses_what_cannot_be_met(self) -> None:
-        """Twelve wait for six slots of 100 ms; the next would be late."""
+    def test_refuses_unreachable_deadline(self) -> None:
+        """The next task after twelve queued ones would miss the deadline."""
         shard = rig()
         warm(shard, took_ms=100)
         _fill(shard)
@@ -287,16 +287,16 @@
         assert refused[0].failure.verdict is Verdict.NOT_RUN
         assert refused[0].failure.retry_after_ms > 0
 
-    def test_queued_work_is_refused_in_time(self) -> None:
-        """Work whose slot comes too late is refused as not run."""
+    def test_queued_task_is_refused_at_deadline(self) -> None:
+        """A task without a slot at the deadline is refused as not run."""
         shard = rig(servers=1, slots=1)
         shard.submit(within_ms=9000)
         shard.submit(within_ms=200)
         late = refusals(shard.after(200))
         assert [job.failure.verdict for job in late] == [Verdict.NOT_RUN]
 
-    def test_a_sent_copy_past_its_deadline_may_have_run(self) -> None:
-        """The deadline cancels the copy and admits that it may have run."""
+    def test_sent_attempt_past_deadline_may_have_run(self) -> None:
+        """The attempt is cancelled with the verdict `MAY_HAVE_RUN`."""
         shard = rig(HomeSettings())
         shard.submit(within_ms=200)
         ended = shard.after(200)
@@ -304,7 +304,7 @@
         assert len(cancels(ended)) == 1
 
     def test_homes_shed_the_same_requests(self) -> None:
-        """Under overload two shards take the same requests."""
+        """Under overload two shards admit the same requests."""
         taken = []
         for _ in range(2):
             shard = rig()
@@ -321,8 +321,8 @@
         assert taken[0] == taken[1]
         assert 10 < len(taken[0]) < 40
 
-    def test_an_audit_does_not_starve_the_counter(self) -> None:
-        """A light flow gets the next slot though a heavy one came first."""
+    def test_heavy_flow_does_not_starve_light_flow(self) -> None:
+        """A light flow is served although a heavy flow was queued first."""
         shard = rig(servers=1, slots=1)
         running = sends(shard.submit(within_ms=9000))[0]
         for _ in range(20):
@@ -334,8 +334,8 @@
             served.append(running.task.flow)
         assert COUNTER in served
 
-    def test_a_full_queue_puts_out_the_crowding_flow(self) -> None:
-        """The flow above its share loses its latest job, not the other."""
+    def test_full_queue_evicts_job_of_longest_flow(self) -> None:
+        """The last job of the flow that exceeds its share is evicted."""
         shard = rig(HomeSettings(queue_limit=5), servers=1, slots=1)
         for _ in range(6):
             shard.submit(within_ms=9000, flow=AUDIT)
@@ -343,8 +343,8 @@
         assert [job.task.flow for job in victims] == [AUDIT]
         assert victims[0].failure.code is FailureCode.QUEUE_FULL
 
-    def test_withdrawn_work_leaves_no_trace(self) -> None:
-        """Work that nobody waits for is cancelled, or never starts."""
+    def test_withdrawn_tasks_are_cancelled(self) -> None:
+        """A withdrawn task is cancelled, or removed from the queue."""
         shard = rig(servers=1, slots=1)
         sent = sends(shard.submit())[0]
         shard.submit()
