--- a/packages/fennelfork-bench/tests/test_config_fleet.py
+++ b/packages/fennelfork-bench/tests/test_config_fleet.py
@@ -234,7 +234,7 @@
         assert _versions(fleet) == [2, 2, 2, 2]
         reply = _patch(fleet, 2)
         assert (reply.status, reply.body['verdict']) == (503, 'not_run')
-        assert 'version 2 was accepted before' in reply.body['detail']
+        assert 'version 2 was already accepted' in reply.body['detail']
 
     def test_emptied_platform_takes_the_document_back(
         self,
--- a/packages/fennelfork-daemon/tests/test_config_patcher.py
+++ b/packages/fennelfork-daemon/tests/test_config_patcher.py
@@ -116,5 +116,5 @@
         with scripted_platform(absent, swapped(succeeded=True)) as platform:
             refused = _patcher(platform, 50).patch(first).failure()
         assert refused.failure.verdict is Verdict.NOT_RUN
-        assert 'version 50 was accepted before' in refused.failure.detail
+        assert 'version 50 was already accepted' in refused.failure.detail
         assert len(platform.paths) == 1
