--- a/packages/fennelfork/src/fennelfork/config/_document.py
+++ b/packages/fennelfork/src/fennelfork/config/_document.py
@@ -1,4 +1,4 @@
-"""The configuration document: what operators set, under one version."""
+"""Classes of the configuration document."""
 
 import enum
 from collections.abc import Mapping
@@ -7,8 +7,8 @@
 import attrs
 
 from fennelfork.config._document_rule import (
-    Filled,
     Fraction,
+    NonEmpty,
     OneOf,
     SocketAddress,
     Text,
@@ -17,40 +17,40 @@
 
 _NAME: Final = Text(
     pattern='[A-Za-z0-9][A-Za-z0-9_-]{0,62}',
-    words='1 to 63 letters, digits, "-" or "_", the first a letter or digit',
+    description='1 to 63 letters, digits, "-" or "_", the first a letter or digit',
 )
 _ID: Final = Text(
     pattern='[A-Za-z0-9._:-]{1,64}',
-    words='1 to 64 letters, digits, ".", "_", ":" or "-"',
+    description='1 to 64 letters, digits, ".", "_", ":" or "-"',
 )
-_LINE: Final = Text(
+_CHANGED_PATH: Final = Text(
     pattern=r'[^\x00-\x1f\x7f]{1,512}',
-    words='1 to 512 characters without control characters',
+    description='1 to 512 characters without control characters',
 )
 _AUTHOR: Final = Text(
     pattern=r'[^\x00-\x1f\x7f]{1,128}',
-    words='1 to 128 characters without control characters',
+    description='1 to 128 characters without control characters',
 )
-_MAX_EXACT: Final = 9_007_199_254_740_991  # kept exactly by any JSON reader
+_MAX_SAFE_INTEGER: Final = 9_007_199_254_740_991  # exact in a JSON number
 _MAX_SLOTS: Final = 10_000
 _MAX_CONNECTIONS: Final = 100_000
 _MAX_DELAY_MS: Final = 60_000
 _MAX_QUANTILE: Final = 0.9999
 
-_EXACT: Final = WholeNumber(least=0, most=_MAX_EXACT)
-_DELAY_MS: Final = WholeNumber(least=0, most=_MAX_DELAY_MS)
+_SAFE_INTEGER: Final = WholeNumber(minimum=0, maximum=_MAX_SAFE_INTEGER)
+_DELAY_MS: Final = WholeNumber(minimum=0, maximum=_MAX_DELAY_MS)
 
 Name = Annotated[str, _NAME]
-Version = Annotated[int, _EXACT]
+Version = Annotated[int, _SAFE_INTEGER]
 PatchId = Annotated[str, _ID]
-Line = Annotated[str, _LINE]
+ChangedPath = Annotated[str, _CHANGED_PATH]
 Author = Annotated[str, _AUTHOR]
-Weight = Annotated[int, WholeNumber(least=1, most=1000)]
+Weight = Annotated[int, WholeNumber(minimum=1, maximum=1000)]
 
 
 @enum.unique
 class HedgePolicyName(enum.StrEnum):
-    """When a second copy of a sub-query may start."""
+    """Policy that determines the delay before a hedge is sent."""
 
     NONE = 'none'
     FIXED = 'fixed'
@@ -59,104 +59,110 @@
 
 @attrs.frozen(kw_only=True)
 class HedgeSettings:
-    """Second copies of slow sub-queries.
+    """Settings for hedges of slow sub-queries.
 
     Attributes:
-        policy: when a second copy may start.
-        quantile: share of a shard's own recent latency to wait for.
-        delay_ms: wait for `fixed`, and until a quantile is known.
-        budget: extra runs a sub-query, as a share.
+        policy: policy that determines the delay before a hedge.
+        quantile: quantile of the recent latency of the shard after which the
+            `quantile` policy sends a hedge.
+        delay_ms: delay of the `fixed` policy, and of the `quantile` policy
+            until latency samples exist.
+        budget: maximum ratio of hedges to sub-queries.
     """
 
     policy: Annotated[
         HedgePolicyName, OneOf(choices=tuple(HedgePolicyName))
     ] = HedgePolicyName.QUANTILE
-    quantile: Annotated[float, Fraction(least=0.5, most=_MAX_QUANTILE)] = 0.95
+    quantile: Annotated[float, Fraction(minimum=0.5, maximum=_MAX_QUANTILE)] = (
+        0.95
+    )
     delay_ms: Annotated[int, _DELAY_MS] = 30
-    budget: Annotated[float, Fraction(least=0, most=1)] = 0.05
+    budget: Annotated[float, Fraction(minimum=0, maximum=1)] = 0.05
 
 
 @attrs.frozen(kw_only=True)
 class Server:
-    """One backend server and its limits.
+    """A backend server and its limits.
 
     Attributes:
-        address: where it listens, `ip:port`.
-        data_centre: where it stands.
-        slots: sub-queries it runs at once.
-        connections: connections it takes from all daemons together.
-        connect_ms: what a new connection usually takes.
+        address: `ip:port` on which the backend server listens.
+        data_centre: name of the data centre of the backend server.
+        slots: maximum number of concurrent sub-queries.
+        connections: maximum number of connections from all daemons.
+        connect_ms: usual time to open a connection.
     """
 
     address: Annotated[str, SocketAddress()]
     data_centre: Name
-    slots: Annotated[int, WholeNumber(least=1, most=_MAX_SLOTS)]
-    connections: Annotated[int, WholeNumber(least=1, most=_MAX_CONNECTIONS)]
+    slots: Annotated[int, WholeNumber(minimum=1, maximum=_MAX_SLOTS)]
+    connections: Annotated[
+        int, WholeNumber(minimum=1, maximum=_MAX_CONNECTIONS)
+    ]
     connect_ms: Annotated[int, _DELAY_MS]
 
 
 @attrs.frozen(kw_only=True)
 class Shard:
-    """A named group of backend servers that hold the same records."""
+    """A group of backend servers that store the same records."""
 
-    servers: Annotated[Mapping[Name, Server], Filled()]
+    servers: Annotated[Mapping[Name, Server], NonEmpty()]
 
 
 @attrs.frozen(kw_only=True)
 class Front:
-    """One search front.
+    """A search front.
 
     Attributes:
-        keys: the key space is `[0, keys)`.
-        hedge: second copies of slow sub-queries.
-        shards: its shards by name.
+        keys: size of the key space, which is `[0, keys)`.
+        hedge: settings for hedges of slow sub-queries.
+        shards: shards of the front by name.
     """
 
-    keys: Annotated[int, WholeNumber(least=1, most=_MAX_EXACT)]
+    keys: Annotated[int, WholeNumber(minimum=1, maximum=_MAX_SAFE_INTEGER)]
     hedge: HedgeSettings = HedgeSettings()
-    shards: Annotated[Mapping[Name, Shard], Filled()]
+    shards: Annotated[Mapping[Name, Shard], NonEmpty()]
 
 
 @attrs.frozen(kw_only=True)
 class Tenant:
-    """A tenant's share of slots when tenants compete."""
+    """Weight of a tenant in the weighted sharing of slots."""
 
     weight: Weight
 
 
 @attrs.frozen(kw_only=True)
 class TrafficClass:
-    """A traffic class's share of slots when classes compete."""
+    """Weight of a traffic class in the weighted sharing of slots."""
 
     weight: Weight
 
 
 @attrs.frozen(kw_only=True)
 class PatchRecord:
-    """One accepted patch.
+    """An accepted patch in the history of the document.
 
     Attributes:
-        id: chosen by the writer; tells whether a write took effect.
-        version: the version that this patch made.
-        author: who sent it.
+        id: identifier of the patch, chosen by the operator.
+        version: version of the document that the patch produced.
+        author: name of the operator who sent the patch.
         at_ms: civil time of the acceptance.
-        paths: what it changed.
+        paths: paths of the changed values.
     """
 
     id: PatchId
     version: Version
     author: Author
-    at_ms: Annotated[int, _EXACT]
-    paths: tuple[Line, ...]
+    at_ms: Annotated[int, _SAFE_INTEGER]
+    paths: tuple[ChangedPath, ...]
 
 
 @attrs.frozen(kw_only=True)
 class Document:
-    """The whole configuration under one version.
+    """The configuration of the fleet.
 
     Attributes:
-        version: rises by one with each accepted patch; zero before the first.
-        patches: the recent history, oldest first, bounded.
+        version: number of accepted patches; zero before the first patch.
+        patches: bounded history of accepted patches, oldest first.
         fronts: search fronts by name.
         tenants: tenants by name.
         classes: traffic classes by name.
--- a/packages/fennelfork/src/fennelfork/config/_document_problem.py
+++ b/packages/fennelfork/src/fennelfork/config/_document_problem.py
@@ -1,4 +1,4 @@
-"""What is wrong with a configuration document, each with its path."""
+"""Problems of a configuration document with their paths."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -16,12 +16,12 @@
 
 @attrs.frozen(kw_only=True)
 class Problem:
-    """One fault of a document.
+    """A validation problem of a document.
 
     Attributes:
-        path: where, keys joined by dots; empty for the document itself.
-        detail: what is wrong.
-        allowed: what would be accepted there.
+        path: keys joined by dots; empty for the document itself.
+        detail: description of the problem.
+        allowed: description of the allowed values.
     """
 
     path: str
@@ -29,66 +29,68 @@
     allowed: str
 
 
-class RuleBroken(ValueError):
-    """A value of a document that its rule does not allow."""
+class RuleViolationError(ValueError):
+    """Raised for a value that violates the rule of its field."""
 
     def __init__(self, detail: str, allowed: str) -> None:
-        """Keep what was found and what is allowed."""
+        """Store the description of the problem and of the allowed values."""
         super().__init__(detail)
         self.allowed = allowed
 
 
 def problems_of(error: Exception, path: str = '') -> Iterator[Problem]:
-    """Walk a validation error down to its single faults.
+    """Flatten a nested validation error to problems.
 
     Args:
-        error: what the converter raised.
-        path: where `error` was raised.
+        error: exception raised by the converter.
+        path: path of the value for which `error` was raised.
 
     Yields:
-        One problem for each fault.
+        One problem for each leaf of the nested error.
     """
     if not isinstance(error, BaseValidationError):
-        yield from _single(error, path)
+        yield from _leaf_problems(error, path)
         return
     for inner in error.exceptions:
-        yield from problems_of(inner, _inner_path(inner, path))
+        yield from problems_of(inner, _nested_path(inner, path))
 
 
-def has_rule(wanted: Any) -> bool:
-    """Tell whether a field's type carries a rule in its annotation."""
-    return bool(getattr(wanted, '__metadata__', ()))
+def has_rule(target: Any) -> bool:
+    """Whether the annotated type of a field contains a rule."""
+    return bool(getattr(target, '__metadata__', ()))
 
 
-def allowed_by(wanted: Any) -> str:
-    """Say in words what a field of a document may hold.
+def allowed_by(target: Any) -> str:
+    """Describe the allowed values of a field.
 
     Args:
-        wanted: the annotated type of the field.
+        target: annotated type of the field.
 
     Returns:
         A phrase that completes "must be ...".
     """
-    if has_rule(wanted):
-        return str(wanted.__metadata__[0].words)
-    if getattr(wanted, '__origin__', None) is tuple:
-        return 'a list'
-    return 'a table'
+    if has_rule(target):
+        return str(target.__metadata__[0].description)
+    if getattr(target, '__origin__', None) is tuple:
+        return 'a JSON array'
+    return 'a JSON object'
 
 
-def _single(error: Exception, path: str) -> Iterator[Problem]:
+def _leaf_problems(error: Exception, path: str) -> Iterator[Problem]:
     if isinstance(error, ForbiddenExtraKeysError):
-        yield from _unknown_keys(error, path)
-    elif isinstance(error, RuleBroken):
+        yield from _unknown_key_problems(error, path)
+    elif isinstance(error, RuleViolationError):
         yield Problem(path=path, detail=str(error), allowed=error.allowed)
     elif isinstance(error, KeyError):
-        yield Problem(path=path, detail='missing', allowed=_wanted(error))
+        yield Problem(
+            path=path, detail='missing', allowed=_allowed_for_missing(error)
+        )
     else:
         raise error
 
 
-def _inner_path(inner: Exception, path: str) -> str:
-    note = _note_of(inner)
+def _nested_path(inner: Exception, path: str) -> str:
+    note = _validation_note(inner)
     if note is None:
         return path
     if isinstance(note, AttributeValidationNote):
@@ -96,7 +98,7 @@
     return _join(path, str(note.index))
 
 
-def _note_of(error: Exception) -> _Note | None:
+def _validation_note(error: Exception) -> _Note | None:
     notes: list[Any] = getattr(error, '__notes__', [])
     for note in notes:
         if isinstance(note, _Note):
@@ -108,19 +110,19 @@
     return f'{path}.{key}' if path else key
 
 
-def _unknown_keys(
+def _unknown_key_problems(
     error: ForbiddenExtraKeysError,
     path: str,
 ) -> Iterator[Problem]:
-    known = ', '.join(field.name for field in attrs.fields(error.cl))
+    known_keys = ', '.join(field.name for field in attrs.fields(error.cl))
     for key in sorted(error.extra_fields):
         yield Problem(
             path=_join(path, key),
             detail='unknown key',
-            allowed=f'one of {known}',
+            allowed=f'one of {known_keys}',
         )
 
 
-def _wanted(error: KeyError) -> str:
-    note = _note_of(error)
+def _allowed_for_missing(error: KeyError) -> str:
+    note = _validation_note(error)
     return 'a value' if note is None else allowed_by(note.type)
--- a/packages/fennelfork/src/fennelfork/config/_patch_writer.py
+++ b/packages/fennelfork/src/fennelfork/config/_patch_writer.py
@@ -1,10 +1,11 @@
-"""The writer of one patch, under compare-and-swap with lost replies.
-
-The writer reads, decides, writes, and after anything but a clear answer reads
-back. What it finds under the version after its base settles the matter, since
-compare-and-swap lets only one patch make that version. Until the history
-shows it, the writer sends the very same write again: that is idempotent, as
-the first of the two to take effect moves the revision that both name.
+"""State machine that writes one patch with compare-and-swap.
+
+The writer reads the document, decides on the patch and writes the result. If
+the effect of the write is unknown, the writer reads the document again.
+Compare-and-swap lets only one patch produce the version after the base, so the
+history entry of that version determines the outcome. Without such an entry the
+writer repeats the same write. The repetition is idempotent, since the first
+write that takes effect changes the revision that both writes expect.
 """
 
 import functools
@@ -17,7 +18,7 @@
 from fennelfork._clock import Clock
 from fennelfork.config._backoff import Backoff
 from fennelfork.config._document import Document, PatchRecord
-from fennelfork.config._document_known import KnownDocument, known_document
+from fennelfork.config._parsed_document import ParsedDocument, parsed_document
 from fennelfork.config._patch import (
     PatchAccepted,
     PatchOutcome,
@@ -28,9 +29,9 @@
 from fennelfork.config._patch_decision import (
     PatchContext,
     decide_patch,
-    earlier_outcome,
-    lost_race,
+    outcome_from_history,
     read_stored,
+    refuse_outdated,
 )
 from fennelfork.config._patch_event import (
     DocumentRead,
@@ -40,73 +41,76 @@
     ReadDocument,
     ReadFailed,
     WriteApplied,
+    WriteConflict,
     WriteDocument,
-    WriteLost,
     WriteNotSent,
-    WriteRefused,
+    WriteOutcomeUnknown,
 )
 from fennelfork.config._patch_history import record_of_version
-from fennelfork.config._patch_refusal import unavailable, uncertain
+from fennelfork.config._patch_refusal import (
+    refuse_unavailable,
+    refuse_unknown_outcome,
+)
 
 _BACKOFF: Final = Backoff(base_ms=10, cap_ms=1000)
 _RETRY_AFTER_MS: Final = 5000
-_EMPTY: Final = known_document(Document())
+_EMPTY: Final = parsed_document(Document())
 
 
 @attrs.define(kw_only=True)
 class PatchWriter:
-    """State of one patch on its way to the platform.
+    """State of the write of one patch.
 
     Attributes:
-        request: the patch.
-        known_version: the highest version known when the patch came.
-        known: the document in force here when the patch came.
-        now_ms: civil time, for the history.
-        tries_left: failed calls that are still allowed.
-        give_up_at_ms: reading of the clock after which a failed call is the
-            last, so that the author is answered before going away.
-        jitter: spreads the retries of racing writers.
-        step: what to do next.
-        failures: failed calls so far.
-        write: the prepared document, once decided.
-        lost: whether a write was sent whose answer is missing.
+        request: request of the operator.
+        known_version: highest version known when the request arrived.
+        previous: active document when the request arrived.
+        now_ms: civil time for the history entry.
+        attempts_left: number of failed calls that are still allowed.
+        deadline_ms: monotonic time after which a failed call is not retried,
+            so that the operator is answered before the request times out.
+        jitter: random source that spreads the retries of concurrent writers.
+        step: next step to execute.
+        failures: number of failed calls.
+        write: prepared write; none before the decision.
+        has_unknown_write: whether a write was sent without an answer.
     """
 
     request: PatchRequest
     known_version: int
-    known: KnownDocument
+    previous: ParsedDocument
     now_ms: int
-    tries_left: int
-    give_up_at_ms: float
+    attempts_left: int
+    deadline_ms: float
     jitter: random.Random
     _clock: Clock
     step: PatchStep = ReadDocument()
     failures: int = 0
     write: PreparedWrite | None = None
-    lost: bool = False
+    has_unknown_write: bool = False
 
     def finish(self, outcome: PatchOutcome) -> None:
-        """Settle the patch."""
+        """End the patch with an outcome."""
         self.step = PatchDone(outcome=outcome)
 
-    def give_up(self, detail: str) -> None:
-        """Settle the patch with what is certain without the platform.
+    def abandon(self, detail: str) -> None:
+        """End the patch with the verdict that holds without the platform.
 
         Args:
-            detail: why the platform could not be asked.
+            detail: reason why the platform is unavailable.
         """
-        refused = uncertain(self.request.patch_id)
-        if not self.lost:
-            refused = unavailable(detail, _RETRY_AFTER_MS)
+        refused = refuse_unknown_outcome(self.request.patch_id)
+        if not self.has_unknown_write:
+            refused = refuse_unavailable(detail, _RETRY_AFTER_MS)
         self.finish(Failure(refused))
 
     def retry(self, detail: str) -> None:
-        """Read again after a wait, or give up when the tries are spent."""
+        """Schedule a read after a delay, or abandon the patch."""
         self.failures += 1
-        self.tries_left -= 1
-        late = self._clock.now_ms() >= self.give_up_at_ms
-        if late or self.tries_left <= 0:
-            self.give_up(detail)
+        self.attempts_left -= 1
+        is_overdue = self._clock.now_ms() >= self.deadline_ms
+        if is_overdue or self.attempts_left <= 0:
+            self.abandon(detail)
             return
         delay_ms = _BACKOFF.delay_ms(self.failures, self.jitter)
         self.step = ReadDocument(delay_ms=delay_ms)
@@ -114,16 +118,16 @@
 
 @functools.singledispatch
 def advance_patch(event: PatchEvent, writer: PatchWriter) -> None:
-    """Take one event into account; `writer.step` then says what to do.
+    """Apply an event and set `writer.step` to the next step.
 
     Args:
-        event: what came of the last step.
-        writer: the writer that asked for it.
+        event: result of the last step.
+        writer: writer that requested the step.
 
     Raises:
-        TypeError: if `event` is no event of a writer.
+        TypeError: if `event` is not a `PatchEvent`.
     """
-    raise TypeError(f'not an event: {event!r}')
+    raise TypeError(f'expected a PatchEvent, got {event!r}')
 
 
 @advance_patch.register
@@ -137,21 +141,21 @@
 
 
 @advance_patch.register
-def _(event: WriteLost, writer: PatchWriter) -> None:
-    writer.lost = True
+def _(event: WriteOutcomeUnknown, writer: PatchWriter) -> None:
+    writer.has_unknown_write = True
     writer.retry(event.detail)
 
 
 @advance_patch.register
-def _(event: WriteRefused, writer: PatchWriter) -> None:
-    writer.retry('the platform keeps refusing the write')
+def _(event: WriteConflict, writer: PatchWriter) -> None:
+    writer.retry('the platform refused the write because the key had changed')
 
 
 @advance_patch.register
 def _(event: WriteApplied, writer: PatchWriter) -> None:
     write = writer.write
     if write is None:
-        raise TypeError('a write was applied that was never asked for')
+        raise TypeError('WriteApplied was received before a write was prepared')
     accepted = PatchAccepted(record=write.record, raw=write.raw)
     writer.finish(Success(accepted))
 
@@ -159,16 +163,16 @@
 @advance_patch.register
 def _(event: DocumentRead, writer: PatchWriter) -> None:
     if writer.write is None:
-        _decide(writer, event.stored)
+        _decide_step(writer, event.stored)
     else:
-        _settle(writer, writer.write, event.stored)
+        _resolve_write(writer, writer.write, event.stored)
 
 
-def _decide(writer: PatchWriter, stored: StoredDocument) -> None:
+def _decide_step(writer: PatchWriter, stored: StoredDocument) -> None:
     context = PatchContext(
         stored=stored,
         known_version=writer.known_version,
-        known=writer.known,
+        previous=writer.previous,
         now_ms=writer.now_ms,
     )
     decided: Any = decide_patch(writer.request, context)
@@ -180,28 +184,30 @@
         writer.finish(decided)
 
 
-def _settle(
+def _resolve_write(
     writer: PatchWriter,
     write: PreparedWrite,
     stored: StoredDocument,
 ) -> None:
-    shown = read_stored(stored, writer.known).value_or(_EMPTY)
-    winner = record_of_version(shown.document, write.record.version)
+    current = read_stored(stored, writer.previous).value_or(_EMPTY)
+    winner = record_of_version(current.document, write.record.version)
     if winner:
-        writer.finish(_of_winner(writer.request, winner, shown))
+        writer.finish(_outcome_of_winner(writer.request, winner, current))
     elif stored.revision == write.revision:
         writer.step = WriteDocument(write=write)
-    elif writer.lost:
-        writer.retry('the platform shows neither the base nor its successor')
+    elif writer.has_unknown_write:
+        writer.retry(
+            'the platform holds neither the base version nor its successor'
+        )
     else:
-        _decide(writer, stored)
+        _decide_step(writer, stored)
 
 
-def _of_winner(
+def _outcome_of_winner(
     request: PatchRequest,
     winner: PatchRecord,
-    shown: KnownDocument,
+    current: ParsedDocument,
 ) -> Any:
     if winner.id == request.patch_id:
-        return earlier_outcome(request, winner)
-    return Failure(lost_race(request, shown))
+        return outcome_from_history(request, winner)
+    return Failure(refuse_outdated(request, current))
--- a/packages/fennelfork/src/fennelfork/placement/_home_index.py
+++ b/packages/fennelfork/src/fennelfork/placement/_home_index.py
@@ -1,4 +1,4 @@
-"""Homes of shards, found fast for a fleet of some hundred members."""
+"""Index of the home daemons of shards."""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from itertools import product
@@ -7,78 +7,83 @@
 import attrs
 
 from fennelfork.membership._member import Member, MemberStatus
-from fennelfork.placement._weight import heaviest, weight_key
+from fennelfork.placement._weight import heaviest_member, weight_key
 
-# A leaving member still serves, a suspect one may not: it comes last.
+# Suspect members come last: unlike leaving members, they may not respond.
 _PREFERENCE: Final = (
     MemberStatus.ALIVE,
     MemberStatus.LEAVING,
     MemberStatus.SUSPECT,
 )
 _PURPOSE: Final = 'home'
-_MOST_REMEMBERED: Final = 65_536
-_NOBODY: Final[frozenset[str]] = frozenset()
+_MAX_CACHED_HOMES: Final = 65_536
+_NO_MEMBERS: Final[frozenset[str]] = frozenset()
 
 _Group = tuple[bool, MemberStatus, str]
-_Asked = tuple[str, str, tuple[str, ...]]
+_CacheKey = tuple[str, str, tuple[str, ...]]
 
 
 @attrs.define(kw_only=True)
 class HomeIndex:
-    """Members by state and data centre, and the homes worked out so far.
+    """Members grouped by state and data centre, with a cache of homes.
 
-    It holds for one state of the members; build another when they change.
-    A home costs one hash for each member of a data centre the first time, and
-    one look-up after that.
+    The index is valid for one membership; a change of the members requires a
+    new index. The first look-up of a shard hashes each member of a data centre,
+    later look-ups read the cache.
     """
 
     _groups: Mapping[_Group, list[Member]]
-    _remembered: dict[_Asked, Member | None] = attrs.field(factory=dict)
+    _cache: dict[_CacheKey, Member | None] = attrs.field(factory=dict)
 
     def home(
         self,
         front: str,
         shard: str,
         data_centres: Sequence[str],
-        avoid: frozenset[str] = _NOBODY,
+        avoid: frozenset[str] = _NO_MEMBERS,
     ) -> Member | None:
-        """Name the daemon that hands out the slots of a shard's servers.
+        """Return the home daemon of a shard.
 
         Args:
             front: name of the search front.
             shard: name of the shard within the front.
-            data_centres: where the home should be, best first.
-            avoid: members to use only where no other is left.
+            data_centres: preferred data centres of the home, best first.
+            avoid: names of members to use only if no other member is usable.
 
         Returns:
-            Of the alive members in the first data centre that has any, the
-            one with the highest weight; failing that any alive member
-            elsewhere, then a leaving one, then a suspect one; those without
-            a configuration come last; none if all are dead.
+            The member with the highest weight among the alive members of the
+            first data centre that has any. Without such a member: an alive
+            member of another data centre, then a leaving, then a suspect
+            member. Members without a configuration come last; none if all
+            members are dead.
         """
-        asked = (front, shard, tuple(data_centres))
-        best = self._remember(asked)
+        cache_key = (front, shard, tuple(data_centres))
+        best = self._cached_home(cache_key)
         if best is None or best.name not in avoid:
             return best
-        return self._find(asked, avoid) or best
+        return self._find_home(cache_key, avoid) or best
 
-    def _remember(self, asked: _Asked) -> Member | None:
-        if asked not in self._remembered:
-            if len(self._remembered) >= _MOST_REMEMBERED:
-                self._remembered.clear()
-            self._remembered[asked] = self._find(asked, _NOBODY)
-        return self._remembered[asked]
+    def _cached_home(self, cache_key: _CacheKey) -> Member | None:
+        if cache_key not in self._cache:
+            if len(self._cache) >= _MAX_CACHED_HOMES:
+                self._cache.clear()
+            self._cache[cache_key] = self._find_home(cache_key, _NO_MEMBERS)
+        return self._cache[cache_key]
 
-    def _find(self, asked: _Asked, avoid: frozenset[str]) -> Member | None:
-        front, shard, data_centres = asked
+    def _find_home(
+        self, cache_key: _CacheKey, avoid: frozenset[str]
+    ) -> Member | None:
+        front, shard, data_centres = cache_key
         key = weight_key(_PURPOSE, front, shard)
-        for group in self._in_order(data_centres):
-            usable = [member for member in group if member.name not in avoid]
-            if usable:
-                return heaviest(key, usable)
+        for group in self._ordered_groups(data_centres):
+            candidates = [
+                member for member in group if member.name not in avoid
+            ]
+            if candidates:
+                return heaviest_member(key, candidates)
         return None
 
-    def _in_order(
+    def _ordered_groups(
         self,
         data_centres: tuple[str, ...],
     ) -> Iterator[list[Member]]:
@@ -94,7 +99,7 @@
 
 
 def home_index(members: Iterable[Member]) -> HomeIndex:
-    """Build the index of members as they are now."""
+    """Build the index of the given members."""
     groups: dict[_Group, list[Member]] = {}
     for member in members:
         key = (member.is_ready, member.state, member.data_centre)
--- a/packages/fennelfork/src/fennelfork/placement/_peer_health.py
+++ b/packages/fennelfork/src/fennelfork/placement/_peer_health.py
@@ -1,7 +1,7 @@
-"""Which daemons gave no reply lately, as seen by one root.
+"""Failures of peers as observed by one root daemon.
 
-Membership notices a lost daemon after seconds; a root that had to wait for
-one avoids it at once, for a while that doubles with each silence.
+Membership detects a crashed daemon after seconds. A root daemon avoids an
+unresponsive peer immediately, for a pause that doubles with each failure.
 """
 
 from typing import Final
@@ -10,53 +10,53 @@
 
 from fennelfork._clock import Clock
 
-_FIRST_PAUSE_MS: Final = 500
-_LONGEST_PAUSE_MS: Final = 8000
+_INITIAL_PAUSE_MS: Final = 500
+_MAX_PAUSE_MS: Final = 8000
 
 
 @attrs.define(kw_only=True)
-class _Silence:
+class _Avoidance:
     until_ms: float
     pause_ms: float
 
 
 @attrs.define(kw_only=True)
 class PeerHealth:
-    """Remembers silent daemons by name."""
+    """Unresponsive peers by name."""
 
     _clock: Clock
-    _silences: dict[str, _Silence] = attrs.field(factory=dict)
+    _avoidances: dict[str, _Avoidance] = attrs.field(factory=dict)
 
     @property
     def avoided(self) -> frozenset[str]:
-        """The daemons to avoid now."""
+        """Names of the peers to avoid now."""
         now_ms = self._clock.now_ms()
         return frozenset(
             name
-            for name, silence in self._silences.items()
-            if silence.until_ms > now_ms
+            for name, avoidance in self._avoidances.items()
+            if avoidance.until_ms > now_ms
         )
 
-    def note_silence(self, name: str) -> None:
-        """A daemon gave no reply in time, or cannot be reached."""
+    def record_failure(self, name: str) -> None:
+        """Record that a peer timed out or could not be reached."""
         now_ms = self._clock.now_ms()
-        known = self._silences.get(name)
-        if known is None:
-            pause_ms: float = _FIRST_PAUSE_MS
-        elif known.until_ms > now_ms:
+        previous = self._avoidances.get(name)
+        if previous is None:
+            pause_ms: float = _INITIAL_PAUSE_MS
+        elif previous.until_ms > now_ms:
             return
         else:
-            pause_ms = min(known.pause_ms * 2, _LONGEST_PAUSE_MS)
-        self._silences[name] = _Silence(
+            pause_ms = min(previous.pause_ms * 2, _MAX_PAUSE_MS)
+        self._avoidances[name] = _Avoidance(
             until_ms=now_ms + pause_ms,
             pause_ms=pause_ms,
         )
 
-    def note_reply(self, name: str) -> None:
-        """A daemon replied in time."""
-        self._silences.pop(name, None)
+    def record_reply(self, name: str) -> None:
+        """Record that a peer replied in time."""
+        self._avoidances.pop(name, None)
 
 
 def peer_health(clock: Clock) -> PeerHealth:
-    """Build the memory of a root that knows of no silence."""
+    """Build the peer health of a root daemon without recorded failures."""
     return PeerHealth(clock=clock)
