--- a/packages/fennelfork/src/fennelfork/membership/_health.py
+++ b/packages/fennelfork/src/fennelfork/membership/_health.py
@@ -1,31 +1,31 @@
-"""How far this daemon trusts its own timing."""
+"""Local health score, which lengthens the timeouts of a slow daemon."""
 
 from typing import Final
 
 import attrs
 
-_WORST: Final = 8
+_MAX_SCORE: Final = 8
 
 
 @attrs.define(kw_only=True)
 class LocalHealth:
-    """A score that stretches this daemon's own timeouts.
+    """Score that multiplies the probe timeouts of the local daemon.
 
-    A daemon that is itself slow sees others as late. Each sign of that makes
-    it wait longer before it accuses anyone; each answer in time heals it.
+    A daemon that is itself slow sees late acknowledgements from healthy
+    members. The longer timeouts avoid false suspicions.
     """
 
     score: int = 0
 
     @property
-    def factor(self) -> int:
-        """By how much timeouts are to be multiplied, one when healthy."""
+    def timeout_factor(self) -> int:
+        """Multiplier of probe timeouts; 1 for a healthy daemon."""
         return 1 + self.score
 
-    def better(self) -> None:
-        """Count an answer in time."""
+    def improve(self) -> None:
+        """Record an acknowledgement in time."""
         self.score = max(0, self.score - 1)
 
-    def worse(self) -> None:
-        """Count a sign that this daemon is slow or cut off."""
-        self.score = min(_WORST, self.score + 1)
+    def degrade(self) -> None:
+        """Record a sign that the local daemon is slow or disconnected."""
+        self.score = min(_MAX_SCORE, self.score + 1)
--- a/packages/fennelfork/src/fennelfork/once/_admission.py
+++ b/packages/fennelfork/src/fennelfork/once/_admission.py
@@ -1,4 +1,4 @@
-"""What to do with a non-idempotent request that came in."""
+"""Admission of a non-idempotent request that arrives at its daemon."""
 
 import functools
 
@@ -11,41 +11,45 @@
 
 
 @attrs.frozen(kw_only=True)
-class RunIt:
-    """The request is new: whoever holds this runs it."""
+class StartExecution:
+    """The request is new: start its execution."""
 
 
 @attrs.frozen(kw_only=True)
-class AwaitIt:
-    """The request is being run: wait for that run."""
+class AwaitRunning:
+    """The request is running: wait for the result."""
 
 
 @attrs.frozen(kw_only=True)
-class AnswerIt:
-    """The request has ended: give this answer."""
+class ReplayAnswer:
+    """The request has finished: return the stored answer.
+
+    Attributes:
+        answer: stored outcome or failure.
+    """
 
     answer: Result[str, Failure]
 
 
-OnceAdmission = RunIt | AwaitIt | AnswerIt
+OnceAdmission = StartExecution | AwaitRunning | ReplayAnswer
 
 
 @functools.singledispatch
-def repeat_admission(state: OnceState) -> OnceAdmission:
-    """Decide on a repeat by the state of the first."""
-    raise TypeError(f'not a state: {state!r}')
+def admit_duplicate(state: OnceState) -> OnceAdmission:
+    """Decide on a duplicate request from the state of the first one."""
+    raise TypeError(f'unknown request state: {state!r}')
 
 
-@repeat_admission.register
-def _repeat_open(state: Accepted | Sent) -> OnceAdmission:
-    return AwaitIt()
+@admit_duplicate.register
+def _admit_duplicate_open(state: Accepted | Sent) -> OnceAdmission:
+    return AwaitRunning()
 
 
-@repeat_admission.register
-def _repeat_done(state: Done) -> OnceAdmission:
-    return AnswerIt(answer=Success(state.outcome))
+@admit_duplicate.register
+def _admit_duplicate_done(state: Done) -> OnceAdmission:
+    return ReplayAnswer(answer=Success(state.outcome))
 
 
-@repeat_admission.register
-def _repeat_ended(state: Ended) -> OnceAdmission:
-    return AnswerIt(answer=Failed(state.failure))
+@admit_duplicate.register
+def _admit_duplicate_ended(state: Ended) -> OnceAdmission:
+    return ReplayAnswer(answer=Failed(state.failure))
--- a/packages/fennelfork/src/fennelfork/once/_gate.py
+++ b/packages/fennelfork/src/fennelfork/once/_gate.py
@@ -1,4 +1,4 @@
-"""The way of a non-idempotent request into the incarnation that may run it."""
+"""Routing and admission of non-idempotent requests in one incarnation."""
 
 import random
 
@@ -9,7 +9,7 @@
 from fennelfork._clock import Clock
 from fennelfork._verdict import Failure
 from fennelfork.once._admission import OnceAdmission
-from fennelfork.once._memory import (
+from fennelfork.once._table import (
     OnceLimits,
     OnceRequest,
     OnceTable,
@@ -22,21 +22,21 @@
     check_binding,
     check_ticket,
     issue_ticket,
-    unsettled,
+    unknown_outcome,
 )
 
 
 @attrs.frozen(kw_only=True)
 class ExecuteRequest:
-    """A non-idempotent request as a caller sends it.
+    """Non-idempotent request of a caller.
 
     Attributes:
-        request_id: the caller's name of it, bound to the ticket.
-        ticket: text of the ticket it is sent under.
-        front: the search front that holds the record.
-        key: the record that it acts on.
-        action: what to do, as the backend server understands it.
-        tenant: on whose behalf.
+        request_id: id that the caller chose and bound to the ticket.
+        ticket: text of the ticket.
+        front: search front that contains the record.
+        key: key of the record that the request changes.
+        action: action in the terms of the backend server.
+        tenant: tenant of the caller.
     """
 
     request_id: str
@@ -48,13 +48,18 @@
 
 
 @attrs.frozen(kw_only=True)
-class RunHere:
-    """This incarnation issued the ticket."""
+class ExecuteLocally:
+    """The local incarnation issued the ticket and decides on the request."""
 
 
 @attrs.frozen(kw_only=True)
-class PassOn:
-    """Another live incarnation issued the ticket; only it may decide."""
+class ForwardToPeer:
+    """Another incarnation issued the ticket and has to decide on the request.
+
+    Attributes:
+        daemon: name of the daemon in the ticket.
+        incarnation: incarnation of that daemon in the ticket.
+    """
 
     daemon: str
     incarnation: int
@@ -62,73 +67,80 @@
 
 @attrs.define(kw_only=True)
 class OnceGate:
-    """Tickets and memory of one incarnation, which begin and end together."""
+    """Ticket issuer and request table of one incarnation."""
 
     _key: TicketKey
     _clock: Clock
     _rng: random.Random
     _table: OnceTable
-    _closed: bool = False
+    _is_closed: bool = False
 
     @property
     def table(self) -> OnceTable:
-        """The request ids taken by this incarnation."""
+        """The request ids that this incarnation has accepted."""
         return self._table
 
     def issue(self, lifetime_ms: int) -> Ticket | None:
-        """Issue a ticket, or none once the incarnation is leaving."""
-        if self._closed:
+        """Issue a ticket, or none after `stop_issuing`."""
+        if self._is_closed:
             return None
         return issue_ticket(self._key, self._clock, self._rng, lifetime_ms)
 
-    def close(self) -> None:
-        """Issue no more tickets; requests under issued ones are still taken.
+    def stop_issuing(self) -> None:
+        """Stop issuing tickets and still accept requests under issued ones.
 
-        A leaving daemon serves until what it gave out has expired.
+        A draining daemon serves until its tickets have expired.
         """
-        self._closed = True
+        self._is_closed = True
 
-    def refuse_new(self) -> None:
-        """Refuse every request not yet known, for good, before exiting."""
-        self._closed = True
-        self._table.close()
+    def refuse_new_requests(self) -> None:
+        """Refuse unknown request ids permanently, before the process exits."""
+        self._is_closed = True
+        self._table.close_issued_tickets()
 
     def route(
         self, request: ExecuteRequest
-    ) -> Result[RunHere | PassOn, Failure]:
-        """Decide which incarnation answers a request that came in here.
+    ) -> Result[ExecuteLocally | ForwardToPeer, Failure]:
+        """Return the incarnation that decides on a request.
 
         Returns:
-            Where to decide it; or a failure, if its id is not bound to its
-            ticket, or the ticket is of a former run of this daemon.
+            The place of the decision, or a failure: the request id is not
+            bound to the ticket, or an earlier incarnation of the local daemon
+            issued the ticket.
         """
         return check_binding(request.request_id, request.ticket).bind(
             self._route
         )
 
     def admit(self, request: ExecuteRequest) -> Result[OnceAdmission, Failure]:
-        """Decide on a request that came here, directly or passed on.
+        """Decide on a request that arrived directly or was forwarded.
 
         Returns:
-            What to do with it, or the failure to answer.
+            The admission decision or the failure to answer.
         """
         ticket = check_binding(request.request_id, request.ticket)
-        return ticket.bind(self._check).bind(
-            lambda genuine: self._table.admit(genuine, _table_view(request)),
+        return ticket.bind(self._check_ticket).bind(
+            lambda genuine: self._table.admit(genuine, _once_request(request)),
         )
 
-    def _check(self, ticket: Ticket) -> Result[Ticket, Failure]:
+    def _check_ticket(self, ticket: Ticket) -> Result[Ticket, Failure]:
         return check_ticket(self._key, ticket)
 
-    def _route(self, ticket: Ticket) -> Result[RunHere | PassOn, Failure]:
+    def _route(
+        self, ticket: Ticket
+    ) -> Result[ExecuteLocally | ForwardToPeer, Failure]:
         terms = ticket.terms
         if terms.daemon != self._key.daemon:
             return Success(
-                PassOn(daemon=terms.daemon, incarnation=terms.incarnation),
+                ForwardToPeer(
+                    daemon=terms.daemon, incarnation=terms.incarnation
+                ),
             )
         if terms.incarnation != self._key.incarnation:
-            return Failed(unsettled('the daemon of the ticket has restarted'))
-        return Success(RunHere())
+            return Failed(
+                unknown_outcome('the daemon of the ticket has restarted')
+            )
+        return Success(ExecuteLocally())
 
 
 def once_gate(
@@ -140,10 +152,10 @@
     """Build the gate of a new incarnation.
 
     Args:
-        key: a key drawn for this incarnation.
+        key: secret key of the incarnation.
         clock: monotonic clock of the incarnation.
-        rng: source of the serials of tickets.
-        limits: bounds of what is remembered.
+        rng: source of ticket serials.
+        limits: limits of the request table.
     """
     return OnceGate(
         key=key,
@@ -153,7 +165,7 @@
     )
 
 
-def _table_view(request: ExecuteRequest) -> OnceRequest:
+def _once_request(request: ExecuteRequest) -> OnceRequest:
     return once_request(
         request.request_id,
         request.front,
--- a/packages/fennelfork/src/fennelfork/once/_target.py
+++ b/packages/fennelfork/src/fennelfork/once/_target.py
@@ -1,4 +1,4 @@
-"""Which backend servers may run a non-idempotent request."""
+"""Selection of backend servers for a non-idempotent request."""
 
 import random
 from collections.abc import Iterable
@@ -11,47 +11,53 @@
 
 @attrs.frozen(kw_only=True)
 class NamedServer:
-    """A configured backend server under its name."""
+    """Configured backend server and its name.
+
+    Attributes:
+        name: name of the backend server in the shard.
+        server: settings of the backend server.
+    """
 
     name: str
     server: Server
 
 
-def execute_servers(
+def servers_for_record(
     front: Front,
     views: Iterable[ShardView],
     key: int,
     data_centre: str,
     rng: random.Random,
 ) -> tuple[NamedServer, ...]:
-    """List the servers that hold a record, the best first.
+    """Return the backend servers that hold a record, best first.
 
-    While records move, the shard that holds the record at the newest snapshot
-    comes first; each server refuses what it no longer holds.
+    While a record moves, several shards may hold the record; the shard with the
+    newest snapshot comes first. A backend server refuses a record that it no
+    longer holds.
 
     Args:
         front: settings of the front.
-        views: what each of its shards holds.
-        key: the record.
-        data_centre: where this daemon runs; its own servers come first.
-        rng: spreads the load over equal servers.
+        views: key ranges that each shard of the front holds.
+        key: key of the record.
+        data_centre: data centre of the local daemon, whose servers come first.
+        rng: source of the random order of equal servers.
     """
     newest = {
         view.shard: version
         for view in views
-        if (version := _newest(view, key)) is not None
+        if (version := _newest_version(view, key)) is not None
     }
-    holders = [name for name in front.shards if name in newest]
-    holders.sort(key=newest.__getitem__, reverse=True)
-    found: list[NamedServer] = []
-    for name in holders:
+    shard_names = [name for name in front.shards if name in newest]
+    shard_names.sort(key=newest.__getitem__, reverse=True)
+    candidates: list[NamedServer] = []
+    for name in shard_names:
         servers = front.shards[name].servers.items()
-        found.extend(_ordered(servers, data_centre, rng))
-    return tuple(found)
+        candidates.extend(_order_by_distance(servers, data_centre, rng))
+    return tuple(candidates)
 
 
-def _newest(view: ShardView, key: int) -> int | None:
-    """Give the newest snapshot at which a shard holds a record."""
+def _newest_version(view: ShardView, key: int) -> int | None:
+    """Return the newest snapshot in which a shard holds a record."""
     versions = (
         snapshot.version
         for snapshot in view.snapshots
@@ -60,12 +66,14 @@
     return max(versions, default=None)
 
 
-def _ordered(
+def _order_by_distance(
     servers: Iterable[tuple[str, Server]],
     data_centre: str,
     rng: random.Random,
 ) -> list[NamedServer]:
     named = [NamedServer(name=name, server=each) for name, each in servers]
     rng.shuffle(named)
-    named.sort(key=lambda one: one.server.data_centre != data_centre)
+    named.sort(
+        key=lambda named_server: named_server.server.data_centre != data_centre
+    )
     return named
