--- a/packages/fennelfork/src/fennelfork/routes/_quarantine.py
+++ b/packages/fennelfork/src/fennelfork/routes/_quarantine.py
@@ -27,8 +27,7 @@
 
 # Leaves crashed servers time to restart before a trial.
 _TRIAL_DELAY_MS: Final = 30_000.0
-# Up to two attempts may have reached servers after the third crash, before all
-# daemons received the update, so the number of trials stays minimal.
+# Each trial may crash another server.
 _MAX_TRIALS: Final = 1
 
 
