--- a/packages/fennelfork/src/fennelfork/routes/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/routes/__init__.pyi
@@ -1,8 +1,5 @@
 """Routes of callers to the services that answer them, and what is decided."""
 
-from ._allowance import Allowances as Allowances
-from ._allowance import RepeatPolicy as RepeatPolicy
-from ._allowance import allowances as allowances
 from ._blame import Answered as Answered
 from ._blame import CallEnd as CallEnd
 from ._blame import CallRecord as CallRecord
@@ -32,8 +29,9 @@
 from ._records import RECORD_BYTES as RECORD_BYTES
 from ._records import greatest as greatest
 from ._registry import Registry as Registry
-from ._roster import BackendServer as BackendServer
-from ._roster import Roster as Roster
+from ._retry_budget import Allowances as Allowances
+from ._retry_budget import RepeatPolicy as RepeatPolicy
+from ._retry_budget import allowances as allowances
 from ._route import Gather as Gather
 from ._route import Route as Route
 from ._route import Share as Share
@@ -51,13 +49,15 @@
 from ._selection import Selector as Selector
 from ._send import Send as Send
 from ._sender import DispatchParts as DispatchParts
+from ._server_directory import BackendServer as BackendServer
+from ._server_directory import Roster as Roster
 from ._server_state import ServerState as ServerState
 from ._server_state import ServerStates as ServerStates
-from ._store_pace import FIRST_LISTING_MS as FIRST_LISTING_MS
-from ._store_pace import STORE_RETRY_MS as STORE_RETRY_MS
-from ._store_pace import StorePace as StorePace
-from ._store_pace import WatchTimes as WatchTimes
-from ._store_pace import store_pace as store_pace
+from ._store_polling import FIRST_LISTING_MS as FIRST_LISTING_MS
+from ._store_polling import STORE_RETRY_MS as STORE_RETRY_MS
+from ._store_polling import StorePace as StorePace
+from ._store_polling import WatchTimes as WatchTimes
+from ._store_polling import store_pace as store_pace
 from ._suspicion import RequestStanding as RequestStanding
 from ._suspicion import ServerEnd as ServerEnd
 from ._suspicion import Suspicion as Suspicion
--- a/packages/fennelfork/src/fennelfork/routes/_selection.py
+++ b/packages/fennelfork/src/fennelfork/routes/_selection.py
@@ -10,7 +10,7 @@
 from fennelfork._clock import Clock
 from fennelfork.routes._connection_share import ConnectionShares
 from fennelfork.routes._pace import Pace
-from fennelfork.routes._roster import BackendServer, Roster
+from fennelfork.routes._server_directory import BackendServer, Roster
 from fennelfork.routes._server_state import ServerState, ServerStates
 from fennelfork.servers._rank import Candidate, best
 
--- a/packages/fennelfork/src/fennelfork/routes/_send.py
+++ b/packages/fennelfork/src/fennelfork/routes/_send.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from fennelfork.routes._roster import BackendServer
+from fennelfork.routes._server_directory import BackendServer
 
 
 @attrs.frozen(kw_only=True)
--- a/packages/fennelfork/src/fennelfork/routes/_sender.py
+++ b/packages/fennelfork/src/fennelfork/routes/_sender.py
@@ -6,12 +6,12 @@
 
 import attrs
 
-from fennelfork.routes._allowance import Allowances
 from fennelfork.routes._leg import Leg
 from fennelfork.routes._pace import Pace
-from fennelfork.routes._roster import BackendServer
+from fennelfork.routes._retry_budget import Allowances
 from fennelfork.routes._selection import Selection, Selector
 from fennelfork.routes._send import Send
+from fennelfork.routes._server_directory import BackendServer
 
 # Copies that surely did not run, or whose connection was reset before it
 # carried anything, are sent again at most this often.
