--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
@@ -63,7 +63,7 @@
         # A supervisor may repeat its signal, and kills in the end by itself.
         repeat_forces_end=False,
         # Others name this daemon until they have asked for changes.
-        propagation_ms=lambda: follower.pace.extra_gather_ms,
+        propagation_ms=lambda: follower.pace.extra_batch_delay_ms,
     )
     steps = StopLog(log=log)
     return stop_service(policy, clock, registration, in_progress, steps)
--- /dev/null
+++ b/packages/fennelfork/src/fennelfork/routes/_retry_budget.py
@@ -0,0 +1,112 @@
+"""Retry budgets: limits on the extra attempts of this daemon per service.
+
+Within any time window, all daemons together may send a service extra attempts
+for a ratio of its requests, plus a fixed number. Each daemon applies the ratio
+to its own requests and uses an equal share of the fixed number, so the limit
+holds for the fleet without coordination.
+"""
+
+from collections import deque
+from typing import Final
+
+import attrs
+
+from fennelfork._clock import Clock
+from fennelfork.routes._fleet_size import FleetSize
+
+# Fraction of the fixed number that is used; the rest covers daemons that have
+# joined but are not yet known here.
+_MARGIN: Final = 0.8
+
+
+@attrs.frozen(kw_only=True)
+class RetryPolicy:
+    """Limit on the extra attempts of all daemons together.
+
+    Attributes:
+        ratio: extra attempts per request.
+        fixed: extra attempts per window in addition to the ratio.
+        window_ms: length of the window in milliseconds.
+    """
+
+    ratio: float
+    fixed: float
+    window_ms: float
+
+
+@attrs.define(kw_only=True)
+class _SlidingWindow:
+    """Times of the recent requests and extra attempts of one service."""
+
+    requests: deque[float] = attrs.field(factory=deque)
+    extra_attempts: deque[float] = attrs.field(factory=deque)
+
+    def discard_before(self, before_ms: float) -> None:
+        """Remove all entries that are older than a point in time."""
+        for sent in (self.requests, self.extra_attempts):
+            while sent and sent[0] < before_ms:
+                sent.popleft()
+
+
+@attrs.define(kw_only=True)
+class RetryBudgets:
+    """Counts the requests and extra attempts of each service.
+
+    Attributes:
+        policy: limit on the extra attempts of all daemons together.
+    """
+
+    policy: RetryPolicy
+    _clock: Clock
+    _fleet: FleetSize
+    _started_ms: float
+    _windows: dict[str, _SlidingWindow] = attrs.field(factory=dict)
+
+    def note_request(self, service: str) -> None:
+        """Record the first attempt of a request to a service."""
+        self._window(service).requests.append(self._clock.now_ms())
+
+    def try_spend(self, service: str) -> bool:
+        """Record an extra attempt if the budget of the service allows it.
+
+        Returns:
+            Whether the extra attempt may be sent.
+        """
+        window = self._window(service)
+        if len(window.extra_attempts) + 1 > self._limit(window):
+            return False
+        window.extra_attempts.append(self._clock.now_ms())
+        return True
+
+    def _limit(self, window: _SlidingWindow) -> float:
+        return self.policy.ratio * len(window.requests) + self._fixed_share()
+
+    def _fixed_share(self) -> float:
+        """Return the share of this daemon in the fixed number.
+
+        The share is zero during the first window after the start, because a
+        previous incarnation of this daemon may have used it already.
+        """
+        age_ms = self._clock.now_ms() - self._started_ms
+        if age_ms < self.policy.window_ms or not self._fleet.is_known:
+            return 0
+        return _MARGIN * self.policy.fixed / self._fleet.max_size
+
+    def _window(self, service: str) -> _SlidingWindow:
+        window = self._windows.setdefault(service, _SlidingWindow())
+        window.discard_before(self._clock.now_ms() - self.policy.window_ms)
+        return window
+
+
+def retry_budgets(
+    policy: RetryPolicy,
+    clock: Clock,
+    fleet: FleetSize,
+) -> RetryBudgets:
+    """Create the retry budgets of a daemon that starts now."""
+    return RetryBudgets(
+        policy=policy,
+        clock=clock,
+        fleet=fleet,
+        started_ms=clock.now_ms(),
+    )
--- /dev/null
+++ b/packages/fennelfork/src/fennelfork/routes/_store_polling.py
@@ -0,0 +1,114 @@
+"""Timeouts and delays of the calls to the platform's key-value store."""
+
+from typing import Final
+
+import attrs
+
+from fennelfork.routes._fleet_size import FleetSize
+
+# Initial timeout of a response, which doubles with each failed call. The store
+# responds far sooner unless the call or the response is lost.
+_RESPONSE_MS: Final = 300.0
+# Minimum delay before a failed call is retried.
+STORE_RETRY_DELAY_MS: Final = 150.0
+# Updates within the batch delay are fetched by one call. Every daemon fetches
+# every update, so the delay grows with the fleet to bound the load of the store.
+_BATCH_DELAY_PER_DAEMON_MS: Final = 15.0
+_MIN_BATCH_DELAY_MS: Final = 300.0
+_MAX_BATCH_DELAY_MS: Final = 1000.0
+# Minimum duration of a watch, which bounds the rate of calls.
+_MIN_WATCH_MS: Final = 500.0
+# Duration of a watch after a failed call: short, because the response shows
+# whether the store is available again.
+_RETRY_WATCH_MS: Final = 50.0
+# Time for a daemon to be scheduled and to apply the updates.
+_MARGIN_MS: Final = 100.0
+# Initial timeout of a listing. A daemon that starts delays its callers until
+# the first listing has arrived.
+INITIAL_LISTING_TIMEOUT_MS: Final = 400.0
+# Bound on the growth of the timeouts.
+_MAX_DOUBLINGS: Final = 2
+
+
+@attrs.frozen(kw_only=True)
+class WatchTimeouts:
+    """Timeouts of one watch.
+
+    Attributes:
+        wait_ms: time that the store waits for updates before it returns an
+            empty response.
+        response_ms: additional time for the response to arrive.
+    """
+
+    wait_ms: float
+    response_ms: float
+
+
+@attrs.frozen(kw_only=True)
+class StorePolling:
+    """Bounds the age of the data that a daemon has read from the store.
+
+    A pending watch whose call or response was lost looks like a watch without
+    updates. A watch therefore lasts no longer than the maximum age allows,
+    less the time to detect the loss and to retry the call.
+    """
+
+    _fleet: FleetSize
+    _max_age_ms: float
+
+    @property
+    def batch_delay_ms(self) -> float:
+        """Delay between a first update and the call that fetches updates."""
+        return max(_MIN_BATCH_DELAY_MS, self.spread_ms)
+
+    @property
+    def spread_ms(self) -> float:
+        """Time over which the daemons spread calls that are not urgent."""
+        wanted_ms = self._fleet.max_size * _BATCH_DELAY_PER_DAEMON_MS
+        return min(_MAX_BATCH_DELAY_MS, wanted_ms)
+
+    @property
+    def extra_batch_delay_ms(self) -> float:
+        """Batch delay in excess of the minimum, due to the fleet size."""
+        return self.batch_delay_ms - _MIN_BATCH_DELAY_MS
+
+    def watch_timeouts(self, age_ms: float, failures: int) -> WatchTimeouts:
+        """Return the timeouts of the next watch.
+
+        Args:
+            age_ms: age of the data that the daemon has read.
+            failures: number of failed calls since the last response.
+        """
+        response_ms = _RESPONSE_MS * _backoff_factor(failures)
+        if failures:
+            return WatchTimeouts(
+                wait_ms=_RETRY_WATCH_MS, response_ms=response_ms
+            )
+        retry_ms = response_ms + STORE_RETRY_DELAY_MS + response_ms
+        left_ms = self._max_age_ms - age_ms - retry_ms - _MARGIN_MS
+        wait_ms = max(_MIN_WATCH_MS, left_ms)
+        return WatchTimeouts(wait_ms=wait_ms, response_ms=response_ms)
+
+    def listing_timeout_ms(self, failures: int) -> float:
+        """Return the timeout for the first bytes of a listing.
+
+        Args:
+            failures: number of failed calls since the last response.
+        """
+        return INITIAL_LISTING_TIMEOUT_MS * _backoff_factor(failures)
+
+
+def store_polling(fleet: FleetSize, max_age_ms: float) -> StorePolling:
+    """Create the store polling of a daemon.
+
+    Args:
+        fleet: number of daemons that poll the store.
+        max_age_ms: maximum time between a write to the store and its
+            application by every daemon.
+    """
+    return StorePolling(fleet=fleet, max_age_ms=max_age_ms)
+
+
+def _backoff_factor(failures: int) -> int:
+    """Return the factor of timeouts that double with each failure."""
+    return 1 << min(failures, _MAX_DOUBLINGS)
--- /dev/null
+++ b/packages/fennelfork/tests/test_routes_store_polling.py
@@ -0,0 +1,82 @@
+"""Tests that lost responses of the store do not make a daemon's data stale.
+
+A watch whose response is lost has to time out early enough for a retry to
+arrive within the maximum age of the data.
+"""
+
+import pytest
+
+from fennelfork import ManualTime, manual_clock
+from fennelfork.routes import (
+    STORE_RETRY_DELAY_MS,
+    FleetSize,
+    StorePolling,
+    store_polling,
+)
+
+# Number of failures during an outage of a day, one per second.
+_FAILURES_OF_A_DAY = 86_400
+# Response time of a store that is much slower than usual.
+_SLOW_RESPONSE_MS = 300
+
+
+class TestWatch:
+    """Timeouts of a watch."""
+
+    @pytest.mark.parametrize('age_ms', [0, 300, 1000])
+    @pytest.mark.parametrize('max_age_ms', [3000, 5000, 7000])
+    def test_lost_response(self, age_ms: float, max_age_ms: float) -> None:
+        """After a lost response, the retry arrives within the maximum age."""
+        polling = _polling(9, max_age_ms)
+        first = polling.watch_timeouts(age_ms, 0)
+        timed_out_ms = age_ms + first.wait_ms + first.response_ms
+        updated_ms = timed_out_ms + STORE_RETRY_DELAY_MS + _SLOW_RESPONSE_MS
+        assert updated_ms < max_age_ms
+
+    @pytest.mark.parametrize(
+        ('max_age_ms', 'min_wait_ms'),
+        [(3000, 2100), (5000, 4100), (7000, 6100)],
+    )
+    def test_few_calls(self, max_age_ms: float, min_wait_ms: float) -> None:
+        """A watch is long enough to bound the rate of calls."""
+        assert (
+            _polling(9, max_age_ms).watch_timeouts(0, 0).wait_ms >= min_wait_ms
+        )
+
+    @pytest.mark.parametrize(
+        ('age_ms', 'max_age_ms'),
+        [(0, 100), (60_000, 3000)],
+    )
+    def test_unattainable_max_age(
+        self,
+        age_ms: float,
+        max_age_ms: float,
+    ) -> None:
+        """A watch has a minimum duration even if the data is too old."""
+        assert _polling(9, max_age_ms).watch_timeouts(age_ms, 0).wait_ms == 500
+
+    @pytest.mark.parametrize('failures', [1, 5, _FAILURES_OF_A_DAY])
+    def test_after_failure(self, failures: int) -> None:
+        """After a failed call, a short watch detects that the store is back."""
+        timeouts = _polling(9, 3000).watch_timeouts(0, failures)
+        assert timeouts.wait_ms <= 100
+        assert 2 * _SLOW_RESPONSE_MS <= timeouts.response_ms <= 1200
+
+
+class TestListing:
+    """Timeouts of a listing."""
+
+    def test_long_outage(self) -> None:
+        """The timeout stays bounded however long the store is unavailable."""
+        polling = _polling(9, 3000)
+        timeouts = [
+            polling.listing_timeout_ms(failures)
+            for failures in (0, 1, 2, _FAILURES_OF_A_DAY)
+        ]
+        assert timeouts == [400, 800, 1600, 1600]
+
+
+def _polling(daemons: int, max_age_ms: float) -> StorePolling:
+    fleet = FleetSize(clock=manual_clock(ManualTime()), window_ms=10_000)
+    fleet.note(daemons)
+    return store_polling(fleet, max_age_ms)
