--- a/packages/fennelfork/tests/test_config_patch_writer.py
+++ b/packages/fennelfork/tests/test_config_patch_writer.py
@@ -146,8 +146,8 @@
     @rule(reader=st.integers(0, 2), age=st.integers(1, 3), empty=st.booleans())
     def read_platform(self, reader: int, age: int, empty: bool) -> None:
         """Offer a current, older or missing value to a daemon."""
-        shown = self.store.history[-min(age, len(self.store.history))]
-        raw = None if empty else shown.raw
+        stored = self.store.history[-min(age, len(self.store.history))]
+        raw = None if empty else stored.raw
         self.readers[reader].offer(raw, ConfigSource.PLATFORM)
 
     @rule(reader=st.integers(0, 2), peer=st.integers(0, 2))
@@ -158,17 +158,17 @@
             self.readers[reader].offer(active.raw, ConfigSource.PEER)
 
     @invariant()
-    def versions_rise_by_one(self) -> None:
+    def versions_are_consecutive(self) -> None:
         """The stored versions are consecutive."""
         versions = [
-            json.loads(shown.raw)['version']
-            for shown in self.store.history
-            if shown.raw is not None
+            json.loads(stored.raw)['version']
+            for stored in self.store.history
+            if stored.raw is not None
         ]
         assert versions == list(range(1, len(versions) + 1))
 
     @invariant()
-    def verdicts_are_true(self) -> None:
+    def verdicts_are_correct(self) -> None:
         """Accepted patches are in the history, refused patches are not."""
         ids = self._history()
         for writer in self.writers:
@@ -181,7 +181,7 @@
                 assert writer.request.patch_id not in ids
 
     @invariant()
-    def document_is_its_patches(self) -> None:
+    def document_equals_accepted_patches(self) -> None:
         """The document equals the accepted patches applied in order."""
         requests = {
             writer.request.patch_id: writer.request for writer in self.writers
@@ -189,12 +189,12 @@
         tenants: Any = {}
         for patch_id in self._history():
             tenants = merge_patch(tenants, requests[patch_id].patch)
-        shown = self.store.current.raw
-        if shown is not None:
-            assert json.loads(shown)['tenants'] == tenants['tenants']
+        stored = self.store.current.raw
+        if stored is not None:
+            assert json.loads(stored)['tenants'] == tenants['tenants']
 
     @invariant()
-    def readers_never_fall(self) -> None:
+    def reader_versions_never_decrease(self) -> None:
         """The version of a daemon never decreases and was stored before."""
         for number, reader in enumerate(self.readers):
             assert reader.version >= self.last_versions[number]
@@ -204,10 +204,10 @@
                 assert reader.active.raw == stored_document.raw
 
     def _history(self) -> list[str]:
-        shown = self.store.current.raw
-        if shown is None:
+        stored = self.store.current.raw
+        if stored is None:
             return []
-        return [record['id'] for record in json.loads(shown)['patches']]
+        return [record['id'] for record in json.loads(stored)['patches']]
 
 
 TestConfigurationMachine = ConfigurationMachine.TestCase
