--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_apply.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_apply.py
@@ -54,7 +54,7 @@
         members = [
             fact.member.name for fact in known if isinstance(fact, MemberFact)
         ]
-        for instance in self.board.roster.retain(servers):
+        for instance in self.board.directory.retain(servers):
             self.reporter.server_gone(instance)
         for name in self.board.members.retain(members):
             self.reporter.member_gone(name)
@@ -64,8 +64,8 @@
         """Take facts in their order."""
         for fact in facts:
             _take(fact, self)
-        self.board.fleet.note(len(self.board.members.entries))
-        runs = self.board.roster.incarnations
+        self.board.fleet.record_size(len(self.board.members.entries))
+        runs = self.board.directory.incarnations
         self.board.states.keep(runs)
         self._pools.keep(runs)
 
@@ -98,15 +98,15 @@
 
 @_take.register
 def _take_server(fact: ServerFact, taker: FactTaker) -> None:
-    if taker.board.roster.is_outdated(fact.server):
+    if taker.board.directory.is_outdated(fact.server):
         return
-    before = taker.board.roster.put(fact.server)
+    before = taker.board.directory.put(fact.server)
     taker.reporter.server_seen(fact.server, before)
 
 
 @_take.register
 def _take_server_gone(fact: ServerGoneFact, taker: FactTaker) -> None:
-    if taker.board.roster.remove(fact.instance):
+    if taker.board.directory.remove(fact.instance):
         taker.reporter.server_gone(fact.instance)
 
 
@@ -139,7 +139,7 @@
 @_take.register
 def _take_unreadable(fact: UnreadableFact, taker: FactTaker) -> None:
     taker.reporter.unreadable(fact)
-    if taker.board.roster.discard(fact.instance):
+    if taker.board.directory.discard(fact.instance):
         taker.reporter.server_gone(fact.instance)
     if taker.board.members.discard(fact.member):
         taker.reporter.member_gone(fact.member)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_board.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_board.py
@@ -48,7 +48,7 @@
     local: Member
     members: Registry[Member]
     fleet: FleetSize
-    roster: ServerDirectory
+    directory: ServerDirectory
     states: ServerStates
     shares: ConnectionShares
     limits: ConnectionLimits
@@ -69,7 +69,7 @@
         local=_local(settings),
         members=Registry(clock=clock, grace_ms=_MEMBER_LAPSE_MS),
         fleet=fleet,
-        roster=ServerDirectory(registry=Registry(clock=clock)),
+        directory=ServerDirectory(registry=Registry(clock=clock)),
         states=ServerStates(),
         shares=ConnectionShares(fleet=fleet),
         limits=ConnectionLimits(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_face.py
@@ -19,7 +19,7 @@
 def call_parts(base: Foundation, watch: RequestWatch) -> CallParts:
     """Build what the calls of all requests share."""
     selector = Selector(
-        roster=base.board.roster,
+        directory=base.board.directory,
         states=base.board.states,
         distances=Distances(
             data_centre=base.settings.data_centre,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_calls.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_calls.py
@@ -15,7 +15,7 @@
     AttemptOutcome,
     AttemptRecord,
     Inconclusive,
-    Pace,
+    LatencyBaseline,
     Selector,
     Send,
     Succeeded,
@@ -62,7 +62,7 @@
 
     _parts: CallParts
     _ask: Ask
-    _pace: Pace
+    _pace: LatencyBaseline
     _end_ms: float
     _fresh: bool
     _tell: Callable[[int, CallOutcome], None]
@@ -72,7 +72,7 @@
     def launch(self, sends: list[Send]) -> None:
         """Start calls."""
         for send in sends:
-            state = self._parts.selector.states.of(send.server.run)
+            state = self._parts.selector.states.of(send.server.incarnation)
             state.sent(send.attempt, send.sent_ms)
             self._running[send.attempt] = eventlet.spawn(self._run, send)
 
@@ -108,7 +108,7 @@
 
         One that said that it leaves may do so whenever its time is over.
         """
-        leaves = self._parts.selector.roster.is_draining(send.server)
+        leaves = self._parts.selector.directory.is_draining(send.server)
         if not leaves and has_ended(address(send.server.address)):
             self._parts.guard.note_end(send, self._ask)
 
@@ -126,7 +126,7 @@
         return response.bind(self._parts.codec.read_answer).alt(self._judged)
 
     def _judged(self, failure: Failure) -> Failure:
-        is_warmed_up = self._parts.selector.shares.settled
+        is_warmed_up = self._parts.selector.shares.is_settled
         return classify_reset(failure, is_warmed_up=is_warmed_up)
 
     def _end_of(self, send: Send, outcome: CallOutcome) -> AttemptOutcome:
@@ -145,7 +145,7 @@
                 send.server.data_centre,
             ),
         )
-        state = self._parts.selector.states.of(send.server.run)
+        state = self._parts.selector.states.of(send.server.incarnation)
         before = state.standing.ejected(record.now_ms)
         returning = state.standing.in_slow_start
         record_outcome(end, record, state)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_contact.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_contact.py
@@ -75,7 +75,7 @@
         self._lost = False
         self._reporter.regained(away_ms, self.told_age_ms)
         if away_ms >= _ABSENCE_MS:
-            self._board.roster.registry.start_grace_period()
+            self._board.directory.registry.start_grace_period()
             self._board.members.start_grace_period()
         for on_return in self._on_return:
             on_return()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_face.py
@@ -99,7 +99,7 @@
         admitted = self._calls.guard.admit(known.fingerprint)
         if not is_successful(admitted):
             return self._refuse(admitted.failure(), known)
-        if not self.limits.enter(route):
+        if not self.limits.try_admit(route):
             return self._refuse(self._too_many(route), known)
         with contextlib.ExitStack() as over:
             over.callback(self.limits.release, route)
@@ -124,7 +124,7 @@
             answer = request.run()
         self._calls.reporter.ended(known, request, answer, came_ms)
         took_ms = self._clock.now_ms() - came_ms
-        if self.limits.note_end(request.dispatch, took_ms):
+        if self.limits.record_outcome(request.dispatch, took_ms):
             route = request.dispatch.route
             self._calls.reporter.limit_fell(route, self.limits.for_route(route))
         return answer
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
@@ -69,7 +69,7 @@
         """Note that a server ended while it had a request."""
         self._requests.server_ended(send, ask)
         end = ServerCrash(
-            run=send.server.run,
+            run=send.server.incarnation,
             service=send.server.service,
             alone=send.alone,
         )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pools.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pools.py
@@ -30,10 +30,10 @@
 
     def of(self, server: BackendServer) -> BackendPool:
         """Give the connections to a server, within its present limit."""
-        pool = self._pools.get(server.run)
+        pool = self._pools.get(server.incarnation)
         if pool is None:
             pool = self._open(server)
-        ledger = self._ledgers[server.run]
+        ledger = self._ledgers[server.incarnation]
         ledger.limit = self._shares.limit_for(server.service)
         return pool
 
@@ -58,6 +58,6 @@
             probe=None,
             when_full=_WHEN_FULL,
         )
-        self._ledgers[server.run] = ledger
-        self._pools[server.run] = pool
+        self._ledgers[server.incarnation] = ledger
+        self._pools[server.incarnation] = pool
         return pool
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request.py
@@ -10,7 +10,7 @@
 from fennelfork import Clock, Failure, FailureCode, Verdict
 from fennelfork.routes import (
     Dispatch,
-    Ending,
+    FinishReason,
     failure_of,
     greatest,
     is_merged,
@@ -41,12 +41,12 @@
     Attributes:
         dispatch: decides what is sent.
         version: of the configuration that it came under.
-        ending: why it is over, once it is; none if its caller left.
+        finish_reason: why it is over, once it is; none if its caller left.
     """
 
     dispatch: Dispatch[BackendAnswer]
     version: int
-    ending: Ending | None = None
+    finish_reason: FinishReason | None = None
     _ask: Ask
     _clock: Clock
     _calls: RequestCalls
@@ -60,8 +60,8 @@
     def run(self) -> Answer:
         """Work until the request is answered or its caller is gone."""
         self._calls.launch(self.dispatch.start(self._clock.now_ms()))
-        self.ending = self.dispatch.ending(self._clock.now_ms())
-        while self.ending is None:
+        self.finish_reason = self.dispatch.finish_reason(self._clock.now_ms())
+        while self.finish_reason is None:
             event = self._next()
             if event is Left.LEFT:
                 self._calls.cancel()
@@ -69,8 +69,8 @@
             if event is not None:
                 self._take(*event)
             now_ms = self._clock.now_ms()
-            self._calls.launch(self.dispatch.late(now_ms))
-            self.ending = self.dispatch.ending(now_ms)
+            self._calls.launch(self.dispatch.send_hedges(now_ms))
+            self.finish_reason = self.dispatch.finish_reason(now_ms)
         self._calls.linger()
         return self._answer()
 
@@ -94,36 +94,36 @@
             self._fail(attempt, _server_error(answer))
         else:
             now_ms = self._clock.now_ms()
-            sends = self.dispatch.answered(attempt, answer, now_ms)
+            sends = self.dispatch.on_response(attempt, answer, now_ms)
             self._calls.launch(sends)
 
     def _fail(self, attempt: int, failure: Failure) -> None:
         now_ms = self._clock.now_ms()
-        self._calls.launch(self.dispatch.failed(attempt, failure, now_ms))
+        self._calls.launch(self.dispatch.on_failure(attempt, failure, now_ms))
 
     def _answer(self) -> Answer:
         parts = [
-            leg.part
-            for leg in self.dispatch.legs.values()
-            if leg.part is not None
+            sub_request.part
+            for sub_request in self.dispatch.sub_requests.values()
+            if sub_request.part is not None
         ]
         target = self.dispatch.route.target
-        if not self.dispatch.suffices:
+        if not self.dispatch.is_sufficient:
             return self._without_success()
         if not is_merged(target):
             return Forwarded(answer=parts[0])
         return Merged(
             body=greatest((part.body for part in parts), target.max_records),
             signatures=tuple(part.signature for part in parts),
-            missing=len(self.dispatch.legs) - len(parts),
+            missing=len(self.dispatch.sub_requests) - len(parts),
         )
 
     def _without_success(self) -> Answer:
         if self._bad_answer and not is_merged(self.dispatch.route.target):
             return Forwarded(answer=self._bad_answer)
-        timed_out = self.ending is Ending.TIMEOUT
-        legs = self.dispatch.legs.values()
-        return self._refuse(failure_of(legs, timed_out=timed_out))
+        timed_out = self.finish_reason is FinishReason.TIMEOUT
+        sub_requests = self.dispatch.sub_requests.values()
+        return self._refuse(failure_of(sub_requests, timed_out=timed_out))
 
     def _refuse(self, failure: Failure) -> Refused:
         return Refused(failure=failure, request_id=self._ask.request_id)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
@@ -157,8 +157,8 @@
                 left_ms=round(dispatch.deadline_ms - now_ms),
                 usual_ms=round(dispatch.pace.usual_ms),
                 hedge_ms=round(dispatch.pace.hedge_after_ms),
-                ending=getattr(request.ending, 'value', 'caller_left'),
-                parts=f'{dispatch.included}/{len(dispatch.legs)}',
+                ending=getattr(request.finish_reason, 'value', 'caller_left'),
+                parts=f'{dispatch.response_count}/{len(dispatch.sub_requests)}',
                 hedges=dispatch.hedges,
                 retries=dispatch.retries,
                 answer=_outcome(answer),
@@ -204,7 +204,11 @@
 
 def _missing(dispatch: Any) -> list[str]:
     """Give the services whose part is not in."""
-    return [leg.service for leg in dispatch.legs.values() if leg.part is None]
+    return [
+        sub_request.service
+        for sub_request in dispatch.sub_requests.values()
+        if sub_request.part is None
+    ]
 
 
 def _steps(
@@ -223,10 +227,12 @@
         whole: tell of all parts.
     """
     return {
-        leg.service: [
+        sub_request.service: [
             f'{event.instance} {event.at_ms - came_ms:.0f} {event.description}'
-            for event in leg.events
+            for event in sub_request.events
         ]
-        for leg in dispatch.legs.values()
-        if whole or leg.part is None or len(leg.events) > _USUAL_EVENTS
+        for sub_request in dispatch.sub_requests.values()
+        if whole
+        or sub_request.part is None
+        or len(sub_request.events) > _USUAL_EVENTS
     }
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
@@ -68,7 +68,9 @@
         before: BackendServer | None,
     ) -> None:
         """A backend server is new, or changed what it says of itself."""
-        same_run = before is not None and before.run == server.run
+        same_run = (
+            before is not None and before.incarnation == server.incarnation
+        )
         if same_run and before.draining == server.draining:
             return
         self._log.tell(
--- a/packages/fennelfork-daemon/tests/test_routes_guard.py
+++ b/packages/fennelfork-daemon/tests/test_routes_guard.py
@@ -202,7 +202,7 @@
 
     def test_many_servers_crash(self) -> None:
         """All daemons together tell of few requests that were under way."""
-        self.following.board.fleet.note(16)
+        self.following.board.fleet.record_size(16)
         for number in range(100):
             self.guard.note_end(send('a'), ask(target=f'/rafts/{number}'))
         self.guard.note_end(send('b'), _ASK)
--- a/packages/fennelfork-daemon/tests/test_routes_store.py
+++ b/packages/fennelfork-daemon/tests/test_routes_store.py
@@ -73,13 +73,13 @@
     def test_draining(self, following: Following) -> None:
         """One that drains gets no new work."""
         following.change(ServerFact(server=server('i-1', draining=True)))
-        usable = following.board.roster.usable('archive')
+        usable = following.board.directory.usable('archive')
         assert [one.instance for one in usable] == ['i-2']
 
     def test_gone(self, following: Following) -> None:
         """So does one that is gone."""
         following.change(ServerGoneFact(instance='i-1'))
-        assert len(following.board.roster.usable('archive')) == 1
+        assert len(following.board.directory.usable('archive')) == 1
         assert following.events().count('server_gone') == 1
 
     def test_lapsed_while_the_store_was_away(
@@ -91,9 +91,9 @@
         following.time.advance(4000)
         following.change()
         following.change(ServerGoneFact(instance='i-1'))
-        assert len(following.board.roster.usable('archive')) == 2
+        assert len(following.board.directory.usable('archive')) == 2
         following.time.advance(2300)
-        assert len(following.board.roster.usable('archive')) == 1
+        assert len(following.board.directory.usable('archive')) == 1
 
     def test_broken_watch_is_no_absence(self, following: Following) -> None:
         """While renewals reach the store, a missing entry is gone."""
@@ -105,7 +105,7 @@
         following.follower.step()
         following.change()
         following.change(ServerGoneFact(instance='i-1'))
-        assert len(following.board.roster.usable('archive')) == 1
+        assert len(following.board.directory.usable('archive')) == 1
 
     def test_history_gone(self, following: Following) -> None:
         """All is read again; what is not listed is gone."""
@@ -115,7 +115,7 @@
             ConfigFact(table=table(3)),
             ServerFact(server=server('i-2')),
         )
-        usable = following.board.roster.usable('archive')
+        usable = following.board.directory.usable('archive')
         assert [one.instance for one in usable] == ['i-2']
 
 
@@ -127,17 +127,20 @@
         following.change(ServerFact(server=server('i-1', started_ms=2000)))
         late = server('i-1', started_ms=1000, draining=True)
         following.change(ServerFact(server=late))
-        runs = [one.run for one in following.board.roster.usable('archive')]
+        runs = [
+            one.incarnation
+            for one in following.board.directory.usable('archive')
+        ]
         assert 'i-1@2000' in runs
         assert following.events().count('server_seen') == 3
 
     def test_is_seen_afresh(self, following: Following) -> None:
         """What was seen of the former run is gone."""
         states = following.board.states
-        states.of(server('i-1').run).standing.eject(0)
+        states.of(server('i-1').incarnation).standing.eject(0)
         again = server('i-1', started_ms=2000)
         following.change(ServerFact(server=again))
-        assert not states.of(again.run).standing.ejected(1)
+        assert not states.of(again.incarnation).standing.ejected(1)
 
 
 class TestForeignEntries:
@@ -148,17 +151,17 @@
         following.change(
             UnreadableFact(key='k', problem='no JSON', instance='i-1'),
         )
-        usable = following.board.roster.usable('archive')
+        usable = following.board.directory.usable('archive')
         assert [one.instance for one in usable] == ['i-2']
         assert following.events().count('item_refused') == 1
 
     def test_server_after_an_absence(self, following: Following) -> None:
         """It is not kept like one that only lapsed."""
-        following.board.roster.registry.start_grace_period()
+        following.board.directory.registry.start_grace_period()
         following.change(
             UnreadableFact(key='k', problem='no JSON', instance='i-1'),
         )
-        assert len(following.board.roster.usable('archive')) == 1
+        assert len(following.board.directory.usable('archive')) == 1
 
     def test_listed(self, following: Following) -> None:
         """So with a whole list."""
@@ -169,7 +172,7 @@
             UnreadableFact(key='k', problem='no JSON', instance='i-1'),
             ServerFact(server=server('i-2')),
         )
-        usable = following.board.roster.usable('archive')
+        usable = following.board.directory.usable('archive')
         assert [one.instance for one in usable] == ['i-2']
 
     def test_daemon(self, following: Following) -> None:
--- a/packages/fennelfork/src/fennelfork/routes/_attempt_outcome.py
+++ b/packages/fennelfork/src/fennelfork/routes/_attempt_outcome.py
@@ -6,7 +6,7 @@
 import attrs
 
 from fennelfork._verdict import Failure, FailureCode, Verdict
-from fennelfork.routes._pace import Pace
+from fennelfork.routes._latency_baseline import LatencyBaseline
 from fennelfork.routes._send import Send
 from fennelfork.routes._server_state import ServerState
 
@@ -74,7 +74,7 @@
 
     send: Send
     now_ms: float
-    pace: Pace
+    pace: LatencyBaseline
     nearby: bool
 
     @property
--- a/packages/fennelfork/src/fennelfork/routes/_caution.py
+++ b/packages/fennelfork/src/fennelfork/routes/_caution.py
@@ -11,8 +11,8 @@
 
 import attrs
 
-from fennelfork.routes._leg import Leg
 from fennelfork.routes._send import Send
+from fennelfork.routes._sub_request import SubRequest
 
 
 @attrs.define(kw_only=True)
@@ -28,7 +28,7 @@
     is_suspected: bool
     is_serial: bool
     _isolated: set[int] = attrs.field(factory=set)
-    _deferred: list[Leg[Any]] = attrs.field(factory=list)
+    _deferred: list[SubRequest[Any]] = attrs.field(factory=list)
 
     @property
     def has_isolated_attempt(self) -> bool:
@@ -43,11 +43,11 @@
         """Record the isolated attempts among new attempts."""
         self._isolated.update(send.attempt for send in sends if send.alone)
 
-    def defer(self, leg: Leg[Any]) -> None:
+    def defer(self, sub_request: SubRequest[Any]) -> None:
         """Defer the next attempt of a sub-request."""
-        self._deferred.append(leg)
+        self._deferred.append(sub_request)
 
-    def take_deferred(self) -> list[Leg[Any]]:
+    def take_deferred(self) -> list[SubRequest[Any]]:
         """Return the deferred sub-requests and clear the list."""
         deferred = list(self._deferred)
         self._deferred.clear()
--- a/packages/fennelfork/src/fennelfork/routes/_concurrency.py
+++ b/packages/fennelfork/src/fennelfork/routes/_concurrency.py
@@ -56,7 +56,7 @@
         share: float = _LOWER_PRIORITY_SHARE**rank
         return self.in_flight < max(_MIN_LIMIT, self.limit * share)
 
-    def enter(self, priority: int) -> bool:
+    def try_admit(self, priority: int) -> bool:
         """Admit one request of a priority if the limit allows it.
 
         Returns:
@@ -116,13 +116,13 @@
         factory=dict,
     )
 
-    def enter(self, route: Route) -> bool:
+    def try_admit(self, route: Route) -> bool:
         """Admit a request of a route if its limit allows it.
 
         Returns:
             Whether the request is admitted.
         """
-        return self.for_route(route).enter(route.priority)
+        return self.for_route(route).try_admit(route.priority)
 
     def release(self, route: Route) -> None:
         """Record the end of an admitted request of a route."""
@@ -131,7 +131,7 @@
         if not limit.in_flight and limit.limit >= _NO_LIMIT:
             self._limits.pop(services_of(route.target), None)
 
-    def note_end(self, ended: Dispatch[Any], took_ms: float) -> bool:
+    def record_outcome(self, ended: Dispatch[Any], took_ms: float) -> bool:
         """Adjust the limit of a route to the outcome of a request.
 
         Args:
@@ -144,13 +144,16 @@
         limit = self.for_route(ended.route)
         now_ms = self._clock.now_ms()
         in_time = took_ms <= ended.route.latency_target_ms
-        if ended.suffices and in_time:
+        if ended.is_sufficient and in_time:
             limit.record_success(now_ms)
             return False
         # A rejected attempt made the request late or caused its failure.
-        if any(leg.was_rejected for leg in ended.legs.values()):
+        if any(
+            sub_request.was_rejected
+            for sub_request in ended.sub_requests.values()
+        ):
             return limit.record_overload(now_ms)
-        return ended.suffices and limit.record_late_response(now_ms)
+        return ended.is_sufficient and limit.record_late_response(now_ms)
 
     def record_lag(self) -> None:
         """Record an overload signal for all services: this process lags."""
--- a/packages/fennelfork/src/fennelfork/routes/_connection_share.py
+++ b/packages/fennelfork/src/fennelfork/routes/_connection_share.py
@@ -28,7 +28,7 @@
     services: Mapping[str, Service] = attrs.field(factory=dict)
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether daemons that started with this one had time to register."""
         return self._fleet.is_settled
 
--- a/packages/fennelfork/src/fennelfork/routes/_copies.py
+++ b/packages/fennelfork/src/fennelfork/routes/_copies.py
@@ -7,9 +7,9 @@
 
 from fennelfork._verdict import Failure, Verdict
 from fennelfork.routes._caution import AttemptGate
-from fennelfork.routes._leg import Leg
 from fennelfork.routes._send import Send
 from fennelfork.routes._sender import Sender
+from fennelfork.routes._sub_request import SubRequest
 
 
 @attrs.frozen(kw_only=True)
@@ -20,7 +20,9 @@
     _sender: Sender
     _caution: AttemptGate
 
-    def first(self, legs: Iterable[Leg[Any]], now_ms: float) -> list[Send]:
+    def first(
+        self, sub_requests: Iterable[SubRequest[Any]], now_ms: float
+    ) -> list[Send]:
         """Send the first attempts.
 
         The first attempts go to all services at once, or to a single service
@@ -30,9 +32,9 @@
             legs: sub-requests of the request.
             now_ms: current time.
         """
-        known = list(legs)
-        for leg in known:
-            self._sender.note_request(leg)
+        known = list(sub_requests)
+        for sub_request in known:
+            self._sender.record_request(sub_request)
         if self._caution.is_serial:
             return self._send_isolated(known, now_ms)
         return self._send_all(known, now_ms)
@@ -45,7 +47,7 @@
 
     def after_failure(
         self,
-        leg: Leg[Any],
+        sub_request: SubRequest[Any],
         attempt: int,
         failure: Failure,
         now_ms: float,
@@ -62,21 +64,21 @@
             in_time: whether the deadline of the request is in the future.
         """
         if self._caution.record_failure(attempt, broken_off=failure.broken_off):
-            self._abandon_all(leg, now_ms)
+            self._abandon_all(sub_request, now_ms)
             return []
-        if leg.part is not None:
+        if sub_request.part is not None:
             return []
         safe = self._idempotent or failure.verdict is Verdict.NOT_RUN
         allowed = safe and in_time
         if allowed and not self._caution.is_serial:
-            return self._send(leg, now_ms)
+            return self._send(sub_request, now_ms)
         if allowed:
-            self._caution.defer(leg)
+            self._caution.defer(sub_request)
         else:
-            leg.abandoned = not leg.running
+            sub_request.is_abandoned = not sub_request.in_flight
         return self._send_next_deferred(now_ms)
 
-    def hedge(self, leg: Leg[Any], now_ms: float) -> list[Send]:
+    def hedge(self, sub_request: SubRequest[Any], now_ms: float) -> list[Send]:
         """Send a hedge for a sub-request whose response is late.
 
         While attempts are sent one at a time, only the isolated attempt is
@@ -90,24 +92,32 @@
         if not self._idempotent:
             return []
         alone = self._caution.is_serial
-        if alone and not self._caution.isolates_any(leg.running):
+        if alone and not self._caution.isolates_any(sub_request.in_flight):
             return []
-        sends = self._sender.send(leg, now_ms, only_healthy=True, alone=alone)
+        sends = self._sender.send(
+            sub_request, now_ms, only_healthy=True, alone=alone
+        )
         self._caution.record_sent(sends)
         return sends
 
-    def _send(self, leg: Leg[Any], now_ms: float) -> list[Send]:
-        sends = self._sender.send(leg, now_ms, alone=self._caution.is_serial)
-        leg.abandoned = not sends and not leg.running
+    def _send(self, sub_request: SubRequest[Any], now_ms: float) -> list[Send]:
+        sends = self._sender.send(
+            sub_request, now_ms, alone=self._caution.is_serial
+        )
+        sub_request.is_abandoned = not sends and not sub_request.in_flight
         self._caution.record_sent(sends)
         return sends
 
     def _send_all(
         self,
-        legs: Iterable[Leg[Any]],
+        sub_requests: Iterable[SubRequest[Any]],
         now_ms: float,
     ) -> list[Send]:
-        return [send for leg in legs for send in self._send(leg, now_ms)]
+        return [
+            send
+            for sub_request in sub_requests
+            for send in self._send(sub_request, now_ms)
+        ]
 
     def _send_next_deferred(self, now_ms: float) -> list[Send]:
         """Send one deferred attempt unless an isolated one is in flight."""
@@ -117,20 +127,22 @@
 
     def _send_isolated(
         self,
-        legs: Iterable[Leg[Any]],
+        sub_requests: Iterable[SubRequest[Any]],
         now_ms: float,
     ) -> list[Send]:
         """Send for the first sub-request with a server, defer the others."""
         sends: list[Send] = []
-        for leg in legs:
+        for sub_request in sub_requests:
             if sends:
-                self._caution.defer(leg)
+                self._caution.defer(sub_request)
             else:
-                sends = self._send(leg, now_ms)
+                sends = self._send(sub_request, now_ms)
         return sends
 
-    def _abandon_all(self, failed: Leg[Any], now_ms: float) -> None:
+    def _abandon_all(self, failed: SubRequest[Any], now_ms: float) -> None:
         """Abandon the failed and all deferred sub-requests."""
-        for leg in (failed, *self._caution.take_deferred()):
-            leg.abandoned = not leg.running
-            leg.denied('no further attempt after a lost connection', now_ms)
+        for sub_request in (failed, *self._caution.take_deferred()):
+            sub_request.is_abandoned = not sub_request.in_flight
+            sub_request.record_refusal(
+                'no further attempt after a lost connection', now_ms
+            )
--- a/packages/fennelfork/src/fennelfork/routes/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/routes/_dispatch.py
@@ -10,11 +10,11 @@
 from fennelfork._verdict import Failure
 from fennelfork.routes._caution import caution
 from fennelfork.routes._copies import Copies
-from fennelfork.routes._leg import Leg
-from fennelfork.routes._pace import Pace
+from fennelfork.routes._latency_baseline import LatencyBaseline
 from fennelfork.routes._route import Route, min_parts
 from fennelfork.routes._send import Send
 from fennelfork.routes._sender import DispatchParts, Sender
+from fennelfork.routes._sub_request import SubRequest
 
 _Part = TypeVar('_Part')
 
@@ -27,7 +27,7 @@
 
 
 @enum.unique
-class Ending(enum.Enum):
+class FinishReason(enum.Enum):
     """Reason why a request has finished.
 
     `SETTLED`: the outcome of every sub-request is final. `PARTIAL`: the
@@ -53,8 +53,8 @@
     """
 
     route: Route
-    pace: Pace
-    legs: dict[str, Leg[_Part]]
+    pace: LatencyBaseline
+    sub_requests: dict[str, SubRequest[_Part]]
     hedges: int = 0
     retries: int = 0
     _copies: Copies
@@ -62,14 +62,17 @@
     _deadline_ms: float
 
     @property
-    def included(self) -> int:
+    def response_count(self) -> int:
         """Number of sub-requests with a response."""
-        return sum(leg.part is not None for leg in self.legs.values())
+        return sum(
+            sub_request.part is not None
+            for sub_request in self.sub_requests.values()
+        )
 
     @property
-    def suffices(self) -> bool:
+    def is_sufficient(self) -> bool:
         """Whether the responses suffice for a successful answer."""
-        return self.included >= min_parts(self.route.target)
+        return self.response_count >= min_parts(self.route.target)
 
     @property
     def deadline_ms(self) -> float:
@@ -83,21 +86,23 @@
             One attempt per service, or a single attempt if the request is
             suspected to be a poison request.
         """
-        return self._copies.first(self.legs.values(), now_ms)
+        return self._copies.first(self.sub_requests.values(), now_ms)
 
-    def answered(self, attempt: int, part: _Part, now_ms: float) -> list[Send]:
+    def on_response(
+        self, attempt: int, part: _Part, now_ms: float
+    ) -> list[Send]:
         """Record the response to an attempt; the first of a service counts.
 
         Returns:
             Attempts that were held back until this response.
         """
-        leg = self._find_sub_request(attempt)
-        if leg is None:
+        sub_request = self._find_sub_request(attempt)
+        if sub_request is None:
             return []
-        leg.record_response(attempt, part, now_ms)
+        sub_request.record_response(attempt, part, now_ms)
         return self._copies.after_answer(attempt, now_ms)
 
-    def failed(
+    def on_failure(
         self, attempt: int, failure: Failure, now_ms: float
     ) -> list[Send]:
         """Record the failure of an attempt.
@@ -105,48 +110,54 @@
         Returns:
             Retries that are allowed now.
         """
-        leg = self._find_sub_request(attempt)
-        if leg is None:
+        sub_request = self._find_sub_request(attempt)
+        if sub_request is None:
             return []
-        leg.record_failure(attempt, failure, now_ms)
+        sub_request.record_failure(attempt, failure, now_ms)
         in_time = now_ms < self._deadline_ms
         sends = self._copies.after_failure(
-            leg, attempt, failure, now_ms, in_time=in_time
+            sub_request, attempt, failure, now_ms, in_time=in_time
         )
         self.retries += len(sends)
         return sends
 
-    def late(self, now_ms: float) -> list[Send]:
+    def send_hedges(self, now_ms: float) -> list[Send]:
         """Send the hedges that are due."""
         sends = []
-        for leg in self.legs.values():
-            if leg.is_waiting and now_ms >= leg.hedge_at_ms:
-                leg.hedge_at_ms = math.inf
-                sends.extend(self._copies.hedge(leg, now_ms))
+        for sub_request in self.sub_requests.values():
+            if sub_request.is_waiting and now_ms >= sub_request.hedge_at_ms:
+                sub_request.hedge_at_ms = math.inf
+                sends.extend(self._copies.hedge(sub_request, now_ms))
         self.hedges += len(sends)
         return sends
 
-    def ending(self, now_ms: float) -> Ending | None:
+    def finish_reason(self, now_ms: float) -> FinishReason | None:
         """Return the reason why the request has finished, if it has."""
-        if all(leg.is_settled for leg in self.legs.values()):
-            return Ending.SETTLED
+        if all(
+            sub_request.is_settled for sub_request in self.sub_requests.values()
+        ):
+            return FinishReason.SETTLED
         if now_ms >= self._deadline_ms:
-            return Ending.TIMEOUT
-        if now_ms >= self._partial_at_ms and self.suffices:
-            return Ending.PARTIAL
+            return FinishReason.TIMEOUT
+        if now_ms >= self._partial_at_ms and self.is_sufficient:
+            return FinishReason.PARTIAL
         return None
 
     def next_timer_ms(self, now_ms: float) -> float:
         """Return the next time at which hedges or the end may be due."""
-        due = [leg.hedge_at_ms for leg in self.legs.values() if leg.is_waiting]
+        due = [
+            sub_request.hedge_at_ms
+            for sub_request in self.sub_requests.values()
+            if sub_request.is_waiting
+        ]
         if now_ms < self._partial_at_ms:
             due.append(self._partial_at_ms)
         return min(self._deadline_ms, *due) if due else self._deadline_ms
 
-    def _find_sub_request(self, attempt: int) -> Leg[_Part] | None:
-        for leg in self.legs.values():
-            if attempt in leg.running:
-                return leg
+    def _find_sub_request(self, attempt: int) -> SubRequest[_Part] | None:
+        for sub_request in self.sub_requests.values():
+            if attempt in sub_request.in_flight:
+                return sub_request
         return None
 
 
@@ -154,7 +165,7 @@
     route: Route,
     services: tuple[str, ...],
     parts: DispatchParts,
-    pace: Pace,
+    pace: LatencyBaseline,
     times: tuple[float, float],
     *,
     suspect_services: Collection[str] = (),
@@ -177,7 +188,9 @@
     return Dispatch(
         route=route,
         pace=pace,
-        legs={service: Leg(service=service) for service in ordered},
+        sub_requests={
+            service: SubRequest(service=service) for service in ordered
+        },
         copies=Copies(
             idempotent=route.idempotent,
             sender=Sender(
--- a/packages/fennelfork/src/fennelfork/routes/_failure.py
+++ b/packages/fennelfork/src/fennelfork/routes/_failure.py
@@ -7,14 +7,16 @@
 import attrs
 
 from fennelfork._verdict import Failure, FailureCode, Verdict
-from fennelfork.routes._leg import Leg
+from fennelfork.routes._sub_request import SubRequest
 
 # Long enough for most pauses of a backend server to pass, and short enough to
 # leave a caller time for its own retry.
 RETRY_AFTER_MS: Final = 250
 
 
-def failure_of(legs: Iterable[Leg[Any]], *, timed_out: bool) -> Failure:
+def failure_of(
+    sub_requests: Iterable[SubRequest[Any]], *, timed_out: bool
+) -> Failure:
     """Merge the failures of all sub-requests of a request.
 
     Args:
@@ -25,10 +27,12 @@
         The failure of the request. The verdict is `NOT_RUN`, with a time after
         which a retry may help, only if no sub-request may have run.
     """
-    known = list(legs)
-    verdicts = [leg.verdict for leg in known]
+    known = list(sub_requests)
+    verdicts = [sub_request.verdict for sub_request in known]
     verdict = functools.reduce(Verdict.join, verdicts)
-    unanswered = [leg for leg in known if leg.part is None]
+    unanswered = [
+        sub_request for sub_request in known if sub_request.part is None
+    ]
     worst = next(iter(unanswered or known))
     failure = worst.failure.with_verdict(verdict)
     if timed_out and verdict is not Verdict.NOT_RUN:
--- a/packages/fennelfork/src/fennelfork/routes/_fleet_size.py
+++ b/packages/fennelfork/src/fennelfork/routes/_fleet_size.py
@@ -40,7 +40,7 @@
         self._discard_old()
         return max((count for _at, count in self._seen), default=1)
 
-    def note(self, count: int) -> None:
+    def record_size(self, count: int) -> None:
         """Record the current number of daemons, including this one."""
         self._discard_old()
         now_ms = self._clock.now_ms()
--- a/packages/fennelfork/src/fennelfork/routes/_pace.py
+++ b/packages/fennelfork/src/fennelfork/routes/_latency_baseline.py
@@ -25,7 +25,7 @@
 
 
 @attrs.define(kw_only=True)
-class Pace:
+class LatencyBaseline:
     """Latency baseline of a route: response times of servers nearby.
 
     Attributes:
@@ -68,9 +68,9 @@
 class LatencyBaselines:
     """Latency baselines of all routes, by name of the route."""
 
-    _baselines: dict[str, Pace] = attrs.field(factory=dict)
+    _baselines: dict[str, LatencyBaseline] = attrs.field(factory=dict)
 
-    def for_route(self, route: Route) -> Pace:
+    def for_route(self, route: Route) -> LatencyBaseline:
         """Return the latency baseline of a route; create it if necessary."""
         found = self._baselines.get(route.name)
         if found is None:
@@ -79,9 +79,9 @@
         return found
 
 
-def pace(latency_target_ms: float) -> Pace:
+def pace(latency_target_ms: float) -> LatencyBaseline:
     """Create the latency baseline of a route without responses."""
-    return Pace(
+    return LatencyBaseline(
         latency_target_ms=latency_target_ms,
         latencies=latencies(),
         mean=ObservedLatency(),
--- a/packages/fennelfork/src/fennelfork/routes/_retry_budget.py
+++ b/packages/fennelfork/src/fennelfork/routes/_retry_budget.py
@@ -62,7 +62,7 @@
     _started_ms: float
     _windows: dict[str, _SlidingWindow] = attrs.field(factory=dict)
 
-    def note_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Record the first attempt of a request to a service."""
         self._window(service).requests.append(self._clock.now_ms())
 
--- a/packages/fennelfork/src/fennelfork/routes/_selection.py
+++ b/packages/fennelfork/src/fennelfork/routes/_selection.py
@@ -9,7 +9,7 @@
 
 from fennelfork._clock import Clock
 from fennelfork.routes._connection_share import ConnectionShares
-from fennelfork.routes._pace import Pace
+from fennelfork.routes._latency_baseline import LatencyBaseline
 from fennelfork.routes._server_directory import BackendServer, ServerDirectory
 from fennelfork.routes._server_state import ServerState, ServerStates
 from fennelfork.servers._rank import Candidate, best
@@ -63,7 +63,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Selection:
+class SelectionCriteria:
     """Criteria for the selection of a server.
 
     Attributes:
@@ -75,7 +75,7 @@
 
     service: str
     tried: Collection[str]
-    pace: Pace
+    pace: LatencyBaseline
     only_healthy: bool = False
 
 
@@ -83,14 +83,14 @@
 class Selector:
     """Filters the servers of a service by availability and ranks them."""
 
-    roster: ServerDirectory
+    directory: ServerDirectory
     states: ServerStates
     distances: Distances
     shares: ConnectionShares
     _clock: Clock
     _rng: random.Random
 
-    def choose(self, wanted: Selection) -> BackendServer | None:
+    def choose(self, wanted: SelectionCriteria) -> BackendServer | None:
         """Choose the server with the lowest expected latency.
 
         Servers at their concurrency limit are chosen only if no server is
@@ -98,9 +98,9 @@
         is no other.
         """
         servers = {
-            server.run: server
-            for server in self.roster.usable(wanted.service)
-            if server.run not in wanted.tried
+            server.incarnation: server
+            for server in self.directory.usable(wanted.service)
+            if server.incarnation not in wanted.tried
         }
         # The connection limit is the same for all servers of the service.
         share = self.shares.limit_for(wanted.service)
@@ -119,10 +119,10 @@
     def _availability(
         self,
         server: BackendServer,
-        wanted: Selection,
+        wanted: SelectionCriteria,
         share: int,
     ) -> _Availability:
-        state = self.states.of(server.run)
+        state = self.states.of(server.incarnation)
         now_ms = self._clock.now_ms()
         is_unresponsive = state.silent_ms(now_ms) > wanted.pace.hedge_after_ms
         if is_unresponsive or state.standing.ejected(now_ms):
@@ -135,21 +135,21 @@
     def _candidates(
         self,
         servers: list[BackendServer],
-        pace: Pace,
+        pace: LatencyBaseline,
     ) -> Iterator[Candidate]:
         for server in servers:
-            state = self.states.of(server.run)
+            state = self.states.of(server.incarnation)
             yield self._candidate(server, state, pace)
 
     def _candidate(
         self,
         server: BackendServer,
         state: ServerState,
-        pace: Pace,
+        pace: LatencyBaseline,
     ) -> Candidate:
         now_ms = self._clock.now_ms()
         return Candidate(
-            server=server.run,
+            server=server.incarnation,
             latency_ms=pace.usual_ms * state.slowness(now_ms),
             distance_ms=self.distances.penalty_ms(
                 server.data_centre,
--- a/packages/fennelfork/src/fennelfork/routes/_sender.py
+++ b/packages/fennelfork/src/fennelfork/routes/_sender.py
@@ -6,12 +6,12 @@
 
 import attrs
 
-from fennelfork.routes._leg import Leg
-from fennelfork.routes._pace import Pace
+from fennelfork.routes._latency_baseline import LatencyBaseline
 from fennelfork.routes._retry_budget import RetryBudgets
-from fennelfork.routes._selection import Selection, Selector
+from fennelfork.routes._selection import SelectionCriteria, Selector
 from fennelfork.routes._send import Send
 from fennelfork.routes._server_directory import BackendServer
+from fennelfork.routes._sub_request import SubRequest
 
 # Bounds the attempts that do not count against the limit of the route: those
 # that certainly did not run, and those whose new connection was reset.
@@ -43,17 +43,17 @@
             run the request.
     """
 
-    pace: Pace
+    pace: LatencyBaseline
     max_attempts: int
     _parts: DispatchParts
 
-    def note_request(self, leg: Leg[Any]) -> None:
+    def record_request(self, sub_request: SubRequest[Any]) -> None:
         """Record a request to a service in its retry budget."""
-        self._parts.retry_budgets.note_request(leg.service)
+        self._parts.retry_budgets.record_request(sub_request.service)
 
     def send(
         self,
-        leg: Leg[Any],
+        sub_request: SubRequest[Any],
         now_ms: float,
         *,
         only_healthy: bool = False,
@@ -73,17 +73,23 @@
             The attempt, or nothing if no attempt is allowed.
         """
         if (
-            leg.counted_attempts >= self.max_attempts
-            or self._is_send_limit_reached(leg)
+            sub_request.counted_attempts >= self.max_attempts
+            or self._is_send_limit_reached(sub_request)
         ):
-            leg.denied('no attempt is left', now_ms)
+            sub_request.record_refusal('no attempt is left', now_ms)
             return []
-        server = self._choose_server(leg, only_healthy=only_healthy)
-        repeat = leg.possible_arrivals > 0
+        server = self._choose_server(sub_request, only_healthy=only_healthy)
+        repeat = sub_request.possible_arrivals > 0
         if server is None:
-            return self._refuse(leg, 'no other server is available', now_ms)
-        if repeat and not self._parts.retry_budgets.try_spend(leg.service):
-            return self._refuse(leg, 'the retry budget is exhausted', now_ms)
+            return self._refuse(
+                sub_request, 'no other server is available', now_ms
+            )
+        if repeat and not self._parts.retry_budgets.try_spend(
+            sub_request.service
+        ):
+            return self._refuse(
+                sub_request, 'the retry budget is exhausted', now_ms
+            )
         send = Send(
             attempt=next(self._parts.attempts),
             server=server,
@@ -91,16 +97,16 @@
             sent_ms=now_ms,
             alone=alone,
         )
-        leg.record_attempt(send)
-        leg.hedge_at_ms = now_ms + self.pace.hedge_after_ms
+        sub_request.record_attempt(send)
+        sub_request.hedge_at_ms = now_ms + self.pace.hedge_after_ms
         return [send]
 
-    def _is_send_limit_reached(self, leg: Leg[Any]) -> bool:
-        return max(len(leg.tried), leg.resets) >= _MAX_SENDS
+    def _is_send_limit_reached(self, sub_request: SubRequest[Any]) -> bool:
+        return max(len(sub_request.tried), sub_request.resets) >= _MAX_SENDS
 
     def _choose_server(
         self,
-        leg: Leg[Any],
+        sub_request: SubRequest[Any],
         *,
         only_healthy: bool,
     ) -> BackendServer | None:
@@ -110,18 +116,20 @@
         again: waiting for a connection delays the sub-request, while giving
         up fails the whole request.
         """
-        wanted = Selection(
-            service=leg.service,
-            tried=leg.tried,
+        wanted = SelectionCriteria(
+            service=sub_request.service,
+            tried=sub_request.tried,
             pace=self.pace,
             only_healthy=only_healthy,
         )
         chosen = self._parts.selector.choose(wanted)
-        if chosen is None and leg.readmit_unconnected():
+        if chosen is None and sub_request.readmit_unconnected():
             chosen = self._parts.selector.choose(wanted)
         return chosen
 
-    def _refuse(self, leg: Leg[Any], reason: str, now_ms: float) -> list[Send]:
-        leg.abandoned = not leg.running
-        leg.denied(reason, now_ms)
+    def _refuse(
+        self, sub_request: SubRequest[Any], reason: str, now_ms: float
+    ) -> list[Send]:
+        sub_request.is_abandoned = not sub_request.in_flight
+        sub_request.record_refusal(reason, now_ms)
         return []
--- a/packages/fennelfork/src/fennelfork/routes/_server_directory.py
+++ b/packages/fennelfork/src/fennelfork/routes/_server_directory.py
@@ -21,7 +21,7 @@
         warm_from_ms: time from which the server runs at full speed.
         started_ms: time of day of the start by the clock of the server; 0 if
             unknown.
-        run: identifier of this incarnation. Observations are kept by
+        incarnation: identifier of this incarnation. Observations are kept by
             incarnation, so a server that restarts begins without any.
     """
 
@@ -33,10 +33,10 @@
     draining: bool = False
     warm_from_ms: float = 0
     started_ms: int = 0
-    run: str = attrs.field(init=False)
+    incarnation: str = attrs.field(init=False)
 
-    @run.default
-    def _default_run(self) -> str:
+    @incarnation.default
+    def _default_incarnation(self) -> str:
         return f'{self.instance}@{self.started_ms}'
 
 
@@ -61,7 +61,7 @@
     @property
     def incarnations(self) -> set[str]:
         """Incarnations of all servers that are registered."""
-        return {server.run for server in self.registry.entries.values()}
+        return {server.incarnation for server in self.registry.entries.values()}
 
     def is_outdated(self, server: BackendServer) -> bool:
         """Whether a registration belongs to an earlier incarnation.
@@ -74,7 +74,11 @@
     def is_draining(self, server: BackendServer) -> bool:
         """Whether an incarnation of a server is registered as draining."""
         known = self.registry.entries.get(server.instance)
-        return known is not None and known.draining and known.run == server.run
+        return (
+            known is not None
+            and known.draining
+            and known.incarnation == server.incarnation
+        )
 
     def put(self, server: BackendServer) -> BackendServer | None:
         """Add or replace the registration of a server.
--- a/packages/fennelfork/src/fennelfork/routes/_leg.py
+++ b/packages/fennelfork/src/fennelfork/routes/_sub_request.py
@@ -40,7 +40,7 @@
 
 
 @attrs.define(kw_only=True)
-class Leg(Generic[_Part]):
+class SubRequest(Generic[_Part]):
     """Attempts of a sub-request and their outcome.
 
     Attributes:
@@ -61,11 +61,11 @@
 
     service: str
     part: _Part | None = None
-    running: dict[int, Send] = attrs.field(factory=dict)
+    in_flight: dict[int, Send] = attrs.field(factory=dict)
     tried: set[str] = attrs.field(factory=set)
     unconnected: set[str] = attrs.field(factory=set)
     hedge_at_ms: float = math.inf
-    abandoned: bool = False
+    is_abandoned: bool = False
     failure: Failure = not_run(FailureCode.NO_SERVER, 'no server is known')
     possible_runs: int = 0
     resets: int = 0
@@ -75,7 +75,9 @@
     @property
     def is_settled(self) -> bool:
         """Whether the outcome is final."""
-        return self.part is not None or (self.abandoned and not self.running)
+        return self.part is not None or (
+            self.is_abandoned and not self.in_flight
+        )
 
     @property
     def counted_attempts(self) -> int:
@@ -90,7 +92,7 @@
     @property
     def is_waiting(self) -> bool:
         """Whether a response that would count is outstanding."""
-        return self.part is None and bool(self.running)
+        return self.part is None and bool(self.in_flight)
 
     @property
     def verdict(self) -> Verdict:
@@ -103,8 +105,8 @@
 
     def record_attempt(self, send: Send) -> None:
         """Record an attempt that is being sent."""
-        self.running[send.attempt] = send
-        self.tried.add(send.server.run)
+        self.in_flight[send.attempt] = send
+        self.tried.add(send.server.incarnation)
         self.possible_runs += 1
         self.possible_arrivals += 1
         self._add_event(
@@ -118,7 +120,7 @@
         now_ms: float,
     ) -> None:
         """Record the response to an attempt; only the first one counts."""
-        self._add_event(self.running.pop(attempt), now_ms, 'answered')
+        self._add_event(self.in_flight.pop(attempt), now_ms, 'answered')
         if self.part is None:
             self.part = part
 
@@ -129,11 +131,11 @@
         now_ms: float,
     ) -> None:
         """Record the failure of an attempt."""
-        send = self.running.pop(attempt)
+        send = self.in_flight.pop(attempt)
         self._add_event(send, now_ms, failure.detail)
         self.failure = failure
         if failure.code is FailureCode.QUEUE_FULL:
-            self.unconnected.add(send.server.run)
+            self.unconnected.add(send.server.incarnation)
         if failure.code in _NOT_SENT[failure.verdict]:
             self.possible_arrivals -= 1
         if failure.verdict is Verdict.NOT_RUN:
@@ -153,7 +155,7 @@
         self.unconnected.clear()
         return True
 
-    def denied(self, reason: str, now_ms: float) -> None:
+    def record_refusal(self, reason: str, now_ms: float) -> None:
         """Record the reason why a due attempt is not sent."""
         self.events.append(
             SubRequestEvent(
--- a/packages/fennelfork/tests/core_builders_routes.py
+++ b/packages/fennelfork/tests/core_builders_routes.py
@@ -23,7 +23,7 @@
     Distances,
     FanOut,
     FleetSize,
-    Pace,
+    LatencyBaseline,
     Registry,
     RetryBudgets,
     RetryPolicy,
@@ -40,7 +40,7 @@
     services_of,
 )
 
-AIM_MS = 300.0
+LATENCY_TARGET_MS = 300.0
 TIMEOUT_MS = 4000.0
 WINDOW_MS = 10_000.0
 LIMITS = CallerLimits(
@@ -51,10 +51,12 @@
 )
 SHED = not_run(FailureCode.SHED, 'full')
 NO_CONNECTION = not_run(FailureCode.QUEUE_FULL, 'no connection is free')
-CUT = may_have_run(FailureCode.QUEUE_FULL, 'reset by the other end')
-UNREACHED = not_run(FailureCode.UNREACHABLE, 'refused')
-BROKEN = may_have_run(FailureCode.UNREACHABLE, 'reset')
-ENDED = attrs.evolve(BROKEN, broken_off=True)
+CONNECTION_RESET = may_have_run(
+    FailureCode.QUEUE_FULL, 'reset by the other end'
+)
+UNREACHABLE = not_run(FailureCode.UNREACHABLE, 'refused')
+BROKEN_CONNECTION = may_have_run(FailureCode.UNREACHABLE, 'reset')
+SERVER_CRASH = attrs.evolve(BROKEN_CONNECTION, broken_off=True)
 
 
 def route(**changes: Any) -> Route:
@@ -66,13 +68,13 @@
         'target': SingleService(service='archive'),
         'idempotent': True,
         'timeout_ms': TIMEOUT_MS,
-        'latency_target_ms': AIM_MS,
+        'latency_target_ms': LATENCY_TARGET_MS,
         'max_attempts': 2,
     }
     return Route(**(fields | changes))
 
 
-def gather(shards: int, least: float = 0.75) -> FanOut:
+def fan_out(shards: int, least: float = 0.75) -> FanOut:
     """Return a target that fans out to a number of shards."""
     return FanOut(
         services=tuple(f'shard-{number}' for number in range(shards)),
@@ -94,7 +96,7 @@
 
 
 @attrs.define(kw_only=True)
-class World:
+class RoutingDaemon:
     """Routing of one daemon, with three servers per service.
 
     The servers are in the data centre of the daemon, in another data centre of
@@ -103,7 +105,7 @@
 
     time: ManualTime = attrs.field(factory=ManualTime)
     ratio: float = 100
-    roster: ServerDirectory = attrs.field(init=False)
+    directory: ServerDirectory = attrs.field(init=False)
     states: ServerStates = attrs.field(factory=ServerStates)
     fleet: FleetSize = attrs.field(init=False)
     budgets: RetryBudgets = attrs.field(init=False)
@@ -112,7 +114,7 @@
     def __attrs_post_init__(self) -> None:
         """Create the components of the daemon."""
         clock = self.clock
-        self.roster = ServerDirectory(registry=Registry(clock=clock))
+        self.directory = ServerDirectory(registry=Registry(clock=clock))
         self.fleet = FleetSize(clock=clock, window_ms=WINDOW_MS)
         self.budgets = retry_budgets(
             RetryPolicy(ratio=self.ratio, fixed=0, window_ms=WINDOW_MS),
@@ -132,7 +134,7 @@
     def selector(self) -> Selector:
         """Return a selector over the registered servers."""
         return Selector(
-            roster=self.roster,
+            directory=self.directory,
             states=self.states,
             distances=Distances(
                 data_centre='here',
@@ -147,12 +149,12 @@
         """Register three servers for each service."""
         for service in services:
             for place in ('here', 'near', 'far'):
-                self.roster.put(server(service, place, data_centre=place))
+                self.directory.put(server(service, place, data_centre=place))
 
     def dispatch(
         self,
         wanted: Route,
-        baseline: Pace | None = None,
+        baseline: LatencyBaseline | None = None,
         suspect: Sequence[str] = (),
     ) -> Dispatch[Any]:
         """Return the dispatch of a request that arrives now."""
@@ -168,10 +170,10 @@
 
     def state_of(self, service: str, place: str) -> ServerState:
         """Return the state of a server."""
-        return self.states.of(server(service, place).run)
+        return self.states.of(server(service, place).incarnation)
 
     def mark_sent(self, sends: Sequence[Send]) -> None:
         """Record attempts in the states of their servers."""
         for send in sends:
-            state = self.states.of(send.server.run)
+            state = self.states.of(send.server.incarnation)
             state.sent(send.attempt, send.sent_ms)
--- a/packages/fennelfork/tests/test_routes_attempt_outcome.py
+++ b/packages/fennelfork/tests/test_routes_attempt_outcome.py
@@ -2,11 +2,11 @@
 
 import pytest
 from core_builders_routes import (
-    AIM_MS,
-    BROKEN,
+    BROKEN_CONNECTION,
+    LATENCY_TARGET_MS,
     NO_CONNECTION,
     SHED,
-    UNREACHED,
+    UNREACHABLE,
     server,
 )
 
@@ -38,8 +38,8 @@
     @pytest.mark.parametrize(
         ('outcome', 'ejected'),
         [
-            (Failed(failure=UNREACHED), True),
-            (Failed(failure=BROKEN), False),
+            (Failed(failure=UNREACHABLE), True),
+            (Failed(failure=BROKEN_CONNECTION), False),
             (Failed(failure=SHED), False),
             (Failed(failure=NO_CONNECTION), False),
             (Unresponsive(), False),
@@ -56,7 +56,7 @@
         assert state.outstanding == 0
 
     @pytest.mark.parametrize(
-        'outcome', [Failed(failure=BROKEN), Unresponsive()]
+        'outcome', [Failed(failure=BROKEN_CONNECTION), Unresponsive()]
     )
     def test_repeated_failure(self, outcome: AttemptOutcome) -> None:
         """Five consecutive failures eject a server."""
@@ -73,9 +73,13 @@
 
     def test_short_time_limit(self) -> None:
         """A connection with too little time to open is inconclusive."""
-        assert classify_failure(UNREACHED, 1) == Inconclusive()
-        assert classify_failure(UNREACHED, 1000) == Failed(failure=UNREACHED)
-        assert classify_failure(BROKEN, 1) == Failed(failure=BROKEN)
+        assert classify_failure(UNREACHABLE, 1) == Inconclusive()
+        assert classify_failure(UNREACHABLE, 1000) == Failed(
+            failure=UNREACHABLE
+        )
+        assert classify_failure(BROKEN_CONNECTION, 1) == Failed(
+            failure=BROKEN_CONNECTION
+        )
 
 
 def _state_after(outcome: AttemptOutcome, times: int) -> ServerState:
@@ -83,7 +87,7 @@
     record = AttemptRecord(
         send=_SEND,
         now_ms=100,
-        pace=pace(AIM_MS),
+        pace=pace(LATENCY_TARGET_MS),
         nearby=True,
     )
     for _ in range(times):
--- a/packages/fennelfork/tests/test_routes_concurrency.py
+++ b/packages/fennelfork/tests/test_routes_concurrency.py
@@ -3,7 +3,13 @@
 from typing import Any
 
 import pytest
-from core_builders_routes import AIM_MS, SHED, World, gather, route
+from core_builders_routes import (
+    LATENCY_TARGET_MS,
+    SHED,
+    RoutingDaemon,
+    fan_out,
+    route,
+)
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -19,7 +25,7 @@
     limits: ConcurrencyLimits, wanted: int, **changes: Any
 ) -> int:
     """Return the number of requests that are admitted."""
-    return sum(limits.enter(route(**changes)) for _ in range(wanted))
+    return sum(limits.try_admit(route(**changes)) for _ in range(wanted))
 
 
 class TestLimits:
@@ -36,13 +42,13 @@
         """Neither many requests nor late responses alone limit the requests."""
         assert _count_admitted(self.limits, _MANY) == _MANY
         self.limits.for_route(route()).record_late_response(self.clock.now_ms())
-        assert self.limits.enter(route())
+        assert self.limits.try_admit(route())
 
     def test_limit_after_overload(self) -> None:
         """An overload signal reduces the limit below the requests in flight."""
         _count_admitted(self.limits, _MANY)
         self.limits.record_lag()
-        assert not self.limits.enter(route())
+        assert not self.limits.try_admit(route())
         for _ in range(_MANY):
             self.limits.release(route())
         assert 70 < _count_admitted(self.limits, _MANY) < 90
@@ -58,7 +64,7 @@
         """A minimum of requests is admitted however many signals occur."""
         for _ in range(_MANY):
             self.time.advance(_SIGNAL_INTERVAL_MS)
-            self.limits.enter(route())
+            self.limits.try_admit(route())
             self.limits.record_lag()
             self.limits.release(route())
         assert _count_admitted(self.limits, 6) == 6
@@ -102,8 +108,8 @@
         """Each set of services has a separate limit."""
         _count_admitted(self.limits, _MANY)
         self.limits.for_route(route()).record_overload(self.clock.now_ms())
-        assert not self.limits.enter(route())
-        assert self.limits.enter(route(target=gather(3)))
+        assert not self.limits.try_admit(route())
+        assert self.limits.try_admit(route(target=fan_out(3)))
 
 
 class TestSignals:
@@ -115,10 +121,10 @@
         self.time.advance(_RECOVERY_MS)
         self.clock = manual_clock(self.time)
         self.limits = ConcurrencyLimits(clock=self.clock)
-        self.route = route(target=gather(4), max_attempts=1)
+        self.route = route(target=fan_out(4), max_attempts=1)
         for _ in range(_MANY):
-            self.limits.enter(self.route)
-        self.request = World().dispatch(self.route)
+            self.limits.try_admit(self.route)
+        self.request = RoutingDaemon().dispatch(self.route)
         self.sends = self.request.start(0)
 
     @pytest.mark.parametrize(('shed', 'limited'), [(1, False), (2, True)])
@@ -126,21 +132,23 @@
         """Rejected attempts are a signal if the other responses do not suffice."""
         attempts = [send.attempt for send in self.sends]
         for attempt in attempts[shed:]:
-            self.request.answered(attempt, 'part', 10)
+            self.request.on_response(attempt, 'part', 10)
         for attempt in attempts[:shed]:
             pending = [attempt]
             while pending:
-                sends = self.request.failed(pending.pop(), SHED, 10)
+                sends = self.request.on_failure(pending.pop(), SHED, 10)
                 pending.extend(send.attempt for send in sends)
-        assert self.limits.note_end(self.request, 10) is limited
-        assert self.limits.enter(self.route) is not limited
+        assert self.limits.record_outcome(self.request, 10) is limited
+        assert self.limits.try_admit(self.route) is not limited
 
     def test_late(self) -> None:
         """A late response alone is no overload signal, because servers pause."""
         for send in self.sends:
-            self.request.answered(send.attempt, 'part', AIM_MS * 2)
-        self.limits.note_end(self.request, AIM_MS * 2)
-        assert self.limits.enter(self.route)
+            self.request.on_response(
+                send.attempt, 'part', LATENCY_TARGET_MS * 2
+            )
+        self.limits.record_outcome(self.request, LATENCY_TARGET_MS * 2)
+        assert self.limits.try_admit(self.route)
 
 
 class TestLimit:
--- a/packages/fennelfork/tests/test_routes_dispatch.py
+++ b/packages/fennelfork/tests/test_routes_dispatch.py
@@ -3,14 +3,14 @@
 from typing import Any
 
 from core_builders_routes import (
-    AIM_MS,
-    BROKEN,
+    BROKEN_CONNECTION,
+    LATENCY_TARGET_MS,
     NO_CONNECTION,
     SHED,
     TIMEOUT_MS,
-    UNREACHED,
-    World,
-    gather,
+    UNREACHABLE,
+    RoutingDaemon,
+    fan_out,
     route,
 )
 from hypothesis import strategies as st
@@ -22,7 +22,13 @@
 )
 
 from fennelfork import Verdict
-from fennelfork.routes import Ending, Selection, Send, failure_of, pace
+from fennelfork.routes import (
+    FinishReason,
+    SelectionCriteria,
+    Send,
+    failure_of,
+    pace,
+)
 
 
 class TestSending:
@@ -30,116 +36,121 @@
 
     def setup_method(self) -> None:
         """Create a daemon without servers."""
-        self.world = World()
+        self.daemon = RoutingDaemon()
 
     def test_nearest_first(self) -> None:
         """The server in the data centre of the daemon is preferred."""
-        sends = self.world.dispatch(route()).start(0)
+        sends = self.daemon.dispatch(route()).start(0)
         assert [send.server.instance for send in sends] == ['archive/here']
         assert not sends[0].repeat
 
     def test_skips_unresponsive_server(self) -> None:
         """An unresponsive server gets no new work."""
-        first = self.world.dispatch(route()).start(0)
-        self.world.mark_sent(first)
-        self.world.time.advance(200)
-        sends = self.world.dispatch(route()).start(200)
+        first = self.daemon.dispatch(route()).start(0)
+        self.daemon.mark_sent(first)
+        self.daemon.time.advance(200)
+        sends = self.daemon.dispatch(route()).start(200)
         assert sends[0].server.instance == 'archive/near'
 
     def test_single_hedge(self) -> None:
         """A late response causes one hedge, to another server."""
-        request = self.world.dispatch(route())
-        self.world.mark_sent(request.start(0))
-        assert not request.late(50)
-        self.world.time.advance(AIM_MS / 2)
-        sends = request.late(AIM_MS / 2)
+        request = self.daemon.dispatch(route())
+        self.daemon.mark_sent(request.start(0))
+        assert not request.send_hedges(50)
+        self.daemon.time.advance(LATENCY_TARGET_MS / 2)
+        sends = request.send_hedges(LATENCY_TARGET_MS / 2)
         assert [send.server.instance for send in sends] == ['archive/near']
         assert sends[0].repeat
-        assert not request.late(AIM_MS)
+        assert not request.send_hedges(LATENCY_TARGET_MS)
 
     def test_no_hedge_to_unresponsive_server(self) -> None:
         """No hedge is sent if all servers are unresponsive."""
         for place in ('here', 'near', 'far'):
-            state = self.world.state_of('archive', place)
+            state = self.daemon.state_of('archive', place)
             state.sent(-1, 0)
-        self.world.time.advance(AIM_MS)
-        request = self.world.dispatch(route())
-        assert request.start(AIM_MS)
-        assert not request.late(2 * AIM_MS)
+        self.daemon.time.advance(LATENCY_TARGET_MS)
+        request = self.daemon.dispatch(route())
+        assert request.start(LATENCY_TARGET_MS)
+        assert not request.send_hedges(2 * LATENCY_TARGET_MS)
 
     def test_hedge_to_busy_server(self) -> None:
         """A server at its concurrency limit may get a hedge."""
-        request = self.world.dispatch(route())
+        request = self.daemon.dispatch(route())
         request.start(0)
         for place in ('near', 'far'):
-            standing = self.world.state_of('archive', place).standing
+            standing = self.daemon.state_of('archive', place).standing
             standing.ramp = 0
-        self.world.time.advance(AIM_MS / 2)
-        assert request.late(AIM_MS / 2)
+        self.daemon.time.advance(LATENCY_TARGET_MS / 2)
+        assert request.send_hedges(LATENCY_TARGET_MS / 2)
 
     def test_distance_depends_on_target(self) -> None:
         """A slow server nearby is avoided sooner if the latency target is low."""
-        self.world.add_servers(['archive'])
-        self.world.roster.remove('archive/near')
-        near = self.world.state_of('archive', 'here')
+        self.daemon.add_servers(['archive'])
+        self.daemon.directory.remove('archive/near')
+        near = self.daemon.state_of('archive', 'here')
         for latency_target_ms, place in ((1000.0, 'here'), (100.0, 'far')):
             baseline = pace(latency_target_ms)
             baseline.record(15)
             for _ in range(60):
                 near.sample(6, 0)
-            wanted = Selection(service='archive', tried=(), pace=baseline)
-            chosen = self.world.parts.selector.choose(wanted)
+            wanted = SelectionCriteria(
+                service='archive', tried=(), pace=baseline
+            )
+            chosen = self.daemon.parts.selector.choose(wanted)
             assert chosen.instance == f'archive/{place}'
 
     def test_no_hedge_unless_idempotent(self) -> None:
         """A request that is not idempotent is not hedged."""
-        request = self.world.dispatch(route(idempotent=False))
+        request = self.daemon.dispatch(route(idempotent=False))
         request.start(0)
-        assert not request.late(AIM_MS)
+        assert not request.send_hedges(LATENCY_TARGET_MS)
 
     def test_retry_unless_idempotent(self) -> None:
         """A request that is not idempotent is retried only if it did not run."""
-        request = self.world.dispatch(route(idempotent=False))
+        request = self.daemon.dispatch(route(idempotent=False))
         first = request.start(0)
-        second = request.failed(first[0].attempt, SHED, 1)
+        second = request.on_failure(first[0].attempt, SHED, 1)
         assert len(second) == 1
-        assert not request.failed(second[0].attempt, BROKEN, 2)
-        assert request.ending(2) is Ending.SETTLED
-        legs = request.legs.values()
-        assert failure_of(legs, timed_out=False).verdict is Verdict.MAY_HAVE_RUN
+        assert not request.on_failure(second[0].attempt, BROKEN_CONNECTION, 2)
+        assert request.finish_reason(2) is FinishReason.SETTLED
+        sub_requests = request.sub_requests.values()
+        assert (
+            failure_of(sub_requests, timed_out=False).verdict
+            is Verdict.MAY_HAVE_RUN
+        )
 
     def test_exhausted_budget(self) -> None:
         """No retry is sent without budget."""
-        self.world = World(ratio=0)
-        request = self.world.dispatch(route())
+        self.daemon = RoutingDaemon(ratio=0)
+        request = self.daemon.dispatch(route())
         first = request.start(0)
-        assert not request.failed(first[0].attempt, BROKEN, 1)
+        assert not request.on_failure(first[0].attempt, BROKEN_CONNECTION, 1)
 
     def test_unreachable_server_spends_no_budget(self) -> None:
         """An attempt after an unreachable server is not an extra attempt."""
-        self.world = World(ratio=0)
-        request = self.world.dispatch(route())
+        self.daemon = RoutingDaemon(ratio=0)
+        request = self.daemon.dispatch(route())
         first = request.start(0)
-        sends = request.failed(first[0].attempt, UNREACHED, 1)
+        sends = request.on_failure(first[0].attempt, UNREACHABLE, 1)
         assert [send.repeat for send in sends] == [False]
 
     def test_no_connection_spends_no_budget(self) -> None:
         """An attempt without a connection has not reached a server."""
-        self.world = World(ratio=0)
-        request = self.world.dispatch(route())
+        self.daemon = RoutingDaemon(ratio=0)
+        request = self.daemon.dispatch(route())
         first = request.start(0)
-        sends = request.failed(first[0].attempt, NO_CONNECTION, 10)
+        sends = request.on_failure(first[0].attempt, NO_CONNECTION, 10)
         assert len(sends) == 1
         assert not sends[0].repeat
 
     def test_no_server(self) -> None:
         """Without a server nothing has run, and the caller may retry."""
-        request = self.world.dispatch(route())
+        request = self.daemon.dispatch(route())
         for place in ('here', 'near', 'far'):
-            self.world.roster.remove(f'archive/{place}')
+            self.daemon.directory.remove(f'archive/{place}')
         assert not request.start(0)
-        assert request.ending(0) is Ending.SETTLED
-        failure = failure_of(request.legs.values(), timed_out=False)
+        assert request.finish_reason(0) is FinishReason.SETTLED
+        failure = failure_of(request.sub_requests.values(), timed_out=False)
         assert failure.verdict is Verdict.NOT_RUN
         assert failure.retry_after_ms
 
@@ -149,36 +160,46 @@
 
     def setup_method(self) -> None:
         """Dispatch a request to four shards."""
-        self.request = World().dispatch(route(target=gather(4)))
+        self.request = RoutingDaemon().dispatch(route(target=fan_out(4)))
         self.sends = self.request.start(0)
 
     def test_complete(self) -> None:
         """A complete answer is sent at once."""
         self._answer(4)
-        assert self.request.ending(1) is Ending.SETTLED
+        assert self.request.finish_reason(1) is FinishReason.SETTLED
 
     def test_partial_at_target(self) -> None:
         """A sufficient partial answer is sent at the latency target."""
         self._answer(3)
-        assert self.request.ending(AIM_MS / 2) is None
-        assert self.request.ending(AIM_MS) is Ending.PARTIAL
-        assert self.request.next_timer_ms(200) < AIM_MS
+        assert self.request.finish_reason(LATENCY_TARGET_MS / 2) is None
+        assert (
+            self.request.finish_reason(LATENCY_TARGET_MS)
+            is FinishReason.PARTIAL
+        )
+        assert self.request.next_timer_ms(200) < LATENCY_TARGET_MS
 
     def test_insufficient_at_target(self) -> None:
         """Below the minimum coverage, the request waits for more responses."""
         self._answer(2)
-        assert self.request.ending(AIM_MS) is None
-        self.request.answered(self.sends[3].attempt, b'late', AIM_MS)
-        assert self.request.ending(AIM_MS + 5) is Ending.PARTIAL
+        assert self.request.finish_reason(LATENCY_TARGET_MS) is None
+        self.request.on_response(
+            self.sends[3].attempt, b'late', LATENCY_TARGET_MS
+        )
+        assert (
+            self.request.finish_reason(LATENCY_TARGET_MS + 5)
+            is FinishReason.PARTIAL
+        )
 
     def test_timeout(self) -> None:
         """The request times out before the timeout of the caller."""
-        assert self.request.ending(TIMEOUT_MS - 40) is None
-        assert self.request.ending(TIMEOUT_MS - 20) is Ending.TIMEOUT
+        assert self.request.finish_reason(TIMEOUT_MS - 40) is None
+        assert (
+            self.request.finish_reason(TIMEOUT_MS - 20) is FinishReason.TIMEOUT
+        )
 
     def _answer(self, count: int) -> None:
         for send in self.sends[:count]:
-            self.request.answered(send.attempt, b'part', 1)
+            self.request.on_response(send.attempt, b'part', 1)
 
 
 class DispatchMachine(RuleBasedStateMachine):
@@ -187,7 +208,7 @@
     def __init__(self) -> None:
         """Create a daemon without servers."""
         super().__init__()
-        self.world = World(ratio=2)
+        self.daemon = RoutingDaemon(ratio=2)
         self.now_ms = 0.0
         self.in_flight: dict[int, Send] = {}
         self.may_run: dict[str, set[str]] = {}
@@ -196,19 +217,22 @@
     @initialize(shards=st.integers(1, 4), idempotent=st.booleans())
     def start(self, shards: int, idempotent: bool) -> None:
         """Send the first attempts."""
-        target = gather(shards)
+        target = fan_out(shards)
         wanted = route(target=target, idempotent=idempotent)
-        self.request = self.world.dispatch(wanted)
+        self.request = self.daemon.dispatch(wanted)
         self._record(self.request.start(0))
 
     @rule(by_ms=st.floats(1, 400))
     def wait(self, by_ms: float) -> None:
         """Advance the clock and send the hedges that are due."""
         self.now_ms += by_ms
-        self.world.time.advance(by_ms)
-        self._record(self.request.late(self.now_ms))
+        self.daemon.time.advance(by_ms)
+        self._record(self.request.send_hedges(self.now_ms))
 
-    @rule(data=st.data(), failure=st.sampled_from([SHED, UNREACHED, BROKEN]))
+    @rule(
+        data=st.data(),
+        failure=st.sampled_from([SHED, UNREACHABLE, BROKEN_CONNECTION]),
+    )
     def fail(self, data: st.DataObject, failure: Any) -> None:
         """Fail an attempt."""
         send = self._remove_attempt(data)
@@ -217,7 +241,7 @@
         if failure.verdict is Verdict.NOT_RUN:
             self.may_run[send.server.service].discard(send.server.instance)
         self._record(
-            self.request.failed(send.attempt, failure, self.now_ms),
+            self.request.on_failure(send.attempt, failure, self.now_ms),
         )
 
     @rule(data=st.data())
@@ -225,7 +249,7 @@
         """Deliver the response to an attempt."""
         send = self._remove_attempt(data)
         if send is not None:
-            self.request.answered(
+            self.request.on_response(
                 send.attempt,
                 send.server.service,
                 self.now_ms,
@@ -248,21 +272,21 @@
         """A request without attempts in flight or past its timeout finishes."""
         if self.request is None:
             return
-        ending = self.request.ending(self.now_ms)
+        finish_reason = self.request.finish_reason(self.now_ms)
         if not self.in_flight:
-            assert ending is not None
+            assert finish_reason is not None
         if self.now_ms >= TIMEOUT_MS:
-            assert ending is not None
+            assert finish_reason is not None
 
     @invariant()
     def responses_match_services(self) -> None:
         """A sub-request holds only a response of its own service."""
         if self.request is not None:
-            for service, leg in self.request.legs.items():
-                assert leg.part in {None, service}
+            for service, sub_request in self.request.sub_requests.items():
+                assert sub_request.part in {None, service}
 
     def _record(self, sends: list[Send]) -> None:
-        self.world.mark_sent(sends)
+        self.daemon.mark_sent(sends)
         for send in sends:
             self.in_flight[send.attempt] = send
             ran = self.may_run.setdefault(send.server.service, set())
--- a/packages/fennelfork/tests/test_routes_power_loss.py
+++ b/packages/fennelfork/tests/test_routes_power_loss.py
@@ -9,13 +9,13 @@
 import attrs
 import pytest
 from core_builders_routes import (
-    CUT,
+    CONNECTION_RESET,
     NO_CONNECTION,
     SHED,
     TIMEOUT_MS,
-    UNREACHED,
-    World,
-    gather,
+    UNREACHABLE,
+    RoutingDaemon,
+    fan_out,
     pace,
     route,
 )
@@ -24,9 +24,9 @@
 from fennelfork.routes import (
     AttemptRecord,
     ConcurrencyLimits,
-    Ending,
     Failed,
-    Selection,
+    FinishReason,
+    SelectionCriteria,
     Send,
     classify_reset,
     record_outcome,
@@ -42,17 +42,17 @@
 
     def setup_method(self) -> None:
         """Send a request to three shards."""
-        self.world = World()
-        self.request = self.world.dispatch(route(target=gather(3, least=1)))
+        self.daemon = RoutingDaemon()
+        self.request = self.daemon.dispatch(route(target=fan_out(3, least=1)))
         self.sends = self.request.start(0)
 
     def test_cycles_through_servers(self) -> None:
         """Each server is tried once, then all servers again."""
         send = self.sends[0]
-        asked = [send.server.run]
+        asked = [send.server.incarnation]
         for _ in range(8):
             send = self._reset(send)[0]
-            asked.append(send.server.run)
+            asked.append(send.server.incarnation)
         assert len(set(asked[:3])) == 3
         assert len(set(asked)) == 3
 
@@ -62,72 +62,79 @@
         for _ in range(6):
             send = self._reset(send)[0]
         for other in (send, *self.sends[1:]):
-            self.request.answered(other.attempt, 'part', self.world.time.at_ms)
-        assert self.request.ending(self.world.time.at_ms) is Ending.SETTLED
-        assert self.request.suffices
+            self.request.on_response(
+                other.attempt, 'part', self.daemon.time.at_ms
+            )
+        assert (
+            self.request.finish_reason(self.daemon.time.at_ms)
+            is FinishReason.SETTLED
+        )
+        assert self.request.is_sufficient
 
     def test_deadline(self) -> None:
         """No retry is sent after the deadline of the request."""
-        self.world.time.advance(TIMEOUT_MS)
+        self.daemon.time.advance(TIMEOUT_MS)
         assert not self._reset(self.sends[0])
-        ending = self.request.ending(self.world.time.at_ms)
-        assert ending is Ending.TIMEOUT
+        finish_reason = self.request.finish_reason(self.daemon.time.at_ms)
+        assert finish_reason is FinishReason.TIMEOUT
 
     def test_refused_connections(self) -> None:
         """Servers that refuse connections are not tried again."""
         send = self.sends[0]
         for _ in range(2):
-            send = self._fail(send, UNREACHED)[0]
-        assert not self._fail(send, UNREACHED)
+            send = self._fail(send, UNREACHABLE)[0]
+        assert not self._fail(send, UNREACHABLE)
 
     def test_needs_no_retry_budget(self) -> None:
         """Attempts that reach no server do not use the retry budget."""
-        world = World(ratio=0)
-        request = world.dispatch(route(target=gather(1)))
+        daemon = RoutingDaemon(ratio=0)
+        request = daemon.dispatch(route(target=fan_out(1)))
         send = request.start(0)[0]
         for _ in range(7):
-            send = request.failed(send.attempt, NO_CONNECTION, 1)[0]
+            send = request.on_failure(send.attempt, NO_CONNECTION, 1)[0]
         assert not send.repeat
 
     @pytest.mark.parametrize('resets', [1, 4])
     def test_reset_after_the_request_was_sent(self, resets: int) -> None:
         """A reset from a distant server after the request was sent is free too."""
-        world = World(ratio=0)
-        request = world.dispatch(route(target=gather(1)))
+        daemon = RoutingDaemon(ratio=0)
+        request = daemon.dispatch(route(target=fan_out(1)))
         send = request.start(0)[0]
         for _ in range(resets):
-            send = request.failed(send.attempt, CUT, 1)[0]
+            send = request.on_failure(send.attempt, CONNECTION_RESET, 1)[0]
         assert not send.repeat
-        request.answered(send.attempt, 'part', 2)
-        assert request.suffices
+        request.on_response(send.attempt, 'part', 2)
+        assert request.is_sufficient
 
     def test_repeated_reset(self) -> None:
         """The number of attempts that may have run is limited."""
-        request = self.world.dispatch(route(target=gather(1)))
+        request = self.daemon.dispatch(route(target=fan_out(1)))
         sends = request.start(0)
         count = 0
         while sends:
             count += 1
-            sends = request.failed(sends[0].attempt, CUT, count)
+            sends = request.on_failure(
+                sends[0].attempt, CONNECTION_RESET, count
+            )
         assert count == 6
-        leg = next(iter(request.legs.values()))
-        assert leg.verdict is Verdict.MAY_HAVE_RUN
+        sub_request = next(iter(request.sub_requests.values()))
+        assert sub_request.verdict is Verdict.MAY_HAVE_RUN
 
     def test_reset_of_non_idempotent_request(self) -> None:
         """A non-idempotent request is not retried."""
-        request = self.world.dispatch(route(idempotent=False))
+        request = self.daemon.dispatch(route(idempotent=False))
         send = request.start(0)[0]
-        assert not request.failed(send.attempt, CUT, 1)
+        assert not request.on_failure(send.attempt, CONNECTION_RESET, 1)
 
     def _reset(self, send: Send) -> list[Send]:
         return self._fail(send, NO_CONNECTION)
 
     def _fail(self, send: Send, failure: Any) -> list[Send]:
-        self.world.time.advance(_RESET_MS)
-        return self.request.failed(
+        self.daemon.time.advance(_RESET_MS)
+        return self.request.on_failure(
             send.attempt,
             failure,
-            self.world.time.at_ms,
+            self.daemon.time.at_ms,
         )
 
 
@@ -136,18 +143,18 @@
 
     def setup_method(self) -> None:
         """Record an attempt that found no connection."""
-        self.world = World()
-        request = self.world.dispatch(route())
+        self.daemon = RoutingDaemon()
+        request = self.daemon.dispatch(route())
         self.send = request.start(0)[0]
-        self.world.mark_sent([self.send])
-        self.state = self.world.states.of(self.send.server.run)
+        self.daemon.mark_sent([self.send])
+        self.state = self.daemon.states.of(self.send.server.incarnation)
         record = AttemptRecord(
             send=self.send,
             now_ms=_RESET_MS,
             pace=pace(300),
             nearby=True,
         )
-        self.world.time.advance(_RESET_MS)
+        self.daemon.time.advance(_RESET_MS)
         record_outcome(Failed(failure=NO_CONNECTION), record, self.state)
 
     def test_is_not_ejected(self) -> None:
@@ -157,15 +164,15 @@
 
     def test_is_avoided_for_a_while(self) -> None:
         """Other servers are preferred until the delay has passed."""
-        assert self._choice() != self.send.server.run
-        self.world.time.advance(300)
-        assert self._choice() == self.send.server.run
+        assert self._choice() != self.send.server.incarnation
+        self.daemon.time.advance(300)
+        assert self._choice() == self.send.server.incarnation
 
     def _choice(self) -> str:
-        wanted = Selection(service='archive', tried=(), pace=pace(300))
-        chosen = self.world.parts.selector.choose(wanted)
+        wanted = SelectionCriteria(service='archive', tried=(), pace=pace(300))
+        chosen = self.daemon.parts.selector.choose(wanted)
         assert chosen is not None
-        return chosen.run
+        return chosen.incarnation
 
 
 class TestConnections:
@@ -200,28 +207,31 @@
 
         Guards against unlimited retries to a server that keeps resetting.
         """
-        assert classify_reset(CUT, is_warmed_up=is_warmed_up).code is code
+        assert (
+            classify_reset(CONNECTION_RESET, is_warmed_up=is_warmed_up).code
+            is code
+        )
 
     def test_is_no_crash(self) -> None:
         """A reset at the connection limit is not a crash of the server."""
-        reset = attrs.evolve(CUT, broken_off=True)
+        reset = attrs.evolve(CONNECTION_RESET, broken_off=True)
         assert not classify_reset(reset, is_warmed_up=False).broken_off
         assert classify_reset(reset, is_warmed_up=True).broken_off
 
-    @pytest.mark.parametrize('failure', [NO_CONNECTION, UNREACHED, SHED])
+    @pytest.mark.parametrize('failure', [NO_CONNECTION, UNREACHABLE, SHED])
     def test_other_failures(self, failure: Failure) -> None:
         """Failures of requests that did not run stay unchanged."""
         assert classify_reset(failure, is_warmed_up=True) == failure
 
     def test_fleet_size_settles(self) -> None:
         """The fleet size is settled once other daemons had time to start."""
-        world = World()
-        shares = world.parts.selector.shares
-        assert not shares.settled
-        world.fleet.note(9)
-        assert not shares.settled
-        world.time.advance(3000)
-        assert shares.settled
+        daemon = RoutingDaemon()
+        shares = daemon.parts.selector.shares
+        assert not shares.is_settled
+        daemon.fleet.record_size(9)
+        assert not shares.is_settled
+        daemon.time.advance(3000)
+        assert shares.is_settled
 
 
 class TestConcurrencyLimit:
@@ -229,15 +239,15 @@
 
     def test_late_without_connection(self) -> None:
         """The concurrency limit decreases as after failures."""
-        world = World()
-        world.time.advance(5000)
-        limits = ConcurrencyLimits(clock=world.clock)
-        wanted = route(target=gather(1))
+        daemon = RoutingDaemon()
+        daemon.time.advance(5000)
+        limits = ConcurrencyLimits(clock=daemon.clock)
+        wanted = route(target=fan_out(1))
         for _ in range(50):
-            limits.enter(wanted)
-        request = world.dispatch(wanted)
-        send = request.start(world.time.at_ms)[0]
-        again = request.failed(send.attempt, NO_CONNECTION, 5000)[0]
-        request.answered(again.attempt, 'part', 5400)
-        assert limits.note_end(request, 400)
-        assert not limits.enter(wanted)
+            limits.try_admit(wanted)
+        request = daemon.dispatch(wanted)
+        send = request.start(daemon.time.at_ms)[0]
+        again = request.on_failure(send.attempt, NO_CONNECTION, 5000)[0]
+        request.on_response(again.attempt, 'part', 5400)
+        assert limits.record_outcome(request, 400)
+        assert not limits.try_admit(wanted)
--- a/packages/fennelfork/tests/test_routes_retry_budget.py
+++ b/packages/fennelfork/tests/test_routes_retry_budget.py
@@ -26,7 +26,7 @@
         time = ManualTime()
         budgets = _budgets(manual_clock(time), 1)
         for _ in range(10):
-            budgets.note_request('archive')
+            budgets.record_request('archive')
         assert [budgets.try_spend('archive') for _ in range(3)] == [
             True,
             True,
@@ -42,9 +42,9 @@
         """The share of a departed daemon is redistributed after one window."""
         time = ManualTime(at_ms=WINDOW_MS)
         fleet = FleetSize(clock=manual_clock(time), window_ms=WINDOW_MS)
-        fleet.note(4)
+        fleet.record_size(4)
         time.advance(1)
-        fleet.note(2)
+        fleet.record_size(2)
         assert fleet.max_size == 4
         time.advance(WINDOW_MS)
         assert fleet.max_size == 2
@@ -67,7 +67,7 @@
     def request(self, which: int, count: int) -> None:
         """Send requests to one daemon."""
         for _ in range(count):
-            self.daemons[which].note_request('archive')
+            self.daemons[which].record_request('archive')
             self.requests.append(self.time.at_ms)
 
     @rule(which=st.integers(0, _DAEMONS - 1), count=st.integers(1, 30))
@@ -110,5 +110,5 @@
 
 def _budgets(clock: Clock, daemons: int) -> RetryBudgets:
     fleet = FleetSize(clock=clock, window_ms=WINDOW_MS)
-    fleet.note(daemons)
+    fleet.record_size(daemons)
     return retry_budgets(_POLICY, clock, fleet)
--- a/packages/fennelfork/tests/test_routes_server_directory.py
+++ b/packages/fennelfork/tests/test_routes_server_directory.py
@@ -1,12 +1,12 @@
 """Tests of servers that register, drain, expire and restart."""
 
 import attrs
-from core_builders_routes import AIM_MS, World, server
+from core_builders_routes import LATENCY_TARGET_MS, RoutingDaemon, server
 
 from fennelfork import ManualTime, manual_clock
 from fennelfork.routes import (
     Registry,
-    Selection,
+    SelectionCriteria,
     ServerDirectory,
     ServerStates,
     pace,
@@ -81,20 +81,20 @@
     def test_incarnations_differ(self) -> None:
         """Incarnations of a server share the name only."""
         assert self.first.instance == self.second.instance
-        assert self.first.run != self.second.run
+        assert self.first.incarnation != self.second.incarnation
         self.directory.put(self.second)
-        assert self.directory.incarnations == {self.second.run}
+        assert self.directory.incarnations == {self.second.incarnation}
 
     def test_observations_are_reset(self) -> None:
         """Latency, ejection and attempts in flight are reset."""
         states = ServerStates()
-        previous = states.of(self.first.run)
+        previous = states.of(self.first.incarnation)
         previous.sample(30, 0)
         previous.standing.eject(0)
         previous.sent(1, 0)
         self.directory.put(self.second)
         states.keep(self.directory.incarnations)
-        fresh = states.of(self.second.run)
+        fresh = states.of(self.second.incarnation)
         assert fresh.slowness(0) == 1
         assert not fresh.standing.ejected(1)
         assert fresh.outstanding == 0
@@ -102,12 +102,12 @@
     def test_attempt_of_previous_incarnation(self) -> None:
         """Failures of the previous incarnation do not affect the new one."""
         states = ServerStates()
-        states.of(self.first.run).sent(1, 0)
+        states.of(self.first.incarnation).sent(1, 0)
         self.directory.put(self.second)
         states.keep(self.directory.incarnations)
-        states.of(self.first.run).lost(1)
-        states.of(self.first.run).standing.eject(0)
-        assert not states.of(self.second.run).standing.ejected(1)
+        states.of(self.first.incarnation).lost(1)
+        states.of(self.first.incarnation).standing.eject(0)
+        assert not states.of(self.second.incarnation).standing.ejected(1)
 
     def test_outdated_registration(self) -> None:
         """A late write of the previous incarnation is outdated."""
@@ -128,13 +128,13 @@
 
     def test_retry_on_new_incarnation(self) -> None:
         """A request may be retried on a new incarnation of the server."""
-        world = World()
-        world.roster.put(server('archive', 'a', started_ms=1000))
-        chosen = world.parts.selector.choose(
-            Selection(
+        daemon = RoutingDaemon()
+        daemon.directory.put(server('archive', 'a', started_ms=1000))
+        chosen = daemon.parts.selector.choose(
+            SelectionCriteria(
                 service='archive',
-                tried={server('archive', 'a').run},
-                pace=pace(AIM_MS),
+                tried={server('archive', 'a').incarnation},
+                pace=pace(LATENCY_TARGET_MS),
             ),
         )
         assert chosen is not None
--- a/packages/fennelfork/tests/test_routes_server_directory_machine.py
+++ b/packages/fennelfork/tests/test_routes_server_directory_machine.py
@@ -73,8 +73,8 @@
     @rule(registered=written)
     def observe(self, registered: BackendServer) -> None:
         """Eject an incarnation, perhaps an earlier one."""
-        self.states.of(registered.run).standing.eject(self.time.at_ms)
-        self.observed.add(registered.run)
+        self.states.of(registered.incarnation).standing.eject(self.time.at_ms)
+        self.observed.add(registered.incarnation)
 
     @rule(name=_NAMES)
     def expire(self, name: str) -> None:
@@ -119,9 +119,9 @@
     @invariant()
     def usable_servers_match_store(self) -> None:
         """The newest incarnation of each name is usable unless it drains."""
-        usable = {one.run for one in self.directory.usable('archive')}
+        usable = {one.incarnation for one in self.directory.usable('archive')}
         assert usable == {
-            known.server.run
+            known.server.incarnation
             for known in self.known.values()
             if not known.server.draining
         }
--- a/packages/fennelfork/tests/test_routes_slow_servers.py
+++ b/packages/fennelfork/tests/test_routes_slow_servers.py
@@ -7,9 +7,9 @@
 from typing import Final
 
 import pytest
-from core_builders_routes import World, pace, server
+from core_builders_routes import RoutingDaemon, pace, server
 
-from fennelfork.routes import Selection, ServerState
+from fennelfork.routes import SelectionCriteria, ServerState
 
 _LATENCY_TARGET_MS: Final = 235
 _BASELINE_MS: Final = 30
@@ -23,13 +23,13 @@
 
     def setup_method(self) -> None:
         """Register one server nearby and one in another region."""
-        self.world = World()
+        self.daemon = RoutingDaemon()
         for place in ('here', 'far'):
-            self.world.roster.put(server('shard', place, data_centre=place))
+            self.daemon.directory.put(server('shard', place, data_centre=place))
         self.pace = pace(_LATENCY_TARGET_MS)
         for _ in range(50):
             self.pace.record(_BASELINE_MS)
-        self.near = self.world.state_of('shard', 'here')
+        self.near = self.daemon.state_of('shard', 'here')
 
     def test_avoided_after_two_slow_responses(self) -> None:
         """The third request goes to the server in the other region."""
@@ -38,14 +38,14 @@
     def test_returns_after_some_seconds(self) -> None:
         """The server is selected again after some seconds."""
         self._slow_responses_until_avoided()
-        self.world.time.advance(15_000)
+        self.daemon.time.advance(15_000)
         assert self._chosen() == 'here'
 
     def test_stays_avoided_between_requests(self) -> None:
         """At 1.5 requests a second the server is avoided for the next requests."""
         self._slow_responses_until_avoided()
         for _ in range(3):
-            self.world.time.advance(_REQUEST_INTERVAL_MS)
+            self.daemon.time.advance(_REQUEST_INTERVAL_MS)
             assert self._chosen() == 'far'
 
     @pytest.mark.parametrize('between', [3, 8])
@@ -65,11 +65,11 @@
         return responses
 
     def _sample(self, state: ServerState, ratio: float) -> None:
-        self.world.time.advance(_REQUEST_INTERVAL_MS)
-        state.sample(ratio, self.world.time.at_ms)
+        self.daemon.time.advance(_REQUEST_INTERVAL_MS)
+        state.sample(ratio, self.daemon.time.at_ms)
 
     def _chosen(self) -> str:
-        wanted = Selection(service='shard', tried=(), pace=self.pace)
-        chosen = self.world.parts.selector.choose(wanted)
+        wanted = SelectionCriteria(service='shard', tried=(), pace=self.pace)
+        chosen = self.daemon.parts.selector.choose(wanted)
         assert chosen is not None
         return chosen.data_centre
--- a/packages/fennelfork/tests/test_routes_store_polling.py
+++ b/packages/fennelfork/tests/test_routes_store_polling.py
@@ -78,5 +78,5 @@
 
 def _polling(daemons: int, max_age_ms: float) -> StorePolling:
     fleet = FleetSize(clock=manual_clock(ManualTime()), window_ms=10_000)
-    fleet.note(daemons)
+    fleet.record_size(daemons)
     return store_polling(fleet, max_age_ms)
--- a/packages/fennelfork/tests/test_routes_table.py
+++ b/packages/fennelfork/tests/test_routes_table.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from core_builders_routes import LIMITS, gather, route
+from core_builders_routes import LIMITS, fan_out, route
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -76,7 +76,7 @@
     )
     def test_min_parts(self, shards: int, least: float, parts: int) -> None:
         """Rounding neither undercuts the coverage nor adds a response."""
-        assert min_parts(gather(shards, least)) == parts
+        assert min_parts(fan_out(shards, least)) == parts
 
     def test_single_service(self) -> None:
         """A request to one service requires one response."""
--- a/tests/test_platform_face.py
+++ b/tests/test_platform_face.py
@@ -140,7 +140,7 @@
         found = board.table.routes[0]
         limits = daemon.service.face.limits
         for _ in range(20):
-            limits.enter(found)
+            limits.try_admit(found)
         limits.record_lag()
         status, headers, _ = daemon.ask()
         assert (status, headers['Retry-After']) == (503, '1.000')
--- a/tests/test_platform_items.py
+++ b/tests/test_platform_items.py
@@ -137,7 +137,7 @@
         first = read_item(item('servers/i-7', beat(born=1000)), _CLOCK)
         second = read_item(item('servers/i-7', beat(born=2000)), _CLOCK)
         assert first.server.instance == second.server.instance
-        assert first.server.run != second.server.run
+        assert first.server.incarnation != second.server.incarnation
 
     @pytest.mark.parametrize('changes', FOREIGN_FIELDS, ids=repr)
     def test_foreign_field(self, changes: dict[str, Any]) -> None:
