--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
@@ -127,7 +127,7 @@
         code = self._code_of_break(error)
         return attrs.evolve(
             may_have_run(code, _says(error)),
-            broken_off=not isinstance(error, _TIMEOUTS),
+            connection_lost=not isinstance(error, _TIMEOUTS),
         )
 
     def _code_of_break(self, error: Exception) -> FailureCode:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
@@ -98,7 +98,7 @@
         if self._trusted(use):
             return self._carry_on(use.connection, call, trace)
         self._close((use.connection,))
-        self._ledger.done(use.connection, self._clock.now_ms(), usable=False)
+        self._ledger.release(use.connection, self._clock.now_ms(), usable=False)
         return self.carry(call, trace)
 
     def silence(self, trace: Trace) -> None:
@@ -165,7 +165,7 @@
             return Bad(failure)
         if not self._when_full.reset_is_full:
             return Bad(attrs.evolve(failure, code=FailureCode.UNREACHABLE))
-        self._ledger.turned_away(self._clock.now_ms())
+        self._ledger.record_refused_connection(self._clock.now_ms())
         return Bad(attrs.evolve(failure, code=self._when_full.code))
 
     def _carry_on(
@@ -186,7 +186,7 @@
 
     def _give_back(self, number: int, *, usable: bool) -> None:
         now_ms = self._clock.now_ms()
-        if not self._ledger.done(number, now_ms, usable=usable):
+        if not self._ledger.release(number, now_ms, usable=usable):
             self._close((number,))
         self._turns.wake()
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_apply.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_apply.py
@@ -126,9 +126,9 @@
 @_take.register
 def _take_suspicion(fact: SuspicionFact, taker: FactTaker) -> None:
     exchange = taker.board.quarantine.exchange
-    standing = exchange.apply_record(fact.record, fact.revision)
-    if standing is not None:
-        taker.reporter.request_judged(fact.record, standing)
+    status = exchange.apply_record(fact.record, fact.revision)
+    if status is not None:
+        taker.reporter.request_judged(fact.record, status)
 
 
 @_take.register
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_calls.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_calls.py
@@ -73,7 +73,7 @@
         """Start calls."""
         for send in sends:
             state = self._parts.selector.states.of(send.server.incarnation)
-            state.sent(send.attempt, send.sent_ms)
+            state.record_sent(send.attempt, send.sent_ms)
             self._running[send.attempt] = eventlet.spawn(self._run, send)
 
     def linger(self) -> None:
@@ -100,7 +100,7 @@
         self._tell(send.attempt, outcome)
         if is_successful(outcome):
             self._parts.guard.note_answer(send, self._ask)
-        elif outcome.failure().broken_off:
+        elif outcome.failure().connection_lost:
             self._look_after(send)
 
     def _look_after(self, send: Send) -> None:
@@ -146,15 +146,15 @@
             ),
         )
         state = self._parts.selector.states.of(send.server.incarnation)
-        before = state.standing.ejected(record.now_ms)
-        returning = state.standing.in_slow_start
+        before = state.ejection.is_ejected(record.now_ms)
+        returning = state.ejection.in_slow_start
         record_outcome(end, record, state)
-        if returning and not state.standing.in_slow_start:
+        if returning and not state.ejection.in_slow_start:
             self._parts.reporter.back(send)
-        if not before and state.standing.ejected(record.now_ms):
+        if not before and state.ejection.is_ejected(record.now_ms):
             self._parts.reporter.ejected(
                 send,
                 end,
-                state.standing.ejected_until_ms - record.now_ms,
+                state.ejection.ejected_until_ms - record.now_ms,
                 state.outstanding,
             )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
@@ -73,11 +73,11 @@
             service=send.server.service,
             alone=send.alone,
         )
-        standing = self._quarantine.record_crash(ask.fingerprint, end)
-        if standing is None:
+        status = self._quarantine.record_crash(ask.fingerprint, end)
+        if status is None:
             self._teller.wake()
         else:
-            self._judged(ask.fingerprint, standing, 'own')
+            self._judged(ask.fingerprint, status, 'own')
 
     def release(self, fingerprint: str) -> bool:
         """Let a request through again, as an operator says; tell if known."""
@@ -106,11 +106,9 @@
         known.trials = max(known.trials, record.trials)
         return True
 
-    def _judged(
-        self, fingerprint: str, standing: RequestStatus, by: str
-    ) -> None:
+    def _judged(self, fingerprint: str, status: RequestStatus, by: str) -> None:
         known = self._quarantine.exchange.record_of(fingerprint)
-        self._judgements.request_judged(known, standing, by)
+        self._judgements.request_judged(known, status, by)
         self._teller.wake()
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
@@ -69,12 +69,12 @@
 
     def follow_quarantine(self, quarantine: Quarantine) -> None:
         """Show how many requests are held for ending servers."""
-        for standing in (
+        for status in (
             RequestStatus.SUSPECTED,
             RequestStatus.QUARANTINED,
         ):
-            count = functools.partial(_count, quarantine, standing)
-            self._held.labels(standing.value).set_function(count)
+            count = functools.partial(_count, quarantine, status)
+            self._held.labels(status.value).set_function(count)
 
     def follow(self, table: RouteTable) -> None:
         """Take the names that may be labels from the routes in force."""
@@ -163,8 +163,8 @@
     )
 
 
-def _count(quarantine: Quarantine, standing: RequestStatus) -> int:
-    return sum(one.status is standing for one in quarantine.records)
+def _count(quarantine: Quarantine, status: RequestStatus) -> int:
+    return sum(one.status is status for one in quarantine.records)
 
 
 def _counter(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request.py
@@ -11,9 +11,9 @@
 from fennelfork.routes import (
     Dispatch,
     FinishReason,
-    failure_of,
-    greatest,
     is_merged,
+    largest_records,
+    merge_failures,
 )
 from fennelfork_daemon.routes._answer import Answer, Forwarded, Merged, Refused
 from fennelfork_daemon.routes._ask import Ask, BackendAnswer
@@ -113,7 +113,9 @@
         if not is_merged(target):
             return Forwarded(answer=parts[0])
         return Merged(
-            body=greatest((part.body for part in parts), target.max_records),
+            body=largest_records(
+                (part.body for part in parts), target.max_records
+            ),
             signatures=tuple(part.signature for part in parts),
             missing=len(self.dispatch.sub_requests) - len(parts),
         )
@@ -123,7 +125,7 @@
             return Forwarded(answer=self._bad_answer)
         timed_out = self.finish_reason is FinishReason.TIMEOUT
         sub_requests = self.dispatch.sub_requests.values()
-        return self._refuse(failure_of(sub_requests, timed_out=timed_out))
+        return self._refuse(merge_failures(sub_requests, timed_out=timed_out))
 
     def _refuse(self, failure: Failure) -> Refused:
         return Refused(failure=failure, request_id=self._ask.request_id)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
@@ -98,14 +98,14 @@
     def request_judged(
         self,
         record: SuspicionRecord,
-        standing: RequestStatus,
+        status: RequestStatus,
         by: str = 'another',
     ) -> None:
         """A request that ended servers is treated in another way now."""
         self._log.tell(
             requests.RequestJudged(
                 fingerprint=record.fingerprint,
-                standing=standing.value,
+                standing=status.value,
                 by=by,
                 rounds=record.isolated_crashes,
                 trials=record.trials,
--- a/packages/fennelfork-daemon/tests/test_routes_guard.py
+++ b/packages/fennelfork-daemon/tests/test_routes_guard.py
@@ -29,7 +29,7 @@
 _NAME = _ASK.fingerprint
 
 
-def held(standing: RequestStatus, **changes: Any) -> SuspicionFact:
+def held(status: RequestStatus, **changes: Any) -> SuspicionFact:
     """Build what another daemon told of the request."""
     ends = tuple(
         ServerCrash(run=f'{name}@1', service='archive', alone=True)
@@ -38,7 +38,7 @@
     fields = {'crashes': ends, 'isolated_crashes': 2, **changes}
     record = SuspicionRecord(
         fingerprint=_NAME,
-        status=standing,
+        status=status,
         last_crash_ms=int(wall_clock().now_ms()),
         **fields,
     )
--- a/packages/fennelfork-daemon/tests/test_routes_store.py
+++ b/packages/fennelfork-daemon/tests/test_routes_store.py
@@ -137,10 +137,10 @@
     def test_is_seen_afresh(self, following: Following) -> None:
         """What was seen of the former run is gone."""
         states = following.board.states
-        states.of(server('i-1').incarnation).standing.eject(0)
+        states.of(server('i-1').incarnation).ejection.eject(0)
         again = server('i-1', started_ms=2000)
         following.change(ServerFact(server=again))
-        assert not states.of(again.incarnation).standing.ejected(1)
+        assert not states.of(again.incarnation).ejection.is_ejected(1)
 
 
 class TestForeignEntries:
--- a/packages/fennelfork/src/fennelfork/_verdict.py
+++ b/packages/fennelfork/src/fennelfork/_verdict.py
@@ -74,7 +74,7 @@
     verdict: Verdict
     detail: str
     retry_after_ms: int | None = None
-    broken_off: bool = False
+    connection_lost: bool = False
 
     def with_verdict(self, verdict: Verdict) -> Self:
         """Return a copy of this failure with another verdict."""
--- a/packages/fennelfork/src/fennelfork/home/_attribution.py
+++ b/packages/fennelfork/src/fennelfork/home/_attribution.py
@@ -30,7 +30,7 @@
     record_latency(blackboard, attempt)
     server = blackboard.servers.get(attempt.server)
     if server is not None:
-        server.ejection.note_good(server.config.slots)
+        server.ejection.record_success(server.config.slots)
         server.consecutive_sheds = 0
 
 
@@ -107,12 +107,14 @@
 
 
 def _count_failure(blackboard: ShardBlackboard, server: ServerState) -> None:
-    server.ejection.note_bad()
+    server.ejection.record_failure()
     is_ejected = functools.partial(
         _is_server_ejected, blackboard.clock.now_ms()
     )
     ejected = sum(map(is_ejected, blackboard.servers.values()))
-    if server.ejection.doubted and may_eject(ejected, len(blackboard.servers)):
+    if server.ejection.should_eject and may_eject(
+        ejected, len(blackboard.servers)
+    ):
         _eject(blackboard, server)
 
 
@@ -122,4 +124,4 @@
 
 
 def _is_server_ejected(now_ms: float, server: ServerState) -> bool:
-    return server.ejection.ejected(now_ms)
+    return server.ejection.is_ejected(now_ms)
--- a/packages/fennelfork/src/fennelfork/home/_blackboard.py
+++ b/packages/fennelfork/src/fennelfork/home/_blackboard.py
@@ -21,7 +21,7 @@
 from fennelfork.home._slots import SlotTable
 from fennelfork.servers._budget import Budget, budget
 from fennelfork.servers._connection import ConnectionLedger
-from fennelfork.servers._ejection import Standing
+from fennelfork.servers._ejection import EjectionState
 from fennelfork.servers._hedge import Latencies, latencies
 from fennelfork.servers._rank import ObservedLatency
 
@@ -53,7 +53,7 @@
     leaving: bool = False
     overloaded_until_ms: float = 0
     consecutive_sheds: int = 0
-    ejection: Standing = attrs.field(factory=Standing)
+    ejection: EjectionState = attrs.field(factory=EjectionState)
     latency: ObservedLatency = attrs.field(factory=ObservedLatency)
     _draining_until_ms: float = 0
     _lost_snapshots: set[int] = attrs.field(factory=set)
--- a/packages/fennelfork/src/fennelfork/home/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/home/_dispatch.py
@@ -14,7 +14,7 @@
 )
 from fennelfork.home._messages import Action, Send, Task
 from fennelfork.servers._hedge import hedge_delay_ms
-from fennelfork.servers._rank import Candidate, best
+from fennelfork.servers._rank import Candidate, choose_candidate
 
 # A second hedge is sent only when the first one is overdue as well.
 _MAX_ACTIVE_ATTEMPTS: Final = 3
@@ -54,7 +54,7 @@
     now_ms = blackboard.clock.now_ms()
     if now_ms < server.overloaded_until_ms:
         return blackboard.slots.busy(server.config.name)
-    return server.ejection.usable(server.config.slots, now_ms)
+    return server.ejection.usable_slots(server.config.slots, now_ms)
 
 
 def free_slots(blackboard: ShardBlackboard, server: ServerState) -> int:
@@ -120,7 +120,7 @@
         for server in eligible
         if free_slots(blackboard, server)
     ]
-    chosen = best(candidates, blackboard.rng)
+    chosen = choose_candidate(candidates, blackboard.rng)
     return chosen.server if chosen else None
 
 
--- a/packages/fennelfork/src/fennelfork/home/_status.py
+++ b/packages/fennelfork/src/fennelfork/home/_status.py
@@ -62,7 +62,7 @@
     conditions = (
         (server.draining, ServerCondition.DRAINING),
         (server.leaving, ServerCondition.LEAVING),
-        (ejection.ejected(now_ms), ServerCondition.EJECTED),
+        (ejection.is_ejected(now_ms), ServerCondition.EJECTED),
         (server.cold, ServerCondition.COLD),
         (ejection.in_slow_start, ServerCondition.RETURNING),
     )
--- a/packages/fennelfork/src/fennelfork/routes/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/routes/__init__.pyi
@@ -16,7 +16,7 @@
 from ._dispatch import FinishReason as FinishReason
 from ._dispatch import dispatch as dispatch
 from ._failure import classify_reset as classify_reset
-from ._failure import failure_of as failure_of
+from ._failure import merge_failures as merge_failures
 from ._fingerprint import fingerprint as fingerprint
 from ._fleet_size import FleetSize as FleetSize
 from ._latency_baseline import LatencyBaseline as LatencyBaseline
@@ -25,7 +25,7 @@
 from ._quarantine import Quarantine as Quarantine
 from ._quarantine import quarantine as quarantine
 from ._records import RECORD_BYTES as RECORD_BYTES
-from ._records import greatest as greatest
+from ._records import largest_records as largest_records
 from ._registry import Registry as Registry
 from ._retry_budget import RetryBudgets as RetryBudgets
 from ._retry_budget import RetryPolicy as RetryPolicy
--- a/packages/fennelfork/src/fennelfork/routes/_caution.py
+++ b/packages/fennelfork/src/fennelfork/routes/_attempt_gate.py
@@ -75,7 +75,7 @@
             self._isolated.clear()
         return cleared
 
-    def record_failure(self, attempt: int, *, broken_off: bool) -> bool:
+    def record_failure(self, attempt: int, *, connection_lost: bool) -> bool:
         """Record the failure of an attempt.
 
         Args:
@@ -88,11 +88,11 @@
         """
         was_isolated = attempt in self._isolated
         self._isolated.discard(attempt)
-        self.is_serial = self.is_serial or broken_off
-        return was_isolated and broken_off
+        self.is_serial = self.is_serial or connection_lost
+        return was_isolated and connection_lost
 
 
-def caution(*, suspected: bool) -> AttemptGate:
+def attempt_gate(*, suspected: bool) -> AttemptGate:
     """Build the gate of a request that has no attempts yet.
 
     Args:
--- a/packages/fennelfork/src/fennelfork/routes/_attempt_outcome.py
+++ b/packages/fennelfork/src/fennelfork/routes/_attempt_outcome.py
@@ -109,9 +109,11 @@
     state: ServerState,
 ) -> None:
     state.record_response(record.send.attempt, record.now_ms)
-    state.standing.note_good(record.send.server.slots)
+    state.ejection.record_success(record.send.server.slots)
     if record.nearby:
-        state.sample(record.took_ms / record.pace.usual_ms, record.now_ms)
+        state.record_latency(
+            record.took_ms / record.pace.usual_ms, record.now_ms
+        )
         record.pace.record(record.took_ms)
 
 
@@ -123,17 +125,17 @@
 ) -> None:
     if outcome.failure.code is FailureCode.QUEUE_FULL:
         # The request did not reach the server.
-        state.lost(record.send.attempt)
+        state.record_abandoned(record.send.attempt)
         state.record_no_connection(record.now_ms)
         return
     state.record_response(record.send.attempt, record.now_ms)
     if outcome.failure.code is FailureCode.SHED:
         return
-    state.standing.note_bad()
+    state.ejection.record_failure()
     unreached = outcome.failure.verdict is Verdict.NOT_RUN
-    if unreached or state.standing.doubted:
+    if unreached or state.ejection.should_eject:
         # No process listens on the address, or the server fails repeatedly.
-        state.standing.eject(record.now_ms)
+        state.ejection.eject(record.now_ms)
 
 
 @record_outcome.register
@@ -142,11 +144,11 @@
     record: AttemptRecord,
     state: ServerState,
 ) -> None:
-    state.lost(record.send.attempt)
-    state.sample(record.took_ms / record.pace.usual_ms, record.now_ms)
-    state.standing.note_bad()
-    if state.standing.doubted:
-        state.standing.eject(record.now_ms)
+    state.record_abandoned(record.send.attempt)
+    state.record_latency(record.took_ms / record.pace.usual_ms, record.now_ms)
+    state.ejection.record_failure()
+    if state.ejection.should_eject:
+        state.ejection.eject(record.now_ms)
 
 
 @record_outcome.register
@@ -155,4 +157,4 @@
     record: AttemptRecord,
     state: ServerState,
 ) -> None:
-    state.lost(record.send.attempt)
+    state.record_abandoned(record.send.attempt)
--- a/packages/fennelfork/src/fennelfork/routes/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/routes/_dispatch.py
@@ -8,9 +8,9 @@
 import attrs
 
 from fennelfork._verdict import Failure
-from fennelfork.routes._caution import caution
-from fennelfork.routes._copies import Copies
+from fennelfork.routes._attempt_gate import attempt_gate
 from fennelfork.routes._latency_baseline import LatencyBaseline
+from fennelfork.routes._request_attempts import RequestAttempts
 from fennelfork.routes._route import Route, min_parts
 from fennelfork.routes._send import Send
 from fennelfork.routes._sender import DispatchParts, Sender
@@ -57,7 +57,7 @@
     sub_requests: dict[str, SubRequest[_Part]]
     hedges: int = 0
     retries: int = 0
-    _copies: Copies
+    _request_attempts: RequestAttempts
     _partial_at_ms: float
     _deadline_ms: float
 
@@ -86,7 +86,9 @@
             One attempt per service, or a single attempt if the request is
             suspected to be a poison request.
         """
-        return self._copies.first(self.sub_requests.values(), now_ms)
+        return self._request_attempts.send_first(
+            self.sub_requests.values(), now_ms
+        )
 
     def on_response(
         self, attempt: int, part: _Part, now_ms: float
@@ -100,7 +102,7 @@
         if sub_request is None:
             return []
         sub_request.record_response(attempt, part, now_ms)
-        return self._copies.after_answer(attempt, now_ms)
+        return self._request_attempts.handle_response(attempt, now_ms)
 
     def on_failure(
         self, attempt: int, failure: Failure, now_ms: float
@@ -115,7 +117,7 @@
             return []
         sub_request.record_failure(attempt, failure, now_ms)
         in_time = now_ms < self._deadline_ms
-        sends = self._copies.after_failure(
+        sends = self._request_attempts.handle_failure(
             sub_request, attempt, failure, now_ms, in_time=in_time
         )
         self.retries += len(sends)
@@ -127,7 +129,9 @@
         for sub_request in self.sub_requests.values():
             if sub_request.is_waiting and now_ms >= sub_request.hedge_at_ms:
                 sub_request.hedge_at_ms = math.inf
-                sends.extend(self._copies.hedge(sub_request, now_ms))
+                sends.extend(
+                    self._request_attempts.send_hedge(sub_request, now_ms)
+                )
         self.hedges += len(sends)
         return sends
 
@@ -191,12 +195,12 @@
         sub_requests={
             service: SubRequest(service=service) for service in ordered
         },
-        copies=Copies(
+        request_attempts=RequestAttempts(
             idempotent=route.idempotent,
             sender=Sender(
                 parts=parts, pace=pace, max_attempts=route.max_attempts
             ),
-            caution=caution(suspected=bool(suspect_services)),
+            attempt_gate=attempt_gate(suspected=bool(suspect_services)),
         ),
         partial_at_ms=came_ms + route.latency_target_ms - _ANSWER_MS,
         deadline_ms=came_ms + max(timeout_ms - _TIMEOUT_MARGIN_MS, 0),
--- a/packages/fennelfork/src/fennelfork/routes/_failure.py
+++ b/packages/fennelfork/src/fennelfork/routes/_failure.py
@@ -14,7 +14,7 @@
 RETRY_AFTER_MS: Final = 250
 
 
-def failure_of(
+def merge_failures(
     sub_requests: Iterable[SubRequest[Any]], *, timed_out: bool
 ) -> Failure:
     """Merge the failures of all sub-requests of a request.
@@ -56,7 +56,7 @@
         is_warmed_up: whether the daemon started at least some seconds ago.
 
     Returns:
-        The failure with the code or the `broken_off` flag adjusted, or the
+        The failure with the code or the `connection_lost` flag adjusted, or the
         unchanged failure if it is no reset of a new connection.
     """
     may_have_run = failure.verdict is Verdict.MAY_HAVE_RUN
@@ -64,4 +64,4 @@
         return failure
     if is_warmed_up:
         return attrs.evolve(failure, code=FailureCode.UNREACHABLE)
-    return attrs.evolve(failure, broken_off=False)
+    return attrs.evolve(failure, connection_lost=False)
--- a/packages/fennelfork/src/fennelfork/routes/_records.py
+++ b/packages/fennelfork/src/fennelfork/routes/_records.py
@@ -8,7 +8,7 @@
 RECORD_BYTES: Final = 16
 
 
-def greatest(parts: Iterable[bytes], max_records: int) -> bytes:
+def largest_records(parts: Iterable[bytes], max_records: int) -> bytes:
     """Return the greatest records of all parts in descending order.
 
     Args:
--- a/packages/fennelfork/src/fennelfork/routes/_copies.py
+++ b/packages/fennelfork/src/fennelfork/routes/_request_attempts.py
@@ -6,21 +6,21 @@
 import attrs
 
 from fennelfork._verdict import Failure, Verdict
-from fennelfork.routes._caution import AttemptGate
+from fennelfork.routes._attempt_gate import AttemptGate
 from fennelfork.routes._send import Send
 from fennelfork.routes._sender import Sender
 from fennelfork.routes._sub_request import SubRequest
 
 
 @attrs.frozen(kw_only=True)
-class Copies:
+class RequestAttempts:
     """Sends the attempts of one request that its attempt gate allows."""
 
     _idempotent: bool
     _sender: Sender
-    _caution: AttemptGate
+    _attempt_gate: AttemptGate
 
-    def first(
+    def send_first(
         self, sub_requests: Iterable[SubRequest[Any]], now_ms: float
     ) -> list[Send]:
         """Send the first attempts.
@@ -35,17 +35,17 @@
         known = list(sub_requests)
         for sub_request in known:
             self._sender.record_request(sub_request)
-        if self._caution.is_serial:
+        if self._attempt_gate.is_serial:
             return self._send_isolated(known, now_ms)
         return self._send_all(known, now_ms)
 
-    def after_answer(self, attempt: int, now_ms: float) -> list[Send]:
+    def handle_response(self, attempt: int, now_ms: float) -> list[Send]:
         """Send the deferred attempts that a response lets proceed."""
-        if not self._caution.record_response(attempt):
+        if not self._attempt_gate.record_response(attempt):
             return []
-        return self._send_all(self._caution.take_deferred(), now_ms)
+        return self._send_all(self._attempt_gate.take_deferred(), now_ms)
 
-    def after_failure(
+    def handle_failure(
         self,
         sub_request: SubRequest[Any],
         attempt: int,
@@ -63,22 +63,26 @@
             now_ms: current time.
             in_time: whether the deadline of the request is in the future.
         """
-        if self._caution.record_failure(attempt, broken_off=failure.broken_off):
+        if self._attempt_gate.record_failure(
+            attempt, connection_lost=failure.connection_lost
+        ):
             self._abandon_all(sub_request, now_ms)
             return []
         if sub_request.part is not None:
             return []
         safe = self._idempotent or failure.verdict is Verdict.NOT_RUN
         allowed = safe and in_time
-        if allowed and not self._caution.is_serial:
+        if allowed and not self._attempt_gate.is_serial:
             return self._send(sub_request, now_ms)
         if allowed:
-            self._caution.defer(sub_request)
+            self._attempt_gate.defer(sub_request)
         else:
             sub_request.is_abandoned = not sub_request.in_flight
         return self._send_next_deferred(now_ms)
 
-    def hedge(self, sub_request: SubRequest[Any], now_ms: float) -> list[Send]:
+    def send_hedge(
+        self, sub_request: SubRequest[Any], now_ms: float
+    ) -> list[Send]:
         """Send a hedge for a sub-request whose response is late.
 
         While attempts are sent one at a time, only the isolated attempt is
@@ -91,21 +95,21 @@
         """
         if not self._idempotent:
             return []
-        alone = self._caution.is_serial
-        if alone and not self._caution.isolates_any(sub_request.in_flight):
+        alone = self._attempt_gate.is_serial
+        if alone and not self._attempt_gate.isolates_any(sub_request.in_flight):
             return []
         sends = self._sender.send(
             sub_request, now_ms, only_healthy=True, alone=alone
         )
-        self._caution.record_sent(sends)
+        self._attempt_gate.record_sent(sends)
         return sends
 
     def _send(self, sub_request: SubRequest[Any], now_ms: float) -> list[Send]:
         sends = self._sender.send(
-            sub_request, now_ms, alone=self._caution.is_serial
+            sub_request, now_ms, alone=self._attempt_gate.is_serial
         )
         sub_request.is_abandoned = not sends and not sub_request.in_flight
-        self._caution.record_sent(sends)
+        self._attempt_gate.record_sent(sends)
         return sends
 
     def _send_all(
@@ -121,9 +125,9 @@
 
     def _send_next_deferred(self, now_ms: float) -> list[Send]:
         """Send one deferred attempt unless an isolated one is in flight."""
-        if self._caution.has_isolated_attempt:
+        if self._attempt_gate.has_isolated_attempt:
             return []
-        return self._send_isolated(self._caution.take_deferred(), now_ms)
+        return self._send_isolated(self._attempt_gate.take_deferred(), now_ms)
 
     def _send_isolated(
         self,
@@ -134,14 +138,14 @@
         sends: list[Send] = []
         for sub_request in sub_requests:
             if sends:
-                self._caution.defer(sub_request)
+                self._attempt_gate.defer(sub_request)
             else:
                 sends = self._send(sub_request, now_ms)
         return sends
 
     def _abandon_all(self, failed: SubRequest[Any], now_ms: float) -> None:
         """Abandon the failed and all deferred sub-requests."""
-        for sub_request in (failed, *self._caution.take_deferred()):
+        for sub_request in (failed, *self._attempt_gate.take_deferred()):
             sub_request.is_abandoned = not sub_request.in_flight
             sub_request.record_refusal(
                 'no further attempt after a lost connection', now_ms
--- a/packages/fennelfork/src/fennelfork/routes/_selection.py
+++ b/packages/fennelfork/src/fennelfork/routes/_selection.py
@@ -12,7 +12,7 @@
 from fennelfork.routes._latency_baseline import LatencyBaseline
 from fennelfork.routes._server_directory import BackendServer, ServerDirectory
 from fennelfork.routes._server_state import ServerState, ServerStates
-from fennelfork.servers._rank import Candidate, best
+from fennelfork.servers._rank import Candidate, choose_candidate
 
 # Latency penalties of servers outside the data centre of this daemon. Traffic
 # between regions is costly, so its penalty grows with the latency target.
@@ -113,7 +113,9 @@
         if not by_availability:
             return None
         preferred = by_availability[min(by_availability)]
-        chosen = best(self._candidates(preferred, wanted.pace), self._rng)
+        chosen = choose_candidate(
+            self._candidates(preferred, wanted.pace), self._rng
+        )
         return None if chosen is None else servers[chosen.server]
 
     def _availability(
@@ -124,11 +126,15 @@
     ) -> _Availability:
         state = self.states.of(server.incarnation)
         now_ms = self._clock.now_ms()
-        is_unresponsive = state.silent_ms(now_ms) > wanted.pace.hedge_after_ms
-        if is_unresponsive or state.standing.ejected(now_ms):
+        is_unresponsive = (
+            state.unresponsive_ms(now_ms) > wanted.pace.hedge_after_ms
+        )
+        if is_unresponsive or state.ejection.is_ejected(now_ms):
             return _Availability.UNHEALTHY
-        usable = state.standing.usable(server.slots, now_ms)
-        if state.outstanding >= min(usable, share) or state.full(now_ms):
+        usable_slots = state.ejection.usable_slots(server.slots, now_ms)
+        if state.outstanding >= min(
+            usable_slots, share
+        ) or state.lacks_connection(now_ms):
             return _Availability.BUSY
         return _Availability.AVAILABLE
 
@@ -150,7 +156,7 @@
         now_ms = self._clock.now_ms()
         return Candidate(
             server=server.incarnation,
-            latency_ms=pace.usual_ms * state.slowness(now_ms),
+            latency_ms=pace.usual_ms * state.latency_ratio(now_ms),
             distance_ms=self.distances.penalty_ms(
                 server.data_centre,
                 pace.latency_target_ms,
--- a/packages/fennelfork/src/fennelfork/routes/_server_state.py
+++ b/packages/fennelfork/src/fennelfork/routes/_server_state.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-from fennelfork.servers._connection import TURNED_AWAY_MS
-from fennelfork.servers._ejection import Standing
+from fennelfork.servers._connection import CONNECT_BACKOFF_MS
+from fennelfork.servers._ejection import EjectionState
 from fennelfork.servers._rank import ObservedLatency
 
 # Half-life of the deviation of an idle server's latency from the baseline.
@@ -23,10 +23,10 @@
     """Observations of this daemon about one backend server.
 
     Attributes:
-        standing: ejection state of the server.
+        ejection: ejection state of the server.
     """
 
-    standing: Standing = attrs.field(factory=Standing)
+    ejection: EjectionState = attrs.field(factory=EjectionState)
     _sent_ms: dict[int, float] = attrs.field(factory=dict)
     _busy_since_ms: float = math.inf
     _last_response_ms: float = -math.inf
@@ -41,7 +41,7 @@
         """The number of attempts of this daemon that are in flight."""
         return len(self._sent_ms)
 
-    def sent(self, attempt: int, now_ms: float) -> None:
+    def record_sent(self, attempt: int, now_ms: float) -> None:
         """Record that an attempt was sent."""
         if not self._sent_ms:
             self._busy_since_ms = now_ms
@@ -52,7 +52,7 @@
         self._sent_ms.pop(attempt, None)
         self._last_response_ms = now_ms
 
-    def lost(self, attempt: int) -> None:
+    def record_abandoned(self, attempt: int) -> None:
         """Record that this daemon stopped waiting for an attempt."""
         self._sent_ms.pop(attempt, None)
 
@@ -65,30 +65,30 @@
         Args:
             now_ms: current time.
         """
-        self._no_connection_until_ms = now_ms + TURNED_AWAY_MS
+        self._no_connection_until_ms = now_ms + CONNECT_BACKOFF_MS
 
-    def full(self, now_ms: float) -> bool:
+    def lacks_connection(self, now_ms: float) -> bool:
         """Return whether no connection to the server is available."""
         return now_ms < self._no_connection_until_ms
 
-    def silent_ms(self, now_ms: float) -> float:
+    def unresponsive_ms(self, now_ms: float) -> float:
         """Return how long the server is busy without sending a response."""
         if not self._sent_ms:
             return 0
         return now_ms - max(self._busy_since_ms, self._last_response_ms)
 
-    def sample(self, ratio: float, now_ms: float) -> None:
+    def record_latency(self, ratio: float, now_ms: float) -> None:
         """Record the latency of an attempt.
 
         Args:
             ratio: latency as a multiple of the latency baseline of the route.
             now_ms: current time.
         """
-        self._latency_ratio.mean_ms = self.slowness(now_ms)
+        self._latency_ratio.mean_ms = self.latency_ratio(now_ms)
         self._latency_ratio.record(max(_MIN_LATENCY_RATIO, ratio))
         self._last_sample_ms = now_ms
 
-    def slowness(self, now_ms: float) -> float:
+    def latency_ratio(self, now_ms: float) -> float:
         """Return the expected latency as a multiple of the baseline.
 
         The ratio returns to 1, the value of an unknown server, while no
--- a/packages/fennelfork/src/fennelfork/servers/_connection.py
+++ b/packages/fennelfork/src/fennelfork/servers/_connection.py
@@ -9,7 +9,7 @@
 _MAX_IDLE_MS: Final = 30_000.0
 # Delay before a new connection is opened to a server that refused one. The
 # server may be at its connection limit because of daemons that lost power.
-TURNED_AWAY_MS: Final = 250.0
+CONNECT_BACKOFF_MS: Final = 250.0
 
 
 @attrs.frozen(kw_only=True)
@@ -81,11 +81,11 @@
             connection=self._last_connection, opened=True, close=close
         )
 
-    def turned_away(self, now_ms: float) -> None:
+    def record_refused_connection(self, now_ms: float) -> None:
         """Record that the server refused a new connection."""
-        self._refused_until_ms = now_ms + TURNED_AWAY_MS
+        self._refused_until_ms = now_ms + CONNECT_BACKOFF_MS
 
-    def done(self, connection: int, now_ms: float, *, usable: bool) -> bool:
+    def release(self, connection: int, now_ms: float, *, usable: bool) -> bool:
         """Return a connection to the pool after a request.
 
         Args:
--- a/packages/fennelfork/src/fennelfork/servers/_ejection.py
+++ b/packages/fennelfork/src/fennelfork/servers/_ejection.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define(kw_only=True)
-class Standing:
+class EjectionState:
     """Ejection state of one backend server.
 
     Attributes:
@@ -31,7 +31,7 @@
         return self.ramp != math.inf
 
     @property
-    def doubted(self) -> bool:
+    def should_eject(self) -> bool:
         """Whether the consecutive failures have reached the ejection threshold."""
         limit = (
             1
@@ -40,17 +40,17 @@
         )
         return self._consecutive_failures >= limit
 
-    def ejected(self, now_ms: float) -> bool:
+    def is_ejected(self, now_ms: float) -> bool:
         """Return whether the server is ejected."""
         return now_ms < self.ejected_until_ms
 
-    def usable(self, slots: int, now_ms: float) -> int:
+    def usable_slots(self, slots: int, now_ms: float) -> int:
         """Return how many of the slots of the server may be used."""
-        if self.ejected(now_ms):
+        if self.is_ejected(now_ms):
             return 0
         return int(min(slots, self.ramp))
 
-    def note_good(self, slots: int) -> None:
+    def record_success(self, slots: int) -> None:
         """Record a success; during slow start it doubles the ramp."""
         self._consecutive_failures = 0
         if not self.in_slow_start:
@@ -60,7 +60,7 @@
             self.ramp = math.inf
             self._ejections = 0
 
-    def note_bad(self) -> None:
+    def record_failure(self) -> None:
         """Record a failure, a lost hedge or an invalid response."""
         self._consecutive_failures += 1
 
@@ -77,7 +77,7 @@
         self.ramp = min(self.ramp, 1)
 
 
-def may_eject(ejected: int, servers: int) -> bool:
+def may_eject(is_ejected: int, servers: int) -> bool:
     """Return whether one more server of a shard may be ejected for latency.
 
     At most half of the servers of a shard are ejected, so that the load on
@@ -87,4 +87,4 @@
         ejected: number of ejected servers of the shard.
         servers: number of all servers of the shard.
     """
-    return (ejected + 1) * _DOUBLE <= servers
+    return (is_ejected + 1) * _DOUBLE <= servers
--- a/packages/fennelfork/src/fennelfork/servers/_rank.py
+++ b/packages/fennelfork/src/fennelfork/servers/_rank.py
@@ -56,7 +56,7 @@
     distance_ms: float = 0
 
 
-def best(
+def choose_candidate(
     candidates: Iterable[Candidate],
     rng: random.Random,
 ) -> Candidate | None:
--- a/packages/fennelfork/tests/core_builders_routes.py
+++ b/packages/fennelfork/tests/core_builders_routes.py
@@ -56,7 +56,7 @@
 )
 UNREACHABLE = not_run(FailureCode.UNREACHABLE, 'refused')
 BROKEN_CONNECTION = may_have_run(FailureCode.UNREACHABLE, 'reset')
-SERVER_CRASH = attrs.evolve(BROKEN_CONNECTION, broken_off=True)
+SERVER_CRASH = attrs.evolve(BROKEN_CONNECTION, connection_lost=True)
 
 
 def route(**changes: Any) -> Route:
@@ -176,4 +176,4 @@
         """Record attempts in the states of their servers."""
         for send in sends:
             state = self.states.of(send.server.incarnation)
-            state.sent(send.attempt, send.sent_ms)
+            state.record_sent(send.attempt, send.sent_ms)
--- a/packages/fennelfork/tests/test_routes_attempt_outcome.py
+++ b/packages/fennelfork/tests/test_routes_attempt_outcome.py
@@ -52,7 +52,7 @@
     ) -> None:
         """Only a refused connection ejects a server at once."""
         state = _state_after(outcome, 1)
-        assert state.standing.ejected(101) is ejected
+        assert state.ejection.is_ejected(101) is ejected
         assert state.outstanding == 0
 
     @pytest.mark.parametrize(
@@ -60,16 +60,16 @@
     )
     def test_repeated_failure(self, outcome: AttemptOutcome) -> None:
         """Five consecutive failures eject a server."""
-        assert _state_after(outcome, 5).standing.ejected(101)
+        assert _state_after(outcome, 5).ejection.is_ejected(101)
 
     @pytest.mark.parametrize('outcome', [Failed(failure=SHED), Inconclusive()])
     def test_not_attributed_to_server(self, outcome: AttemptOutcome) -> None:
         """Load shedding and inconclusive attempts never eject a server."""
-        assert not _state_after(outcome, 50).standing.ejected(101)
+        assert not _state_after(outcome, 50).ejection.is_ejected(101)
 
     def test_timeout_raises_latency(self) -> None:
         """A server that does not respond in time counts as slow."""
-        assert _state_after(Unresponsive(), 1).slowness(100) > 1
+        assert _state_after(Unresponsive(), 1).latency_ratio(100) > 1
 
     def test_short_time_limit(self) -> None:
         """A connection with too little time to open is inconclusive."""
@@ -91,6 +91,6 @@
         nearby=True,
     )
     for _ in range(times):
-        state.sent(1, 0)
+        state.record_sent(1, 0)
         record_outcome(outcome, record, state)
     return state
--- a/packages/fennelfork/tests/test_routes_dispatch.py
+++ b/packages/fennelfork/tests/test_routes_dispatch.py
@@ -26,7 +26,7 @@
     FinishReason,
     SelectionCriteria,
     Send,
-    failure_of,
+    merge_failures,
     pace,
 )
 
@@ -67,7 +67,7 @@
         """No hedge is sent if all servers are unresponsive."""
         for place in ('here', 'near', 'far'):
             state = self.daemon.state_of('archive', place)
-            state.sent(-1, 0)
+            state.record_sent(-1, 0)
         self.daemon.time.advance(LATENCY_TARGET_MS)
         request = self.daemon.dispatch(route())
         assert request.start(LATENCY_TARGET_MS)
@@ -78,8 +78,8 @@
         request = self.daemon.dispatch(route())
         request.start(0)
         for place in ('near', 'far'):
-            standing = self.daemon.state_of('archive', place).standing
-            standing.ramp = 0
+            ejection = self.daemon.state_of('archive', place).ejection
+            ejection.ramp = 0
         self.daemon.time.advance(LATENCY_TARGET_MS / 2)
         assert request.send_hedges(LATENCY_TARGET_MS / 2)
 
@@ -92,7 +92,7 @@
             baseline = pace(latency_target_ms)
             baseline.record(15)
             for _ in range(60):
-                near.sample(6, 0)
+                near.record_latency(6, 0)
             wanted = SelectionCriteria(
                 service='archive', tried=(), pace=baseline
             )
@@ -115,7 +115,7 @@
         assert request.finish_reason(2) is FinishReason.SETTLED
         sub_requests = request.sub_requests.values()
         assert (
-            failure_of(sub_requests, timed_out=False).verdict
+            merge_failures(sub_requests, timed_out=False).verdict
             is Verdict.MAY_HAVE_RUN
         )
 
@@ -150,7 +150,7 @@
             self.daemon.directory.remove(f'archive/{place}')
         assert not request.start(0)
         assert request.finish_reason(0) is FinishReason.SETTLED
-        failure = failure_of(request.sub_requests.values(), timed_out=False)
+        failure = merge_failures(request.sub_requests.values(), timed_out=False)
         assert failure.verdict is Verdict.NOT_RUN
         assert failure.retry_after_ms
 
--- a/packages/fennelfork/tests/test_routes_power_loss.py
+++ b/packages/fennelfork/tests/test_routes_power_loss.py
@@ -159,7 +159,7 @@
 
     def test_is_not_ejected(self) -> None:
         """A server at its connection limit is not ejected."""
-        assert not self.state.standing.ejected(_RESET_MS)
+        assert not self.state.ejection.is_ejected(_RESET_MS)
         assert self.state.outstanding == 0
 
     def test_is_avoided_for_a_while(self) -> None:
@@ -183,10 +183,10 @@
         ledger = ConnectionLedger(limit=3)
         first = ledger.use(0, fresh=False)
         second = ledger.use(0, fresh=False)
-        ledger.done(second.connection, _RESET_MS, usable=False)
-        ledger.turned_away(_RESET_MS)
+        ledger.release(second.connection, _RESET_MS, usable=False)
+        ledger.record_refused_connection(_RESET_MS)
         assert ledger.use(_ATTEMPT_MS, fresh=False) is None
-        ledger.done(first.connection, _ATTEMPT_MS, usable=True)
+        ledger.release(first.connection, _ATTEMPT_MS, usable=True)
         assert not ledger.use(_ATTEMPT_MS, fresh=False).opened
         assert ledger.use(_RESET_MS + 250, fresh=False).opened
 
@@ -214,9 +214,9 @@
 
     def test_is_no_crash(self) -> None:
         """A reset at the connection limit is not a crash of the server."""
-        reset = attrs.evolve(CONNECTION_RESET, broken_off=True)
-        assert not classify_reset(reset, is_warmed_up=False).broken_off
-        assert classify_reset(reset, is_warmed_up=True).broken_off
+        reset = attrs.evolve(CONNECTION_RESET, connection_lost=True)
+        assert not classify_reset(reset, is_warmed_up=False).connection_lost
+        assert classify_reset(reset, is_warmed_up=True).connection_lost
 
     @pytest.mark.parametrize('failure', [NO_CONNECTION, UNREACHABLE, SHED])
     def test_other_failures(self, failure: Failure) -> None:
--- a/packages/fennelfork/tests/test_routes_server_directory.py
+++ b/packages/fennelfork/tests/test_routes_server_directory.py
@@ -89,25 +89,25 @@
         """Latency, ejection and attempts in flight are reset."""
         states = ServerStates()
         previous = states.of(self.first.incarnation)
-        previous.sample(30, 0)
-        previous.standing.eject(0)
-        previous.sent(1, 0)
+        previous.record_latency(30, 0)
+        previous.ejection.eject(0)
+        previous.record_sent(1, 0)
         self.directory.put(self.second)
         states.keep(self.directory.incarnations)
         fresh = states.of(self.second.incarnation)
-        assert fresh.slowness(0) == 1
-        assert not fresh.standing.ejected(1)
+        assert fresh.latency_ratio(0) == 1
+        assert not fresh.ejection.is_ejected(1)
         assert fresh.outstanding == 0
 
     def test_attempt_of_previous_incarnation(self) -> None:
         """Failures of the previous incarnation do not affect the new one."""
         states = ServerStates()
-        states.of(self.first.incarnation).sent(1, 0)
+        states.of(self.first.incarnation).record_sent(1, 0)
         self.directory.put(self.second)
         states.keep(self.directory.incarnations)
-        states.of(self.first.incarnation).lost(1)
-        states.of(self.first.incarnation).standing.eject(0)
-        assert not states.of(self.second.incarnation).standing.ejected(1)
+        states.of(self.first.incarnation).record_abandoned(1)
+        states.of(self.first.incarnation).ejection.eject(0)
+        assert not states.of(self.second.incarnation).ejection.is_ejected(1)
 
     def test_outdated_registration(self) -> None:
         """A late write of the previous incarnation is outdated."""
--- a/packages/fennelfork/tests/test_routes_server_directory_machine.py
+++ b/packages/fennelfork/tests/test_routes_server_directory_machine.py
@@ -73,7 +73,7 @@
     @rule(registered=written)
     def observe(self, registered: BackendServer) -> None:
         """Eject an incarnation, perhaps an earlier one."""
-        self.states.of(registered.incarnation).standing.eject(self.time.at_ms)
+        self.states.of(registered.incarnation).ejection.eject(self.time.at_ms)
         self.observed.add(registered.incarnation)
 
     @rule(name=_NAMES)
@@ -131,7 +131,7 @@
         """An ejection does not affect the next incarnation."""
         self.states.keep(self.directory.incarnations)
         for run in self.directory.incarnations - self.observed:
-            assert not self.states.of(run).standing.ejected(self.time.at_ms)
+            assert not self.states.of(run).ejection.is_ejected(self.time.at_ms)
 
     def _register(self, registered: BackendServer) -> None:
         name = registered.instance.removeprefix('archive/')
--- a/packages/fennelfork/tests/test_routes_slow_servers.py
+++ b/packages/fennelfork/tests/test_routes_slow_servers.py
@@ -66,7 +66,7 @@
 
     def _sample(self, state: ServerState, ratio: float) -> None:
         self.daemon.time.advance(_REQUEST_INTERVAL_MS)
-        state.sample(ratio, self.daemon.time.at_ms)
+        state.record_latency(ratio, self.daemon.time.at_ms)
 
     def _chosen(self) -> str:
         wanted = SelectionCriteria(service='shard', tried=(), pace=self.pace)
--- a/packages/fennelfork/tests/test_routes_table.py
+++ b/packages/fennelfork/tests/test_routes_table.py
@@ -13,7 +13,7 @@
     SingleService,
     WeightedServices,
     choose_services,
-    greatest,
+    largest_records,
     min_parts,
     route_table,
 )
@@ -95,4 +95,4 @@
             for start in range(0, len(part) // 16 * 16, 16)
         ]
         expected = b''.join(sorted(records, reverse=True)[:most])
-        assert greatest(parts, most) == expected
+        assert largest_records(parts, most) == expected
