--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_cost.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_cost.py
@@ -11,7 +11,7 @@
     ExecuteRequest,
     OnceGate,
     OnceLimits,
-    bound_request_id,
+    bind_request_id,
     once_gate,
     ticket_key,
 )
@@ -63,21 +63,21 @@
 
 def _run(gate: OnceGate, request: ExecuteRequest) -> None:
     gate.admit(request)
-    gate.table.may_send(request.request_id)
-    gate.table.finish(request.request_id, f'{_OUTCOME}-{request.key}')
+    gate.table.begin_send(request.request_id)
+    gate.table.record_outcome(request.request_id, f'{_OUTCOME}-{request.key}')
 
 
 def _gate(seed: int) -> OnceGate:
     rng = random.Random(seed)
     key = ticket_key('vm-1', 1, rng.randbytes(_SECRET_BYTES))
-    return once_gate(key, system_clock(), rng, OnceLimits(entries=_IDS))
+    return once_gate(key, system_clock(), rng, OnceLimits(max_entries=_IDS))
 
 
 def _request(gate: OnceGate, number: int) -> ExecuteRequest:
     ticket = gate.issue(_LIFETIME_MS)
     text = '' if ticket is None else ticket.text
     return ExecuteRequest(
-        request_id=bound_request_id(f'deed-{number}', text),
+        request_id=bind_request_id(f'deed-{number}', text),
         ticket=text,
         front='raft-search',
         key=number,
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_load.py
@@ -8,7 +8,7 @@
 import attrs
 import eventlet
 
-from fennelfork.once import bound_request_id
+from fennelfork.once import bind_request_id
 from fennelfork_bench.experiments._fleet import FRONT
 from fennelfork_bench.experiments._once_claim import Claims
 from fennelfork_bench.rig import _http as http
@@ -84,7 +84,7 @@
         address = self.rng.choice(self.addresses)
         ticket = self._ticket(address)
         self._numbers += 1
-        request_id = bound_request_id(f'deed-{self._numbers}', ticket)
+        request_id = bind_request_id(f'deed-{self._numbers}', ticket)
         claimed = self.rng.random() < self.claim_share
         started_s = time.monotonic()
         if claimed and not self.claims.take(request_id):
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_caller.py
@@ -10,11 +10,11 @@
 
 from fennelfork import Verdict
 from fennelfork.once import (
+    AnswerLost,
+    AnswerReceived,
     CallerEvent,
     CallerStep,
-    NoAnswer,
-    NothingSent,
-    OnceAnswered,
+    ConnectFailed,
     OnceCaller,
 )
 from fennelfork_bench.history._caller import (
@@ -113,7 +113,7 @@
             )
             body = {'key': key, 'action': 'issue', 'ticket': entry.ticket}
             end = self._send(asked, 'execute', body)
-            step = once.after(caller_event(end), self._left_ms(entry))
+            step = once.next_step(caller_event(end), self._left_ms(entry))
             fresh = self._entry_for_retry(entry, step)
             if fresh is None:
                 return
@@ -183,9 +183,9 @@
 def caller_event(end: Ended) -> CallerEvent:
     """Put the end of a try in the words of `OnceCaller`."""
     if isinstance(end, ConnectRefused):
-        return NothingSent()
+        return ConnectFailed()
     if isinstance(end, Refused):
-        return OnceAnswered(verdict=end.verdict)
+        return AnswerReceived(verdict=end.verdict)
     if isinstance(end, ExecuteAnswered):
-        return OnceAnswered(verdict=Verdict.RAN, has_outcome=True)
-    return NoAnswer()
+        return AnswerReceived(verdict=Verdict.RAN, has_outcome=True)
+    return AnswerLost()
--- a/packages/fennelfork-bench/tests/bench_builders_once.py
+++ b/packages/fennelfork-bench/tests/bench_builders_once.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from fennelfork.once import bound_request_id
+from fennelfork.once import bind_request_id
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._config import await_version, first_patch
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
@@ -83,7 +83,7 @@
         """Write a new request under a ticket."""
         name = f'cert-{next(self._numbers)}'
         return {
-            'request_id': bound_request_id(name, ticket),
+            'request_id': bind_request_id(name, ticket),
             'ticket': ticket,
             'deadline_ms': 5000,
             'tenant': 'salvare',
--- a/packages/fennelfork-bench/tests/bench_builders_once_chaos.py
+++ b/packages/fennelfork-bench/tests/bench_builders_once_chaos.py
@@ -10,11 +10,11 @@
 
 from fennelfork import Verdict
 from fennelfork.once import (
+    AnswerLost,
+    AnswerReceived,
     CallerEvent,
     CallerStep,
-    NoAnswer,
-    NothingSent,
-    OnceAnswered,
+    ConnectFailed,
     OnceCaller,
 )
 from fennelfork_bench.rig import _http as http
@@ -59,7 +59,7 @@
                 request = self._renew(name)
             elif step is not CallerStep.ASK_AGAIN:
                 return
-            step = once.after(self._send(request), 1)
+            step = once.next_step(self._send(request), 1)
             time.sleep(self.rng.uniform(0, 0.05))
 
     def _renew(self, name: str) -> dict[str, object]:
@@ -98,10 +98,10 @@
     if reply.status == 0:
         # urllib3 says NewConnectionError only if no connection was opened.
         opened = reply.fault != 'NewConnectionError'
-        return NoAnswer() if opened else NothingSent()
+        return AnswerLost() if opened else ConnectFailed()
     if reply.fine:
-        return OnceAnswered(verdict=Verdict.RAN, has_outcome=True)
-    return OnceAnswered(verdict=Verdict(reply.body['verdict']))
+        return AnswerReceived(verdict=Verdict.RAN, has_outcome=True)
+    return AnswerReceived(verdict=Verdict(reply.body['verdict']))
 
 
 def _kill(fleet: Fleet, rng: random.Random) -> None:
--- a/packages/fennelfork-bench/tests/test_once_soak.py
+++ b/packages/fennelfork-bench/tests/test_once_soak.py
@@ -51,11 +51,11 @@
     )
     def test_first_try(self, end: Ended, step: CallerStep) -> None:
         """Each end leads to the step that the operators' page names."""
-        assert OnceCaller().after(caller_event(end), 1000) is step
+        assert OnceCaller().next_step(caller_event(end), 1000) is step
 
     def test_doubt_goes_on(self) -> None:
         """A refused connection after a cut one allows no new ticket."""
         once = OnceCaller()
-        once.after(caller_event(_CUT), 1000)
-        step = once.after(caller_event(_UNSENT), 1000)
+        once.next_step(caller_event(_CUT), 1000)
+        step = once.next_step(caller_event(_UNSENT), 1000)
         assert step is CallerStep.ASK_AGAIN
--- a/packages/fennelfork-cli/src/fennelfork_cli/_caller_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_caller_commands.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result
 
 from fennelfork import Verdict
-from fennelfork.once import bound_request_id
+from fennelfork.once import bind_request_id
 from fennelfork_cli._call import CallFailure, Tree
 from fennelfork_cli._caller_call import ask, fetch_entries, request_body
 from fennelfork_cli._caller_texts import (
@@ -108,7 +108,7 @@
     issued = found.get('ticket')
     if issued is None:
         return Failure(_NO_TICKET)
-    request_id = bound_request_id(body['request_id'], issued)
+    request_id = bind_request_id(body['request_id'], issued)
     ticketed = body | {'ticket': issued, 'request_id': request_id}
     # Only the daemon that issued the ticket runs requests under it.
     issuer = {'address': found['ticket_address']}
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_codec.py
@@ -6,7 +6,7 @@
 from returns.result import Result, Success
 
 from fennelfork import Failure
-from fennelfork.once import ExecuteRequest, unsettled
+from fennelfork.once import ExecuteRequest, unknown_outcome
 from fennelfork_daemon.execute._order import ExecuteOrder
 from fennelfork_daemon.peer._codec_fault import fault_from_peer, fault_to_peer
 from fennelfork_daemon.peer._idl import peer
@@ -58,5 +58,7 @@
     if message.fault is not None:
         return Failed(fault_from_peer(message.fault))
     if message.outcome is None:
-        return Failed(unsettled('the daemon of the ticket gave no outcome'))
+        return Failed(
+            unknown_outcome('the daemon of the ticket gave no outcome')
+        )
     return Success(message.outcome)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
@@ -19,7 +19,7 @@
 from urllib3.exceptions import HTTPError
 
 from fennelfork import Failure, FailureCode, may_have_run, not_run
-from fennelfork.once import ExecuteCall, judge_execute_reply
+from fennelfork.once import ExecuteCall, classify_execute_response
 
 _MS: Final = 1000
 _OK: Final = 200
@@ -198,4 +198,4 @@
     )
     response = connection.getresponse()
     content = response.read(_REPLY_BYTES)
-    return judge_execute_reply(call, response.status, content)
+    return classify_execute_response(call, response.status, content)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_runner.py
@@ -131,14 +131,14 @@
         for target in found.unwrap()[:_MOST_ATTEMPTS]:
             result = self._attempt(request, target, deadline_at_ms)
             if isinstance(result, Success):
-                self._table.finish(request.request_id, result.unwrap())
+                self._table.record_outcome(request.request_id, result.unwrap())
                 return None
             failure = result.failure()
             if failure.verdict is not Verdict.NOT_RUN:
                 return failure
             if failure.code is FailureCode.DRAINING:
                 self._targets.note_leaving(target)
-            self._table.take_back(request.request_id)
+            self._table.revert_send(request.request_id)
         return failure
 
     def _attempt(
@@ -169,5 +169,5 @@
         left_ms = deadline_at_ms - self._clock.now_ms() - _RESERVE_MS
         if left_ms <= 0:
             return Failed(not_run(FailureCode.DEADLINE, 'no time left to send'))
-        leave = self._table.may_send(request_id)
+        leave = self._table.begin_send(request_id)
         return leave.map(lambda ticket_ms: min(left_ms, ticket_ms))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
@@ -15,14 +15,14 @@
     not_run,
 )
 from fennelfork.once import (
-    AnswerIt,
     Done,
     Ended,
+    ForwardToPeer,
     OnceGate,
     OnceState,
-    PassOn,
-    RunIt,
-    unsettled,
+    ReplayAnswer,
+    StartExecution,
+    unknown_outcome,
 )
 from fennelfork_daemon.execute._codec import order_to_peer, reply_from_peer
 from fennelfork_daemon.execute._order import ExecuteOrder
@@ -57,7 +57,7 @@
         if isinstance(routed, Failed):
             return Failed(routed.failure())
         place = routed.unwrap()
-        if isinstance(place, PassOn):
+        if isinstance(place, ForwardToPeer):
             return self._pass_on(place, order)
         return self.answer_here(order)
 
@@ -68,24 +68,26 @@
         if isinstance(admitted, Failed):
             return Failed(admitted.failure())
         admission = admitted.unwrap()
-        if isinstance(admission, AnswerIt):
+        if isinstance(admission, ReplayAnswer):
             return admission.answer
-        if isinstance(admission, RunIt):
+        if isinstance(admission, StartExecution):
             self._runner.start(request, order.deadline_at_ms)
         ended = self._runner.wait(request.request_id, self._left_ms(order))
-        if isinstance(admission, RunIt) and not ended:
-            self._gate.table.withdraw(request.request_id, _TOO_LATE)
+        if isinstance(admission, StartExecution) and not ended:
+            self._gate.table.abandon_unsent(request.request_id, _TOO_LATE)
         return _told(self._gate.table.state(request.request_id))
 
     def _pass_on(
         self,
-        place: PassOn,
+        place: ForwardToPeer,
         order: ExecuteOrder,
     ) -> Result[str, Failure]:
         """Ask the daemon of the ticket, whose memory makes repeats safe."""
         member = self._board.members.get(place.daemon)
         if member is None:
-            return Failed(unsettled('the daemon of the ticket is not known'))
+            return Failed(
+                unknown_outcome('the daemon of the ticket is not known')
+            )
         for _ in range(_MOST_PASSES):
             left_ms = self._left_ms(order)
             reply = self._peers.call(
@@ -97,7 +99,7 @@
             if isinstance(reply, Success):
                 return reply_from_peer(reply.unwrap())
         detail = f'the daemon of the ticket: {reply.failure().detail}'
-        return Failed(unsettled(detail))
+        return Failed(unknown_outcome(detail))
 
     def _left_ms(self, order: ExecuteOrder) -> float:
         return order.deadline_at_ms - self._clock.now_ms()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -9,7 +9,7 @@
 
 from fennelfork import Blackboard, Clock, Failure, FailureCode, not_run
 from fennelfork.home import LeavingServers, leaving_servers
-from fennelfork.once import ExecuteRequest, NamedServer, execute_servers
+from fennelfork.once import ExecuteRequest, NamedServer, servers_for_record
 from fennelfork.placement import peer_health
 from fennelfork_daemon._address import address
 from fennelfork_daemon.execute._connection import ExecuteTarget
@@ -47,7 +47,7 @@
             detail = f'there is no front {request.front!r}'
             return Failed(not_run(FailureCode.UNKNOWN_FRONT, detail))
         self._describer.learn(request.front, front, deadline_at_ms)
-        servers = execute_servers(
+        servers = servers_for_record(
             front,
             self._views.known(request.front),
             request.key,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
@@ -42,4 +42,4 @@
 
     def stop(self) -> None:
         """Issue no more tickets; requests under issued ones go on."""
-        self._gate.close()
+        self._gate.stop_issuing()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_local_member.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_local_member.py
@@ -1,7 +1,7 @@
 """This daemon, as it announces itself to the fleet."""
 
 from fennelfork import wall_clock
-from fennelfork.membership import Member, MemberStatus, first_incarnation
+from fennelfork.membership import Member, MemberStatus, initial_incarnation
 from fennelfork_daemon._listeners import Listeners
 from fennelfork_daemon.http._wsgi_server import listening_address
 from fennelfork_daemon.settings._tables import Settings
@@ -11,7 +11,7 @@
     """Build the member; its incarnation is the time of this start."""
     return Member(
         name=settings.daemon.name,
-        incarnation=first_incarnation(wall_clock().now_ms()),
+        incarnation=initial_incarnation(wall_clock().now_ms()),
         state=MemberStatus.ALIVE,
         region=settings.daemon.region,
         data_centre=settings.daemon.data_centre,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_probe_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_probe_codec.py
@@ -9,7 +9,7 @@
 from fennelfork.membership import (
     Member,
     MemberStatus,
-    ProbeAnswer,
+    ProbeAck,
     ProbeMessage,
 )
 from fennelfork_daemon.peer._idl import peer
@@ -77,23 +77,23 @@
     )
 
 
-def answer_to_peer(answer: ProbeAnswer) -> Any:
+def answer_to_peer(answer: ProbeAck) -> Any:
     """Write the answer to a probe as its thrift message."""
     return peer.ProbeReply(
         sender=member_to_peer(answer.sender),
         gossip=[member_to_peer(member) for member in answer.gossip],
         reached=answer.reached,
-        more=answer.more,
+        more=answer.has_more,
     )
 
 
-def answer_from_peer(message: Any) -> ProbeAnswer:
+def answer_from_peer(message: Any) -> ProbeAck:
     """Read the answer to a probe from its thrift message."""
-    return ProbeAnswer(
+    return ProbeAck(
         sender=member_from_peer(message.sender),
         gossip=_gossip(message.gossip),
         reached=message.reached,
-        more=bool(message.more),
+        has_more=bool(message.more),
     )
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -13,9 +13,9 @@
     MembershipPolicy,
     SendProbe,
     announce,
-    announce_end,
+    announce_exit,
     announce_leave,
-    leave_is_told,
+    leave_is_announced,
     membership,
 )
 from fennelfork_daemon.membership._metrics import MembershipMetrics
@@ -48,7 +48,7 @@
     @property
     def leave_is_told(self) -> bool:
         """Whether every member was told of the leave, or did not answer."""
-        return leave_is_told(self.fleet)
+        return leave_is_announced(self.fleet)
 
     def run(self) -> None:
         """Step the controller as long as the daemon runs."""
@@ -70,8 +70,8 @@
         with self._metrics.processor():
             probe = probe_from_peer(message)
             heard = self.fleet.on_probe(probe, self._clock.now_ms())
-            self._follow(heard.sends)
-        answer = heard.answer
+            self._follow(heard.probes)
+        answer = heard.ack
         if probe.relay_to is not None:
             reached = self._relay(probe.relay_to)
             answer = attrs.evolve(answer, reached=reached)
@@ -87,7 +87,7 @@
 
     def say_goodbye(self) -> None:
         """Tell a few members that this daemon is gone, and wait for it."""
-        sends = announce_end(self.fleet, self._clock.now_ms())
+        sends = announce_exit(self.fleet, self._clock.now_ms())
         pool = eventlet.GreenPool()
         for order in sends:
             pool.spawn_n(self._carry_out, order)
@@ -95,7 +95,7 @@
 
     def _announce_config(self) -> None:
         board = self._board
-        me = self.fleet.view.me
+        me = self.fleet.view.local
         now = attrs.evolve(
             me,
             config_version=board.config_version,
@@ -111,17 +111,19 @@
         """Make a call and report it; tell whether it was answered."""
         with self._metrics.processor():
             request = probe_to_peer(order.message)
-        reply = self._client.call(order.to.peer, request, order.timeout_ms)
+        reply = self._client.call(order.target.peer, request, order.timeout_ms)
         with self._metrics.processor():
             self._metrics.count_outbound(request, reply)
             now_ms = self._clock.now_ms()
             if is_successful(reply):
                 answer = answer_from_peer(reply.unwrap())
-                self._follow(self.fleet.on_answer(order.call, answer, now_ms))
+                self._follow(self.fleet.on_ack(order.probe_id, answer, now_ms))
                 # Another daemon may have the address by now.
-                return answer.sender.name == order.to.name
+                return answer.sender.name == order.target.name
             refused = reply.failure() is ProbeFailure.REFUSED
-            sends = self.fleet.on_failure(order.call, now_ms, refused=refused)
+            sends = self.fleet.on_failure(
+                order.probe_id, now_ms, refused=refused
+            )
             self._follow(sends)
         return False
 
@@ -135,8 +137,8 @@
 
     def _publish(self) -> None:
         view = self.fleet.view
-        self._board.local = view.me
-        self._board.superseded = view.standing.superseded
+        self._board.local = view.local
+        self._board.superseded = view.local_member.is_superseded
         reconfigured = view.table.take_reconfigured()
         if view.table.epoch == self._epoch:
             # The same members: the homes worked out by them stay right.
@@ -148,7 +150,7 @@
             self._board.members = {member.name: member for member in view.table}
             self._metrics.show_members(view.table)
         self._metrics.show_health(
-            view.standing.refutations,
+            view.local_member.refutations,
             self.fleet.health.score,
         )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_vm_list.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_vm_list.py
@@ -8,7 +8,12 @@
 import urllib3
 
 from fennelfork import Blackboard
-from fennelfork.membership import ListSchedule, Member, Membership, MemberStatus
+from fennelfork.membership import (
+    Member,
+    Membership,
+    MemberStatus,
+    VmListSchedule,
+)
 from fennelfork.placement import watchers
 from fennelfork_daemon.settings._tables import Settings
 
@@ -24,7 +29,7 @@
     _board: Blackboard
     _settings: Settings
     _fleet: Membership
-    _schedule: ListSchedule
+    _schedule: VmListSchedule
     _http: urllib3.PoolManager
 
     def run(self) -> None:
@@ -36,7 +41,7 @@
     def read(self) -> None:
         """Read the list once; what cannot be read changes nothing."""
         seeds = self._seeds()
-        self._schedule.note(succeeded=seeds is not None)
+        self._schedule.record_read(succeeded=seeds is not None)
         if seeds is not None:
             self._fleet.set_seeds(seeds)
 
@@ -45,8 +50,8 @@
         members = self._board.members
         named = watchers(local.data_centre, members.values())
         return self._schedule.wait_ms(
-            alone=len(members) == 1,
-            watching=local.name in {member.name for member in named},
+            is_alone=len(members) == 1,
+            is_watching=local.name in {member.name for member in named},
         )
 
     def _seeds(self) -> list[Member] | None:
@@ -75,7 +80,7 @@
     board: Blackboard,
     settings: Settings,
     fleet: Membership,
-    schedule: ListSchedule,
+    schedule: VmListSchedule,
 ) -> VmListReader:
     """Build the reader of a daemon."""
     return VmListReader(
--- a/packages/fennelfork-daemon/tests/daemon_builders_once.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_once.py
@@ -18,7 +18,7 @@
     ExecuteRequest,
     OnceGate,
     OnceLimits,
-    bound_request_id,
+    bind_request_id,
     once_gate,
     ticket_key,
 )
@@ -170,7 +170,7 @@
     ticket = gate.issue(60_000)
     assert ticket is not None
     return ExecuteRequest(
-        request_id=bound_request_id(name, ticket.text),
+        request_id=bind_request_id(name, ticket.text),
         ticket=ticket.text,
         front='raft-search',
         key=7,
--- a/packages/fennelfork-daemon/tests/test_execute_order.py
+++ b/packages/fennelfork-daemon/tests/test_execute_order.py
@@ -8,7 +8,7 @@
 from returns.result import Success
 
 from fennelfork import Verdict
-from fennelfork.once import bound_request_id, unsettled
+from fennelfork.once import bind_request_id, unknown_outcome
 from fennelfork_daemon.execute._codec import (
     order_from_peer,
     order_to_peer,
@@ -24,7 +24,7 @@
 def _body(**members):
     ticket = build_gate().issue(1000).text
     body = {
-        'request_id': bound_request_id('cert-1', ticket),
+        'request_id': bind_request_id('cert-1', ticket),
         'ticket': ticket,
         'deadline_ms': 5000,
         'tenant': 'salvare',
@@ -74,7 +74,7 @@
 
     def test_takes_back_a_verdict_on_the_attempt(self) -> None:
         """What is refused unread says nothing of the id."""
-        failure = unsettled('x').with_verdict(Verdict.NOT_RUN)
+        failure = unknown_outcome('x').with_verdict(Verdict.NOT_RUN)
         assert doubted(failure).verdict is Verdict.MAY_HAVE_RUN
 
     @given(
@@ -110,7 +110,7 @@
 
     @pytest.mark.parametrize(
         'answer',
-        [Success('certificate 5'), Failed(unsettled('gone'))],
+        [Success('certificate 5'), Failed(unknown_outcome('gone'))],
     )
     def test_an_answer_keeps_its_verdict(self, answer) -> None:
         """Outcomes and failures come back as they were."""
--- a/packages/fennelfork-daemon/tests/test_membership_probe_codec.py
+++ b/packages/fennelfork-daemon/tests/test_membership_probe_codec.py
@@ -5,7 +5,7 @@
 from thriftpy2.protocol.cybin import TCyBinaryProtocolFactory
 from thriftpy2.utils import deserialize, serialize
 
-from fennelfork.membership import MemberStatus, ProbeAnswer, ProbeMessage
+from fennelfork.membership import MemberStatus, ProbeAck, ProbeMessage
 from fennelfork_daemon.membership._probe_codec import (
     answer_from_peer,
     answer_to_peer,
@@ -43,7 +43,7 @@
 
     def test_answer(self) -> None:
         """So does an answer, whether it reached and whether there is more."""
-        answer = ProbeAnswer(sender=a_member(), reached=False, more=True)
+        answer = ProbeAck(sender=a_member(), reached=False, has_more=True)
         crossed = _crossed(answer_to_peer(answer), peer.ProbeReply)
         assert answer_from_peer(crossed) == answer
 
--- a/packages/fennelfork-daemon/tests/test_membership_service.py
+++ b/packages/fennelfork-daemon/tests/test_membership_service.py
@@ -46,12 +46,12 @@
         """A new member replaces the whole, a new version does not."""
         service = _service(_RefusingClient())
         other = a_member('vm-2', peer='127.0.0.1:9')
-        service.fleet.view.hear_claims([other], 0)
+        service.fleet.view.apply_claims([other], 0)
         service.step()
         members = service._board.members
         assert members['vm-2'] == other
         newer = attrs.evolve(other, config_version=8)
-        service.fleet.view.hear_claims([newer], 0)
+        service.fleet.view.apply_claims([newer], 0)
         service.step()
         assert service._board.members is members
         assert members['vm-2'].config_version == 8
@@ -63,7 +63,7 @@
         board.document = attrs.evolve(board.document, version=9)
         board.config_hash = 'new'
         service.step()
-        me = service.fleet.view.me
+        me = service.fleet.view.local
         assert (me.config_version, me.config_hash) == (9, 'new')
         assert board.local == me
 
@@ -73,7 +73,7 @@
         service = _service(client)
         service.step()
         other = a_member('vm-2', peer='127.0.0.1:9')
-        service.fleet.view.hear_claims([other], 0)
+        service.fleet.view.apply_claims([other], 0)
         service.step()
         eventlet.sleep(0)
         assert not client.called
--- a/packages/fennelfork-daemon/tests/test_membership_vm_list.py
+++ b/packages/fennelfork-daemon/tests/test_membership_vm_list.py
@@ -8,9 +8,9 @@
 
 from fennelfork import blackboard
 from fennelfork.membership import (
-    ListSchedule,
     MembershipPolicy,
     MemberStatus,
+    VmListSchedule,
     membership,
 )
 from fennelfork_daemon.membership._vm_list import VmListReader, vm_list_reader
@@ -32,7 +32,7 @@
         blackboard(me),
         settings_of(address),
         membership(me, MembershipPolicy(), random.Random(0)),
-        ListSchedule(rng=random.Random(0)),
+        VmListSchedule(rng=random.Random(0)),
     )
 
 
@@ -52,7 +52,7 @@
         assert _seeds(reader) == {'vm-2'}
         table = reader._fleet.view.table
         assert [member.name for member in table] == ['vm-1']
-        probed = {send.to.name for send in reader._fleet.step(0)}
+        probed = {send.target.name for send in reader._fleet.step(0)}
         assert probed == {'vm-2'}
 
     @pytest.mark.parametrize(
@@ -83,5 +83,5 @@
         reader = _reader('127.0.0.1:1')
         reader.read()
         assert reader._schedule.failures == 1
-        me = reader._fleet.view.me
+        me = reader._fleet.view.local
         assert me.state is MemberStatus.ALIVE
--- a/packages/fennelfork/src/fennelfork/membership/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/membership/__init__.pyi
@@ -1,20 +1,20 @@
 """Who is in the fleet, found out by probing and told in passing."""
 
 from ._announce import announce as announce
-from ._announce import announce_end as announce_end
+from ._announce import announce_exit as announce_exit
 from ._announce import announce_leave as announce_leave
-from ._announce import leave_is_told as leave_is_told
+from ._announce import leave_is_announced as leave_is_announced
 from ._member import Member as Member
 from ._member import MemberStatus as MemberStatus
-from ._member import first_incarnation as first_incarnation
+from ._member import initial_incarnation as initial_incarnation
 from ._member_table import MemberTable as MemberTable
-from ._membership import Heard as Heard
 from ._membership import Membership as Membership
+from ._membership import ProbeEffects as ProbeEffects
 from ._membership import membership as membership
 from ._messages import MemberChange as MemberChange
-from ._messages import ProbeAnswer as ProbeAnswer
+from ._messages import ProbeAck as ProbeAck
 from ._messages import ProbeMessage as ProbeMessage
 from ._messages import SendProbe as SendProbe
 from ._policy import MembershipPolicy as MembershipPolicy
 from ._view import FleetView as FleetView
-from ._vm_list import ListSchedule as ListSchedule
+from ._vm_list import VmListSchedule as VmListSchedule
--- a/packages/fennelfork/src/fennelfork/membership/_announce.py
+++ b/packages/fennelfork/src/fennelfork/membership/_announce.py
@@ -7,11 +7,13 @@
 from fennelfork.membership._messages import SendProbe
 
 
-def announce(fleet: Membership, me: Member) -> None:
+def announce(fleet: Membership, local: Member) -> None:
     """Say something new of this daemon, and spread it at once."""
-    if me != fleet.view.me:
-        fleet.view.declare(me)
-        fleet.schedule.errands.spread(fleet.policy.spread)
+    if local != fleet.view.local:
+        fleet.view.update_local(local)
+        fleet.schedule.extra_probes.add_gossip_probes(
+            fleet.policy.gossip_fanout
+        )
 
 
 def announce_leave(fleet: Membership) -> None:
@@ -20,32 +22,32 @@
     Each is told in person, not by gossip alone: from then on it names this
     daemon in no entry answer, so the longest `ttl_ms` counts from there.
     """
-    me = fleet.view.me
-    if me.state is not MemberStatus.ALIVE:
+    local = fleet.view.local
+    if local.state is not MemberStatus.ALIVE:
         return
-    fleet.view.declare(
+    fleet.view.update_local(
         attrs.evolve(
-            me,
+            local,
             state=MemberStatus.LEAVING,
-            incarnation=me.incarnation + 1,
+            incarnation=local.incarnation + 1,
         ),
     )
-    fleet.schedule.tell_all()
+    fleet.schedule.announce_leave_to_all()
 
 
-def leave_is_told(fleet: Membership) -> bool:
+def leave_is_announced(fleet: Membership) -> bool:
     """Tell whether each member was told of the leave, or did not answer."""
-    waiting = fleet.schedule.errands.to_tell
-    return not waiting and not fleet.prober.is_telling
+    waiting = fleet.schedule.extra_probes.leave_targets
+    return not waiting and not fleet.prober.has_gossip_outstanding
 
 
-def announce_end(fleet: Membership, now_ms: float) -> tuple[SendProbe, ...]:
+def announce_exit(fleet: Membership, now_ms: float) -> tuple[SendProbe, ...]:
     """Say that this daemon is gone; its last act.
 
     Returns:
         Probes that carry the news to a few members, who pass it on.
     """
-    me = fleet.view.me
-    fleet.view.declare(me.with_state(MemberStatus.DEAD))
-    others = fleet.schedule.some_others(fleet.policy.spread)
-    return tuple(fleet.prober.news(member, now_ms) for member in others)
+    local = fleet.view.local
+    fleet.view.update_local(local.with_state(MemberStatus.DEAD))
+    others = fleet.schedule.sample_healthy(fleet.policy.gossip_fanout)
+    return tuple(fleet.prober.send_gossip(member, now_ms) for member in others)
--- a/packages/fennelfork/src/fennelfork/membership/_belief.py
+++ b/packages/fennelfork/src/fennelfork/membership/_claims.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Belief:
+class ClaimDecision:
     """What to make of a claim.
 
     Attributes:
@@ -24,7 +24,7 @@
     verify: bool = False
 
 
-def weigh_claim(known: Member | None, claim: Member) -> Belief:
+def evaluate_claim(known: Member | None, claim: Member) -> ClaimDecision:
     """Weigh what a third daemon says of a member.
 
     Args:
@@ -35,34 +35,34 @@
         The record to keep and whether to verify the claim.
     """
     if known is None:
-        return _weigh_unknown(claim)
+        return _evaluate_unknown(claim)
     if claim.incarnation < known.incarnation:
-        return Belief()
+        return ClaimDecision()
     if claim.incarnation > known.incarnation:
-        return _weigh_newer(known, claim)
-    return _weigh_same(known, claim)
+        return _evaluate_newer(known, claim)
+    return _evaluate_same(known, claim)
 
 
-def _weigh_unknown(claim: Member) -> Belief:
+def _evaluate_unknown(claim: Member) -> ClaimDecision:
     if claim.state is MemberStatus.DEAD:
-        return Belief()
-    return Belief(store=claim, verify=claim.is_doubted)
+        return ClaimDecision()
+    return ClaimDecision(store=claim, verify=claim.is_suspect_or_dead)
 
 
-def _weigh_newer(known: Member, claim: Member) -> Belief:
-    if not claim.is_doubted or known.state is MemberStatus.DEAD:
-        return Belief(store=claim, verify=claim.is_doubted)
-    return Belief(store=claim.with_state(known.state), verify=True)
+def _evaluate_newer(known: Member, claim: Member) -> ClaimDecision:
+    if not claim.is_suspect_or_dead or known.state is MemberStatus.DEAD:
+        return ClaimDecision(store=claim, verify=claim.is_suspect_or_dead)
+    return ClaimDecision(store=claim.with_state(known.state), verify=True)
 
 
-def _weigh_same(known: Member, claim: Member) -> Belief:
+def _evaluate_same(known: Member, claim: Member) -> ClaimDecision:
     if claim.state is MemberStatus.LEAVING and _precedes_leaving(known):
-        return Belief(store=claim)
-    if claim.is_doubted and known.state is MemberStatus.ALIVE:
-        return Belief(verify=True)
+        return ClaimDecision(store=claim)
+    if claim.is_suspect_or_dead and known.state is MemberStatus.ALIVE:
+        return ClaimDecision(verify=True)
     if claim.state is MemberStatus.DEAD and known.state is not claim.state:
-        return Belief(store=claim)
-    return Belief(store=_newer_config(known, claim))
+        return ClaimDecision(store=claim)
+    return ClaimDecision(store=_newer_config(known, claim))
 
 
 def _precedes_leaving(known: Member) -> bool:
--- a/packages/fennelfork/src/fennelfork/membership/_gossip.py
+++ b/packages/fennelfork/src/fennelfork/membership/_gossip.py
@@ -9,17 +9,19 @@
 class GossipQueue:
     """Names of members whose record changed, with how often it was told."""
 
-    _told: dict[str, int] = attrs.field(factory=dict)
+    _transmissions: dict[str, int] = attrs.field(factory=dict)
 
     def __len__(self) -> int:
         """Count the members that are still told about."""
-        return len(self._told)
+        return len(self._transmissions)
 
     def add(self, name: str) -> None:
         """Tell about `name` from now on, as a fresh change."""
-        self._told[name] = 0
+        self._transmissions[name] = 0
 
-    def agree(self, names: AbstractSet[str], weight: int, most: int) -> None:
+    def record_known(
+        self, names: AbstractSet[str], weight: int, max_transmissions: int
+    ) -> None:
         """Count changes that another daemon evidently knows as told.
 
         Args:
@@ -27,19 +29,19 @@
             weight: how many tellings one agreement counts for.
             most: after how many tellings a name is dropped.
         """
-        for name in tuple(names & self._told.keys()):
-            self._told[name] += weight
-            if self._told[name] >= most:
-                self._told.pop(name)
+        for name in tuple(names & self._transmissions.keys()):
+            self._transmissions[name] += weight
+            if self._transmissions[name] >= max_transmissions:
+                self._transmissions.pop(name)
 
-    def agree_on_all(self, weight: int, most: int) -> None:
+    def record_all_known(self, weight: int, max_transmissions: int) -> None:
         """Count all changes so, after meeting a daemon with an equal table."""
-        self.agree(self._told.keys(), weight, most)
+        self.record_known(self._transmissions.keys(), weight, max_transmissions)
 
-    def take(
+    def take_names(
         self,
         limit: int,
-        tellings: int,
+        max_transmissions: int,
         known: AbstractSet[str],
     ) -> tuple[str, ...]:
         """Give the least-told names and count them as told once more.
@@ -53,11 +55,13 @@
         Returns:
             The names, least told first.
         """
-        unknown = self._told.keys() - known
-        names = sorted(unknown, key=lambda name: (self._told[name], name))
+        unknown = self._transmissions.keys() - known
+        names = sorted(
+            unknown, key=lambda name: (self._transmissions[name], name)
+        )
         names = names[:limit]
         for name in names:
-            self._told[name] += 1
-            if self._told[name] >= tellings:
-                self._told.pop(name)
+            self._transmissions[name] += 1
+            if self._transmissions[name] >= max_transmissions:
+                self._transmissions.pop(name)
         return tuple(names)
--- a/packages/fennelfork/src/fennelfork/membership/_health.py
+++ b/packages/fennelfork/src/fennelfork/membership/_health.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-_WORST: Final = 8
+_MAX_SCORE: Final = 8
 
 
 @attrs.define(kw_only=True)
@@ -18,14 +18,14 @@
     score: int = 0
 
     @property
-    def factor(self) -> int:
+    def timeout_factor(self) -> int:
         """By how much timeouts are to be multiplied, one when healthy."""
         return 1 + self.score
 
-    def better(self) -> None:
+    def improve(self) -> None:
         """Count an answer in time."""
         self.score = max(0, self.score - 1)
 
-    def worse(self) -> None:
+    def degrade(self) -> None:
         """Count a sign that this daemon is slow or cut off."""
-        self.score = min(_WORST, self.score + 1)
+        self.score = min(_MAX_SCORE, self.score + 1)
--- a/packages/fennelfork/src/fennelfork/membership/_member.py
+++ b/packages/fennelfork/src/fennelfork/membership/_member.py
@@ -53,7 +53,7 @@
     config_hash: str = ''
 
     @property
-    def run(self) -> int:
+    def process_incarnation(self) -> int:
         """Which run of the daemon this is, the same for all refutations."""
         return self.incarnation >> _REFUTATION_BITS
 
@@ -63,7 +63,7 @@
         return self.config_version > 0
 
     @property
-    def essence(self) -> 'Member':
+    def without_config_version(self) -> 'Member':
         """The same member with all versions of a configuration alike."""
         return attrs.evolve(
             self,
@@ -72,7 +72,7 @@
         )
 
     @property
-    def is_doubted(self) -> bool:
+    def is_suspect_or_dead(self) -> bool:
         """Whether it is held for dead or may be."""
         return self.state in {MemberStatus.SUSPECT, MemberStatus.DEAD}
 
@@ -81,7 +81,7 @@
         return attrs.evolve(self, state=state)
 
 
-def first_incarnation(wall_ms: float) -> int:
+def initial_incarnation(wall_ms: float) -> int:
     """Give the incarnation of a daemon that starts at `wall_ms`.
 
     Nothing is stored between runs; civil time orders them. Should the clock
--- a/packages/fennelfork/src/fennelfork/membership/_member_table.py
+++ b/packages/fennelfork/src/fennelfork/membership/_member_table.py
@@ -11,7 +11,7 @@
 
 _BUCKETS: Final = 32
 _DIGEST_BYTES: Final = 4
-_DIGEST_SIZE: Final = _BUCKETS * _DIGEST_BYTES
+_DIGESTS_BYTES: Final = _BUCKETS * _DIGEST_BYTES
 
 
 def _no_digests() -> list[int]:
@@ -62,12 +62,15 @@
         """Store `member` in place of what was known of that name."""
         known = self._by_name.get(member.name)
         self._by_name[member.name] = member
-        if known is None or known.essence != member.essence:
+        if (
+            known is None
+            or known.without_config_version != member.without_config_version
+        ):
             self.epoch += 1
         elif known != member:
             self._reconfigured.add(member.name)
-        self._toggle(known, -1)
-        self._toggle(member, 1)
+        self._toggle_digest(known, -1)
+        self._toggle_digest(member, 1)
 
     def take_reconfigured(self) -> tuple[Member, ...]:
         """Give members of which only the configuration changed since."""
@@ -75,13 +78,13 @@
         self._reconfigured.clear()
         return tuple(self._by_name[name] for name in names)
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Drop all that is known of `name`."""
         known = self._by_name.pop(name, None)
-        self._toggle(known, -1)
+        self._toggle_digest(known, -1)
         self.epoch += 1
 
-    def differing(
+    def members_to_sync(
         self,
         digests: bytes,
         limit: int,
@@ -97,28 +100,28 @@
         Returns:
             Members in any state, at most `limit`.
         """
-        if len(digests) != _DIGEST_SIZE:
+        if len(digests) != _DIGESTS_BYTES:
             return ()
-        buckets = set(self._differing_buckets(digests))
+        buckets = set(self._find_differing_buckets(digests))
         if not buckets:
             return ()
         found = [member for member in self if _bucket(member.name) in buckets]
         rng.shuffle(found)
         return tuple(found[:limit])
 
-    def _differing_buckets(self, digests: bytes) -> Iterator[int]:
-        for bucket, mine in enumerate(self._digests):
+    def _find_differing_buckets(self, digests: bytes) -> Iterator[int]:
+        for bucket, own in enumerate(self._digests):
             start = bucket * _DIGEST_BYTES
-            theirs = digests[start : start + _DIGEST_BYTES]
-            if mine != int.from_bytes(theirs, 'big'):
+            other = digests[start : start + _DIGEST_BYTES]
+            if own != int.from_bytes(other, 'big'):
                 yield bucket
 
-    def _toggle(self, member: Member | None, count: int) -> None:
+    def _toggle_digest(self, member: Member | None, count: int) -> None:
         if member is None or member.state is MemberStatus.DEAD:
             return
         self.live_count += count
-        facts = (member.name, member.incarnation, member.state.value)
-        text = f'{facts}{member.is_ready}'
+        digest_input = (member.name, member.incarnation, member.state.value)
+        text = f'{digest_input}{member.is_ready}'
         digest = xxhash.xxh32_intdigest(text.encode())
         self._digests[_bucket(member.name)] ^= digest
 
--- a/packages/fennelfork/src/fennelfork/membership/_membership.py
+++ b/packages/fennelfork/src/fennelfork/membership/_membership.py
@@ -11,23 +11,23 @@
 
 import attrs
 
-from fennelfork.membership._errands import Errands
+from fennelfork.membership._extra_probes import ExtraProbes
 from fennelfork.membership._health import LocalHealth
 from fennelfork.membership._member import Member, MemberStatus
 from fennelfork.membership._messages import (
-    ProbeAnswer,
+    ProbeAck,
     ProbeMessage,
     SendProbe,
 )
-from fennelfork.membership._order import ProbeOrder
 from fennelfork.membership._policy import MembershipPolicy
-from fennelfork.membership._prober import Outcome, Prober
+from fennelfork.membership._probe_order import ProbeOrder
+from fennelfork.membership._prober import ProbeOutcome, Prober
 from fennelfork.membership._schedule import ProbeSchedule
 from fennelfork.membership._view import FleetView, fleet_view
 
 
 @attrs.frozen(kw_only=True)
-class Heard:
+class ProbeEffects:
     """What follows from a probe of another daemon.
 
     Attributes:
@@ -35,8 +35,8 @@
         sends: probes to make.
     """
 
-    answer: ProbeAnswer
-    sends: tuple[SendProbe, ...]
+    ack: ProbeAck
+    probes: tuple[SendProbe, ...]
 
 
 @attrs.define(kw_only=True)
@@ -57,7 +57,7 @@
     prober: Prober
     schedule: ProbeSchedule
     _rng: random.Random
-    _stepped_at: float | None = None
+    _last_step_ms: float | None = None
 
     @property
     def health(self) -> LocalHealth:
@@ -66,49 +66,51 @@
 
     def step(self, now_ms: float) -> tuple[SendProbe, ...]:
         """Move on to `now_ms`: time out, and probe if the period is over."""
-        self._excuse_lag(now_ms)
-        self.view.expire(now_ms)
-        return self.schedule.due(now_ms)
+        self._handle_step_lag(now_ms)
+        self.view.handle_timers(now_ms)
+        return self.schedule.take_due_probes(now_ms)
 
-    def on_probe(self, message: ProbeMessage, now_ms: float) -> Heard:
+    def on_probe(self, message: ProbeMessage, now_ms: float) -> ProbeEffects:
         """Take in a probe of another daemon."""
-        self.view.hear_probe(message.sender, now_ms)
-        self._hear(message.gossip, now_ms)
-        differing = self.view.table.differing(
+        self.view.apply_probe(message.sender, now_ms)
+        self._apply_claims(message.gossip, now_ms)
+        members_to_sync = self.view.table.members_to_sync(
             message.digests,
-            self.policy.sync_limit,
+            self.policy.max_synced_members,
             self._rng,
         )
-        news = self.view.news_for(
+        updates = self.view.updates_for(
             message.sender,
             message.gossip,
             message.digests,
         )
-        answer = ProbeAnswer(
-            sender=self.view.me,
-            gossip=(*news, *differing),
-            more=len(differing) == self.policy.sync_limit,
+        ack = ProbeAck(
+            sender=self.view.local,
+            gossip=(*updates, *members_to_sync),
+            has_more=len(members_to_sync) == self.policy.max_synced_members,
+        )
+        return ProbeEffects(
+            ack=ack, probes=self.schedule.take_extra_probes(now_ms)
         )
-        return Heard(answer=answer, sends=self.schedule.extra(now_ms))
 
-    def on_answer(
+    def on_ack(
         self,
-        call: int,
-        answer: ProbeAnswer,
+        probe_id: int,
+        ack: ProbeAck,
         now_ms: float,
     ) -> tuple[SendProbe, ...]:
         """Take in the answer to a `SendProbe`."""
         epoch = self.view.table.epoch
-        outcome = self.prober.answered(call, answer, now_ms)
-        self.view.hear_answer(answer.sender, now_ms)
-        self._hear(answer.gossip, now_ms)
-        if answer.more and epoch != self.view.table.epoch:
-            self.schedule.errands.spread(1)
-        return self._conclude(outcome, now_ms)
+        outcome = self.prober.record_ack(probe_id, ack, now_ms)
+        self.view.apply_ack(ack.sender, now_ms)
+        self._apply_claims(ack.gossip, now_ms)
+        if ack.has_more and epoch != self.view.table.epoch:
+            self.schedule.extra_probes.add_gossip_probes(1)
+        return self._follow_up(outcome, now_ms)
 
     def on_failure(
         self,
-        call: int,
+        probe_id: int,
         now_ms: float,
         *,
         refused: bool,
@@ -121,66 +123,73 @@
             refused: whether the address refused the connection, which shows
                 that nobody listens there.
         """
-        outcome = self.prober.failed(call, now_ms, refused=refused)
-        return self._conclude(outcome, now_ms)
+        outcome = self.prober.record_failure(probe_id, now_ms, refused=refused)
+        return self._follow_up(outcome, now_ms)
 
     def relay(self, name: str, now_ms: float) -> SendProbe | None:
         """Probe a member for another daemon, none if it is unknown."""
         target = self.view.table.get(name)
         if target is None or self.prober.is_full:
             return None
-        return self.prober.news(target, now_ms)
+        return self.prober.send_gossip(target, now_ms)
 
     def on_unreachable(self, name: str) -> None:
         """Take a hint, for instance of a failed sub-query, and verify it."""
         known = self.view.table.get(name)
         if known is not None and known.state is MemberStatus.ALIVE:
-            doubt = known.with_state(MemberStatus.SUSPECT)
-            self.schedule.errands.verify(doubt)
+            suspicion = known.with_state(MemberStatus.SUSPECT)
+            self.schedule.extra_probes.add_claim(suspicion)
 
     def set_seeds(self, seeds: Iterable[Member]) -> None:
         """Take what the lagging VM list shows, as addresses to try."""
-        own_name = self.view.me.name
+        own_name = self.view.local.name
         self.schedule.seeds = {
             seed.name: seed for seed in seeds if seed.name != own_name
         }
 
-    def _hear(self, claims: Iterable[Member], now_ms: float) -> None:
-        standing = self.view.standing
-        refutations = standing.refutations
-        for claim in self.view.hear_claims(claims, now_ms):
-            self.schedule.errands.verify(claim)
-        if standing.refutations > refutations:
-            self.prober.health.worse()
-            self.schedule.errands.spread(self.policy.spread)
-        self.schedule.note_members()
-
-    def _conclude(
+    def _apply_claims(self, claims: Iterable[Member], now_ms: float) -> None:
+        local_member = self.view.local_member
+        refutations = local_member.refutations
+        for claim in self.view.apply_claims(claims, now_ms):
+            self.schedule.extra_probes.add_claim(claim)
+        if local_member.refutations > refutations:
+            self.prober.health.degrade()
+            self.schedule.extra_probes.add_gossip_probes(
+                self.policy.gossip_fanout
+            )
+        self.schedule.add_new_members()
+
+    def _follow_up(
         self,
-        outcome: Outcome,
+        outcome: ProbeOutcome,
         now_ms: float,
     ) -> tuple[SendProbe, ...]:
-        if outcome.accused:
-            self.schedule.errands.spread(self.policy.spread)
-        return (*outcome.sends, *self.schedule.extra(now_ms))
-
-    def _excuse_lag(self, now_ms: float) -> None:
-        stepped_at = self._stepped_at
-        self._stepped_at = now_ms
-        if stepped_at is None or now_ms - stepped_at <= self.policy.lag_ms:
+        if outcome.is_newly_suspected:
+            self.schedule.extra_probes.add_gossip_probes(
+                self.policy.gossip_fanout
+            )
+        return (*outcome.probes, *self.schedule.take_extra_probes(now_ms))
+
+    def _handle_step_lag(self, now_ms: float) -> None:
+        last_step_ms = self._last_step_ms
+        self._last_step_ms = now_ms
+        if (
+            last_step_ms is None
+            or now_ms - last_step_ms <= self.policy.max_step_lag_ms
+        ):
             return
-        self.prober.forgive()
-        self.view.timers.excuse(now_ms - stepped_at)
-        self.prober.health.worse()
+        self.prober.discard_outstanding()
+        self.view.timers.extend_suspicions(now_ms - last_step_ms)
+        self.prober.health.degrade()
 
 
 def membership(
-    me: Member,
+    local: Member,
     policy: MembershipPolicy,
     rng: random.Random,
 ) -> Membership:
-    """Build the controller of the daemon that `me` describes."""
-    view = fleet_view(me, policy)
+    """Build the controller of the daemon that `local` describes."""
+    view = fleet_view(local, policy)
     prober = Prober(
         policy=policy,
         view=view,
@@ -188,12 +197,12 @@
         rng=rng,
     )
     schedule = ProbeSchedule(
-        errands=Errands(policy=policy),
+        extra_probes=ExtraProbes(policy=policy),
         policy=policy,
         view=view,
         prober=prober,
         rng=rng,
-        order=ProbeOrder(own_name=me.name, rng=rng),
+        probe_order=ProbeOrder(own_name=local.name, rng=rng),
     )
     return Membership(
         policy=policy,
--- a/packages/fennelfork/src/fennelfork/membership/_messages.py
+++ b/packages/fennelfork/src/fennelfork/membership/_messages.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ProbeAnswer:
+class ProbeAck:
     """The answer to a probe.
 
     Attributes:
@@ -36,12 +36,12 @@
     sender: Member
     gossip: tuple[Member, ...] = ()
     reached: bool = True
-    more: bool = False
+    has_more: bool = False
 
 
 @attrs.frozen(kw_only=True)
 class SendProbe:
-    """Order to the adapter: call `to`, then report what came of it.
+    """Order to the adapter: call `target`, then report what came of it.
 
     Attributes:
         call: number to report the result under.
@@ -50,8 +50,8 @@
         timeout_ms: after which the call has failed.
     """
 
-    call: int
-    to: Member
+    probe_id: int
+    target: Member
     message: ProbeMessage
     timeout_ms: float
 
--- a/packages/fennelfork/src/fennelfork/membership/_policy.py
+++ b/packages/fennelfork/src/fennelfork/membership/_policy.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-_SMALLEST_SCALE: Final = 1.0
+_MIN_SCALE: Final = 1.0
 
 
 @attrs.frozen(kw_only=True)
@@ -38,32 +38,32 @@
 
     period_ms: float = 1000
     probe_timeout_ms: float = 500
-    relay_extra_ms: float = 300
-    relays: int = 3
-    suspicion_periods: float = 4
-    forget_ms: float = 900_000
-    gossip_limit: int = 8
-    gossip_repeats: int = 3
+    relay_timeout_extra_ms: float = 300
+    relay_count: int = 3
+    suspicion_timeout_periods: float = 4
+    dead_retention_ms: float = 900_000
+    max_gossip_updates: int = 8
+    transmissions_per_doubling: int = 3
     agreement_weight: int = 3
-    sync_limit: int = 12
+    max_synced_members: int = 12
     reconnect_periods: int = 4
-    extra_a_second: float = 4
-    extra_burst: float = 20
-    spread: int = 3
-    tell_a_step: int = 20
-    calls_limit: int = 64
-    lag_ms: float = 500
+    extra_probes_per_s: float = 4
+    extra_probe_burst: float = 20
+    gossip_fanout: int = 3
+    leave_probes_per_step: int = 20
+    max_outstanding_probes: int = 64
+    max_step_lag_ms: float = 500
     reachable_periods: float = 5
 
-    def suspicion_ms(self, size: int) -> float:
+    def suspicion_timeout_ms(self, size: int) -> float:
         """Give the time from suspect to dead in a fleet of `size`.
 
         News needs a number of periods that grows with the logarithm of the
         fleet's size; so does the time a member has to refute.
         """
-        scale = max(_SMALLEST_SCALE, math.log10(max(size, 1)))
-        return self.suspicion_periods * scale * self.period_ms
+        scale = max(_MIN_SCALE, math.log10(max(size, 1)))
+        return self.suspicion_timeout_periods * scale * self.period_ms
 
-    def tellings(self, size: int) -> int:
+    def max_transmissions(self, size: int) -> int:
         """Give how often one change is told in a fleet of `size`."""
-        return self.gossip_repeats * math.ceil(math.log2(size + 1))
+        return self.transmissions_per_doubling * math.ceil(math.log2(size + 1))
--- a/packages/fennelfork/src/fennelfork/membership/_order.py
+++ b/packages/fennelfork/src/fennelfork/membership/_probe_order.py
@@ -18,28 +18,28 @@
 
     own_name: str
     _rng: random.Random
-    _rest: list[str] = attrs.field(factory=list)
+    _remaining: list[str] = attrs.field(factory=list)
 
     def add(self, name: str) -> None:
         """Put a new member at a random place of the running pass."""
-        place = self._rng.randint(0, len(self._rest))
-        self._rest.insert(place, name)
+        place = self._rng.randint(0, len(self._remaining))
+        self._remaining.insert(place, name)
 
-    def following(self, table: MemberTable) -> str | None:
+    def take_next(self, table: MemberTable) -> str | None:
         """Give the next member that is not dead, none if there is none."""
-        while self._rest:
-            name = self._rest.pop()
-            if self._is_probed(table, name):
+        while self._remaining:
+            name = self._remaining.pop()
+            if self._is_eligible(table, name):
                 return name
-        self._rest = [
+        self._remaining = [
             member.name
             for member in table
-            if self._is_probed(table, member.name)
+            if self._is_eligible(table, member.name)
         ]
-        self._rng.shuffle(self._rest)
-        return self._rest.pop() if self._rest else None
+        self._rng.shuffle(self._remaining)
+        return self._remaining.pop() if self._remaining else None
 
-    def _is_probed(self, table: MemberTable, name: str) -> bool:
+    def _is_eligible(self, table: MemberTable, name: str) -> bool:
         member = table.get(name)
         if member is None or name == self.own_name:
             return False
--- a/packages/fennelfork/src/fennelfork/membership/_prober.py
+++ b/packages/fennelfork/src/fennelfork/membership/_prober.py
@@ -8,7 +8,7 @@
 from fennelfork.membership._health import LocalHealth
 from fennelfork.membership._member import Member, MemberStatus
 from fennelfork.membership._messages import (
-    ProbeAnswer,
+    ProbeAck,
     ProbeMessage,
     SendProbe,
 )
@@ -17,14 +17,14 @@
 
 
 @enum.unique
-class _Kind(enum.Enum):
+class _ProbeKind(enum.Enum):
     DIRECT = 'direct'
     RELAYED = 'relayed'
-    NEWS = 'news'
+    GOSSIP = 'news'
 
 
 @attrs.define(kw_only=True)
-class _Round:
+class _ProbeRound:
     """One attempt to reach a member by all ways.
 
     Attributes:
@@ -36,19 +36,19 @@
 
     target: str
     incarnation: int
-    rumoured: bool = False
+    is_reported: bool = False
     pending: int = 0
 
 
 @attrs.frozen(kw_only=True)
-class _Call:
-    kind: _Kind
+class _OutstandingProbe:
+    kind: _ProbeKind
     deadline_ms: float
-    probe_round: _Round
+    probe_round: _ProbeRound
 
 
 @attrs.frozen(kw_only=True)
-class Outcome:
+class ProbeOutcome:
     """What follows from the result of a call.
 
     Attributes:
@@ -56,8 +56,8 @@
         sends: further probes to make.
     """
 
-    accused: bool = False
-    sends: tuple[SendProbe, ...] = ()
+    is_newly_suspected: bool = False
+    probes: tuple[SendProbe, ...] = ()
 
 
 @attrs.define(kw_only=True)
@@ -68,24 +68,27 @@
     view: FleetView
     health: LocalHealth
     _rng: random.Random
-    _calls: dict[int, _Call] = attrs.field(factory=dict)
-    _last_call: int = 0
+    _outstanding: dict[int, _OutstandingProbe] = attrs.field(factory=dict)
+    _last_probe_id: int = 0
 
     @property
-    def is_telling(self) -> bool:
+    def has_gossip_outstanding(self) -> bool:
         """Whether a call that only carries news is outstanding."""
-        return any(call.kind is _Kind.NEWS for call in self._calls.values())
+        return any(
+            probe.kind is _ProbeKind.GOSSIP
+            for probe in self._outstanding.values()
+        )
 
     @property
     def is_full(self) -> bool:
         """Whether no further call may be made now."""
-        return len(self._calls) >= self.policy.calls_limit
+        return len(self._outstanding) >= self.policy.max_outstanding_probes
 
-    def direct(self, target: Member, now_ms: float) -> SendProbe:
+    def probe_directly(self, target: Member, now_ms: float) -> SendProbe:
         """Probe a member; if it stays silent, try relays."""
-        return self._send(_Kind.DIRECT, target, _round(target), now_ms)
+        return self._send(_ProbeKind.DIRECT, target, _new_round(target), now_ms)
 
-    def verify(self, claim: Member, now_ms: float) -> SendProbe | None:
+    def verify_claim(self, claim: Member, now_ms: float) -> SendProbe | None:
         """Probe a member that another daemon doubts, and tell it so.
 
         Returns:
@@ -96,106 +99,116 @@
             return None
         if known.state is MemberStatus.DEAD:
             return None
-        rumoured = attrs.evolve(_round(known), rumoured=True)
-        return self._send(_Kind.DIRECT, known, rumoured, now_ms, claim)
+        reported_round = attrs.evolve(_new_round(known), is_reported=True)
+        return self._send(
+            _ProbeKind.DIRECT, known, reported_round, now_ms, claim
+        )
 
-    def news(self, target: Member, now_ms: float) -> SendProbe:
+    def send_gossip(self, target: Member, now_ms: float) -> SendProbe:
         """Call a member to pass on news; silence means nothing."""
-        return self._send(_Kind.NEWS, target, _round(target), now_ms)
+        return self._send(_ProbeKind.GOSSIP, target, _new_round(target), now_ms)
 
-    def forgive(self) -> None:
+    def discard_outstanding(self) -> None:
         """Draw no conclusion from the calls that are outstanding."""
-        self._calls.clear()
+        self._outstanding.clear()
 
-    def answered(
-        self, call: int, answer: ProbeAnswer, now_ms: float
-    ) -> Outcome:
+    def record_ack(
+        self, probe_id: int, ack: ProbeAck, now_ms: float
+    ) -> ProbeOutcome:
         """Conclude from an answer; its gossip is not looked at here."""
-        settled = self._calls.pop(call, None)
-        if settled is None:
-            return Outcome()
-        self.health.better()
-        if _is_other(settled, answer):
-            return self._direct_failed(settled.probe_round, now_ms, True)
-        if settled.kind is _Kind.RELAYED and not answer.reached:
-            return self._relay_failed(settled.probe_round, now_ms)
-        return Outcome()
-
-    def failed(self, call: int, now_ms: float, *, refused: bool) -> Outcome:
+        finished = self._outstanding.pop(probe_id, None)
+        if finished is None:
+            return ProbeOutcome()
+        self.health.improve()
+        if _is_from_other_daemon(finished, ack):
+            return self._handle_direct_failure(
+                finished.probe_round, now_ms, True
+            )
+        if finished.kind is _ProbeKind.RELAYED and not ack.reached:
+            return self._handle_relay_failure(finished.probe_round, now_ms)
+        return ProbeOutcome()
+
+    def record_failure(
+        self, probe_id: int, now_ms: float, *, refused: bool
+    ) -> ProbeOutcome:
         """Conclude from a call that was refused or not answered in time."""
-        settled = self._calls.pop(call, None)
-        if settled is None:
-            return Outcome()
-        if now_ms > settled.deadline_ms + self.policy.lag_ms:
-            self.health.worse()
-            return Outcome()
-        if settled.kind is _Kind.DIRECT:
-            return self._direct_failed(settled.probe_round, now_ms, refused)
-        if settled.kind is _Kind.RELAYED:
+        finished = self._outstanding.pop(probe_id, None)
+        if finished is None:
+            return ProbeOutcome()
+        if now_ms > finished.deadline_ms + self.policy.max_step_lag_ms:
+            self.health.degrade()
+            return ProbeOutcome()
+        if finished.kind is _ProbeKind.DIRECT:
+            return self._handle_direct_failure(
+                finished.probe_round, now_ms, refused
+            )
+        if finished.kind is _ProbeKind.RELAYED:
             # A relay reports in time even of a member it does not reach.
-            self.health.worse()
-            return self._relay_failed(settled.probe_round, now_ms)
-        return Outcome()
+            self.health.degrade()
+            return self._handle_relay_failure(finished.probe_round, now_ms)
+        return ProbeOutcome()
 
-    def _direct_failed(
+    def _handle_direct_failure(
         self,
-        probe_round: _Round,
+        probe_round: _ProbeRound,
         now_ms: float,
         refused: bool,
-    ) -> Outcome:
-        if refused or probe_round.rumoured:
-            return self._accuse(probe_round, now_ms)
+    ) -> ProbeOutcome:
+        if refused or probe_round.is_reported:
+            return self._suspect(probe_round, now_ms)
         relays = _relays(self.view, probe_round.target)
         if not relays:
-            return self._accuse(probe_round, now_ms)
-        count = min(self.policy.relays, len(relays))
+            return self._suspect(probe_round, now_ms)
+        count = min(self.policy.relay_count, len(relays))
         relays = self._rng.sample(relays, count)
         probe_round.pending = count
-        sends = [
-            self._send(_Kind.RELAYED, relay, probe_round, now_ms)
+        probes = [
+            self._send(_ProbeKind.RELAYED, relay, probe_round, now_ms)
             for relay in relays
         ]
-        return Outcome(sends=tuple(sends))
+        return ProbeOutcome(probes=tuple(probes))
 
-    def _relay_failed(self, probe_round: _Round, now_ms: float) -> Outcome:
+    def _handle_relay_failure(
+        self, probe_round: _ProbeRound, now_ms: float
+    ) -> ProbeOutcome:
         probe_round.pending -= 1
         if probe_round.pending:
-            return Outcome()
-        return self._accuse(probe_round, now_ms)
+            return ProbeOutcome()
+        return self._suspect(probe_round, now_ms)
 
-    def _accuse(self, probe_round: _Round, now_ms: float) -> Outcome:
-        accused = self.view.accuse(
+    def _suspect(self, probe_round: _ProbeRound, now_ms: float) -> ProbeOutcome:
+        is_newly_suspected = self.view.suspect_member(
             probe_round.target,
             probe_round.incarnation,
             now_ms,
         )
-        return Outcome(accused=accused)
+        return ProbeOutcome(is_newly_suspected=is_newly_suspected)
 
     def _send(
         self,
-        kind: _Kind,
-        to: Member,
-        probe_round: _Round,
+        kind: _ProbeKind,
+        target: Member,
+        probe_round: _ProbeRound,
         now_ms: float,
         claim: Member | None = None,
     ) -> SendProbe:
-        relayed = kind is _Kind.RELAYED
-        timeout_ms = self.policy.probe_timeout_ms * self.health.factor
+        relayed = kind is _ProbeKind.RELAYED
+        timeout_ms = self.policy.probe_timeout_ms * self.health.timeout_factor
         if relayed:
-            timeout_ms += self.policy.relay_extra_ms
-        self._last_call += 1
-        self._calls[self._last_call] = _Call(
+            timeout_ms += self.policy.relay_timeout_extra_ms
+        self._last_probe_id += 1
+        self._outstanding[self._last_probe_id] = _OutstandingProbe(
             kind=kind,
             deadline_ms=now_ms + timeout_ms,
             probe_round=probe_round,
         )
-        gossip = self.view.news_for(to)
+        gossip = self.view.updates_for(target)
         return SendProbe(
-            call=self._last_call,
-            to=to,
+            probe_id=self._last_probe_id,
+            target=target,
             timeout_ms=timeout_ms,
             message=ProbeMessage(
-                sender=self.view.me,
+                sender=self.view.local,
                 gossip=gossip if claim is None else (claim, *gossip),
                 digests=self.view.table.digests,
                 relay_to=probe_round.target if relayed else None,
@@ -203,15 +216,15 @@
         )
 
 
-def _round(target: Member) -> _Round:
-    return _Round(target=target.name, incarnation=target.incarnation)
+def _new_round(target: Member) -> _ProbeRound:
+    return _ProbeRound(target=target.name, incarnation=target.incarnation)
 
 
-def _is_other(call: _Call, answer: ProbeAnswer) -> bool:
+def _is_from_other_daemon(probe: _OutstandingProbe, ack: ProbeAck) -> bool:
     """Tell whether another daemon now has the address that was probed."""
-    if call.kind is not _Kind.DIRECT:
+    if probe.kind is not _ProbeKind.DIRECT:
         return False
-    return answer.sender.name != call.probe_round.target
+    return ack.sender.name != probe.probe_round.target
 
 
 def _relays(view: FleetView, target: str) -> list[Member]:
@@ -219,5 +232,5 @@
         member
         for member in view.table
         if member.state is MemberStatus.ALIVE
-        and member.name not in {target, view.me.name}
+        and member.name not in {target, view.local.name}
     ]
--- a/packages/fennelfork/src/fennelfork/membership/_schedule.py
+++ b/packages/fennelfork/src/fennelfork/membership/_schedule.py
@@ -6,16 +6,16 @@
 
 import attrs
 
-from fennelfork.membership._errands import Errands
+from fennelfork.membership._extra_probes import ExtraProbes
 from fennelfork.membership._member import Member, MemberStatus
 from fennelfork.membership._member_table import MemberTable
 from fennelfork.membership._messages import SendProbe
-from fennelfork.membership._order import ProbeOrder
 from fennelfork.membership._policy import MembershipPolicy
+from fennelfork.membership._probe_order import ProbeOrder
 from fennelfork.membership._prober import Prober
 from fennelfork.membership._view import FleetView
 
-_MOST_STRETCH: Final = 2
+_MAX_PERIOD_FACTOR: Final = 2
 
 
 @attrs.define(kw_only=True)
@@ -27,109 +27,120 @@
         seeds: members by name as the VM list shows them.
     """
 
-    errands: Errands
+    extra_probes: ExtraProbes
     seeds: dict[str, Member] = attrs.field(factory=dict)
     _policy: MembershipPolicy
     _view: FleetView
     _prober: Prober
     _rng: random.Random
-    _order: ProbeOrder
-    _periods: int = 0
-    _period_at: float = float('-inf')
-    _ordered: set[str] = attrs.field(factory=set)
-    _seen_epoch: int = 0
+    _probe_order: ProbeOrder
+    _period_count: int = 0
+    _next_period_ms: float = float('-inf')
+    _ordered_names: set[str] = attrs.field(factory=set)
+    _ordered_epoch: int = 0
 
-    def due(self, now_ms: float) -> tuple[SendProbe, ...]:
+    def take_due_probes(self, now_ms: float) -> tuple[SendProbe, ...]:
         """Give the probes of the period, if it is over, and extra ones."""
-        sends = list(self._tell(now_ms))
-        if now_ms >= self._period_at:
-            self._period_at = now_ms + self._period_ms()
-            self._periods += 1
-            sends.extend(self._regular(now_ms))
-            sends.extend(self._reconnect(now_ms))
-        return (*sends, *self.extra(now_ms))
-
-    def extra(self, now_ms: float) -> tuple[SendProbe, ...]:
+        probes = list(self._leave_probes(now_ms))
+        if now_ms >= self._next_period_ms:
+            self._next_period_ms = now_ms + self._period_ms()
+            self._period_count += 1
+            probes.extend(self._regular_probes(now_ms))
+            probes.extend(self._reconnect_probes(now_ms))
+        return (*probes, *self.take_extra_probes(now_ms))
+
+    def take_extra_probes(self, now_ms: float) -> tuple[SendProbe, ...]:
         """Give the extra probes that may be made now."""
-        return (*self._verify(now_ms), *self._spread(now_ms))
+        return (*self._claim_probes(now_ms), *self._gossip_probes(now_ms))
 
-    def note_members(self) -> None:
+    def add_new_members(self) -> None:
         """Give members that are new to the table a place in the order."""
         epoch = self._view.table.epoch
-        if epoch == self._seen_epoch:
+        if epoch == self._ordered_epoch:
             return
-        self._seen_epoch = epoch
+        self._ordered_epoch = epoch
         names = {member.name for member in self._view.table}
-        for name in sorted(names - self._ordered):
-            self._order.add(name)
-        self._ordered = names
+        for name in sorted(names - self._ordered_names):
+            self._probe_order.add(name)
+        self._ordered_names = names
 
-    def tell_all(self) -> None:
+    def announce_leave_to_all(self) -> None:
         """Have each member told in person what this daemon says of itself."""
-        own_name = self._view.me.name
-        self.errands.to_tell = [
+        own_name = self._view.local.name
+        self.extra_probes.leave_targets = [
             member.name
             for member in self._view.table
             if member.state is not MemberStatus.DEAD and member.name != own_name
         ]
 
-    def some_others(self, count: int) -> list[Member]:
+    def sample_healthy(self, count: int) -> list[Member]:
         """Give up to `count` random members that are not doubted."""
-        others = self._others()
-        return self._rng.sample(others, min(count, len(others)))
+        healthy_members = self._healthy_others()
+        return self._rng.sample(
+            healthy_members, min(count, len(healthy_members))
+        )
 
     def _period_ms(self) -> float:
-        stretch = min(self._prober.health.factor, _MOST_STRETCH)
-        return self._policy.period_ms * stretch
+        period_factor = min(
+            self._prober.health.timeout_factor, _MAX_PERIOD_FACTOR
+        )
+        return self._policy.period_ms * period_factor
 
-    def _regular(self, now_ms: float) -> Iterator[SendProbe]:
-        name = self._order.following(self._view.table)
+    def _regular_probes(self, now_ms: float) -> Iterator[SendProbe]:
+        name = self._probe_order.take_next(self._view.table)
         target = name and self._view.table.get(name)
         if target and not self._prober.is_full:
-            yield self._prober.direct(target, now_ms)
+            yield self._prober.probe_directly(target, now_ms)
 
-    def _reconnect(self, now_ms: float) -> Iterator[SendProbe]:
-        alone = not self._others()
-        if not alone and self._periods % self._policy.reconnect_periods:
+    def _reconnect_probes(self, now_ms: float) -> Iterator[SendProbe]:
+        is_alone = not self._healthy_others()
+        if not is_alone and self._period_count % self._policy.reconnect_periods:
             return
-        lost = _lost(self._view.table, self.seeds)
-        count = min(self._policy.relays if alone else 1, len(lost))
-        for target in self._rng.sample(lost, count):
+        unreachable = _unreachable_members(self._view.table, self.seeds)
+        count = min(
+            self._policy.relay_count if is_alone else 1, len(unreachable)
+        )
+        for target in self._rng.sample(unreachable, count):
             if not self._prober.is_full:
-                yield self._prober.news(target, now_ms)
+                yield self._prober.send_gossip(target, now_ms)
 
-    def _tell(self, now_ms: float) -> Iterator[SendProbe]:
+    def _leave_probes(self, now_ms: float) -> Iterator[SendProbe]:
         if self._prober.is_full:
             return
-        for name in self.errands.next_to_tell():
+        for name in self.extra_probes.take_leave_targets():
             member = self._view.table.get(name)
             if member is not None:
-                yield self._prober.news(member, now_ms)
+                yield self._prober.send_gossip(member, now_ms)
 
-    def _verify(self, now_ms: float) -> Iterator[SendProbe]:
+    def _claim_probes(self, now_ms: float) -> Iterator[SendProbe]:
         while not self._prober.is_full:
-            claim = self.errands.next_claim(now_ms)
+            claim = self.extra_probes.take_claim(now_ms)
             if claim is None:
                 return
-            send = self._prober.verify(claim, now_ms)
-            if send is not None:
-                yield send
-
-    def _spread(self, now_ms: float) -> Iterator[SendProbe]:
-        while not self._prober.is_full and self.errands.next_spread(now_ms):
-            for target in self.some_others(1):
-                yield self._prober.news(target, now_ms)
-
-    def _others(self) -> list[Member]:
+            probe = self._prober.verify_claim(claim, now_ms)
+            if probe is not None:
+                yield probe
+
+    def _gossip_probes(self, now_ms: float) -> Iterator[SendProbe]:
+        while not self._prober.is_full and self.extra_probes.take_gossip_probe(
+            now_ms
+        ):
+            for target in self.sample_healthy(1):
+                yield self._prober.send_gossip(target, now_ms)
+
+    def _healthy_others(self) -> list[Member]:
         return [
             member
             for member in self._view.table
-            if not member.is_doubted and member.name != self._view.me.name
+            if not member.is_suspect_or_dead
+            and member.name != self._view.local.name
         ]
 
 
-def _lost(table: MemberTable, seeds: Mapping[str, Member]) -> list[Member]:
-    lost = {
+def _unreachable_members(
+    table: MemberTable, seeds: Mapping[str, Member]
+) -> list[Member]:
+    unreachable = {
         member.name: member
         for member in table
         if member.state is MemberStatus.DEAD
@@ -137,5 +148,5 @@
     for name, seed in seeds.items():
         known = table.get(name)
         if known is None or known.state is MemberStatus.DEAD:
-            lost[name] = seed
-    return list(lost.values())
+            unreachable[name] = seed
+    return list(unreachable.values())
--- a/packages/fennelfork/src/fennelfork/membership/_view.py
+++ b/packages/fennelfork/src/fennelfork/membership/_view.py
@@ -4,12 +4,12 @@
 
 import attrs
 
-from fennelfork.membership._belief import weigh_claim
+from fennelfork.membership._claims import evaluate_claim
 from fennelfork.membership._gossip import GossipQueue
+from fennelfork.membership._local_member import LocalMember
 from fennelfork.membership._member import Member, MemberStatus
 from fennelfork.membership._member_table import MemberTable
 from fennelfork.membership._messages import MemberChange
-from fennelfork.membership._own_standing import OwnStanding
 from fennelfork.membership._policy import MembershipPolicy
 from fennelfork.membership._timers import SuspicionTimers
 
@@ -26,26 +26,29 @@
     """
 
     policy: MembershipPolicy
-    standing: OwnStanding
+    local_member: LocalMember
     table: MemberTable = attrs.field(factory=MemberTable)
     timers: SuspicionTimers = attrs.field(factory=SuspicionTimers)
-    _news: GossipQueue = attrs.field(factory=GossipQueue)
+    _gossip: GossipQueue = attrs.field(factory=GossipQueue)
     _changes: list[MemberChange] = attrs.field(factory=list)
 
     @property
-    def me(self) -> Member:
+    def local(self) -> Member:
         """This daemon's word about itself."""
-        return self.standing.me
+        return self.local_member.record
 
-    def declare(self, me: Member) -> None:
+    def update_local(self, local: Member) -> None:
         """Say something new of this daemon, and pass it on."""
-        known = self.table.get(me.name)
-        self.standing.me = me
-        self.table.put(me)
-        if known is None or known.essence != me.essence:
-            self._news.add(me.name)
-
-    def hear_claims(
+        known = self.table.get(local.name)
+        self.local_member.record = local
+        self.table.put(local)
+        if (
+            known is None
+            or known.without_config_version != local.without_config_version
+        ):
+            self._gossip.add(local.name)
+
+    def apply_claims(
         self,
         claims: Iterable[Member],
         now_ms: float,
@@ -57,40 +60,42 @@
         """
         to_verify = []
         for claim in claims:
-            if claim.name == self.me.name:
-                if self.standing.hear(claim, now_ms):
-                    self.declare(self.me)
+            if claim.name == self.local.name:
+                if self.local_member.apply_claim(claim, now_ms):
+                    self.update_local(self.local)
                 continue
-            belief = weigh_claim(self.table.get(claim.name), claim)
-            if belief.store is not None:
-                self._store(belief.store, now_ms)
-            if belief.verify:
+            decision = evaluate_claim(self.table.get(claim.name), claim)
+            if decision.store is not None:
+                self._store(decision.store, now_ms)
+            if decision.verify:
                 to_verify.append(claim)
         return to_verify
 
-    def hear_answer(self, sender: Member, now_ms: float) -> None:
+    def apply_ack(self, sender: Member, now_ms: float) -> None:
         """Take in the word of a member that answered this daemon."""
         known = self.table.get(sender.name)
         if known is None or sender.incarnation >= known.incarnation:
             self._store(sender, now_ms)
 
-    def hear_probe(self, sender: Member, now_ms: float) -> None:
+    def apply_probe(self, sender: Member, now_ms: float) -> None:
         """Take in the word of a member that asked this daemon.
 
         It shows that others reach this daemon, not that others reach the
         sender: that does not clear a suspicion.
         """
-        self.standing.note_reached(now_ms)
+        self.local_member.record_probe(now_ms)
         known = self.table.get(sender.name)
         if known is None or sender.incarnation > known.incarnation:
             self._store(sender, now_ms)
             return
         if sender.incarnation < known.incarnation:
             return
-        if not known.is_doubted or sender.state is MemberStatus.DEAD:
+        if not known.is_suspect_or_dead or sender.state is MemberStatus.DEAD:
             self._store(sender, now_ms)
 
-    def accuse(self, name: str, incarnation: int, now_ms: float) -> bool:
+    def suspect_member(
+        self, name: str, incarnation: int, now_ms: float
+    ) -> bool:
         """Suspect a member that neither this daemon nor a relay reached.
 
         Returns:
@@ -103,23 +108,23 @@
             self._store(known.with_state(MemberStatus.SUSPECT), now_ms)
             return True
         if known.state is MemberStatus.LEAVING:
-            self._doubt(name, now_ms)
+            self._start_suspicion(name, now_ms)
         return False
 
-    def expire(self, now_ms: float) -> None:
+    def handle_timers(self, now_ms: float) -> None:
         """Bury suspects whose time is over, forget the long dead."""
-        for name in self.timers.take_dead(now_ms):
+        for name in self.timers.take_expired_suspects(now_ms):
             known = self.table.get(name)
             if known is not None:
                 self._store(known.with_state(MemberStatus.DEAD), now_ms)
-        long_ago_ms = now_ms - self.policy.forget_ms
-        for gone in self.timers.take_forgotten(long_ago_ms):
-            self.table.forget(gone)
+        died_before_ms = now_ms - self.policy.dead_retention_ms
+        for expired_name in self.timers.take_expired_dead(died_before_ms):
+            self.table.remove(expired_name)
 
-    def news_for(
+    def updates_for(
         self,
         peer: Member,
-        heard: Iterable[Member] = (),
+        received: Iterable[Member] = (),
         digests: bytes = b'',
     ) -> tuple[Member, ...]:
         """Give what `peer` should hear, first of all what is said of it.
@@ -129,20 +134,24 @@
             heard: what it has just told, not to be told back.
             digests: of its table; if equal to this one's, it knows all news.
         """
-        agreed = _agreed(self.table, heard)
-        most = self.policy.tellings(self.table.live_count)
+        matching = _matching_names(self.table, received)
+        max_transmissions = self.policy.max_transmissions(self.table.live_count)
         if digests == self.table.digests:
-            self._news.agree_on_all(self.policy.agreement_weight, most)
-            return _said_of(self.table, peer)
-        self._news.agree(agreed, self.policy.agreement_weight, most)
-        names = self._news.take(
-            self.policy.gossip_limit,
-            most,
-            {peer.name} | agreed,
+            self._gossip.record_all_known(
+                self.policy.agreement_weight, max_transmissions
+            )
+            return _claims_about(self.table, peer)
+        self._gossip.record_known(
+            matching, self.policy.agreement_weight, max_transmissions
+        )
+        names = self._gossip.take_names(
+            self.policy.max_gossip_updates,
+            max_transmissions,
+            {peer.name} | matching,
         )
         records = [self.table.get(name) for name in names]
-        news = [record for record in records if record is not None]
-        return (*_said_of(self.table, peer), *news)
+        updates = [record for record in records if record is not None]
+        return (*_claims_about(self.table, peer), *updates)
 
     def take_changes(self) -> tuple[MemberChange, ...]:
         """Give the changes since the last time."""
@@ -156,45 +165,51 @@
             return
         self.table.put(member)
         self._set_timer(member, now_ms)
-        if known is None or known.essence != member.essence:
-            self._news.add(member.name)
+        if (
+            known is None
+            or known.without_config_version != member.without_config_version
+        ):
+            self._gossip.add(member.name)
             self._changes.append(MemberChange(before=known, after=member))
 
     def _set_timer(self, member: Member, now_ms: float) -> None:
         if member.state is MemberStatus.SUSPECT:
-            self._doubt(member.name, now_ms)
+            self._start_suspicion(member.name, now_ms)
         elif member.state is MemberStatus.DEAD:
-            self.timers.bury(member.name, now_ms)
+            self.timers.record_death(member.name, now_ms)
         else:
             self.timers.clear(member.name)
 
-    def _doubt(self, name: str, now_ms: float) -> None:
-        allowed_ms = self.policy.suspicion_ms(self.table.live_count)
-        self.timers.suspect(name, now_ms + allowed_ms)
+    def _start_suspicion(self, name: str, now_ms: float) -> None:
+        timeout_ms = self.policy.suspicion_timeout_ms(self.table.live_count)
+        self.timers.start_suspicion(name, now_ms + timeout_ms)
 
 
-def fleet_view(me: Member, policy: MembershipPolicy) -> FleetView:
+def fleet_view(local: Member, policy: MembershipPolicy) -> FleetView:
     """Build the view of a daemon that knows only itself."""
-    standing = OwnStanding(me=me, policy=policy)
-    view = FleetView(policy=policy, standing=standing)
-    view.declare(me)
+    local_member = LocalMember(record=local, policy=policy)
+    view = FleetView(policy=policy, local_member=local_member)
+    view.update_local(local)
     return view
 
 
-def _said_of(table: MemberTable, peer: Member) -> tuple[Member, ...]:
+def _claims_about(table: MemberTable, peer: Member) -> tuple[Member, ...]:
     """Give what a member should hear of itself, if anything."""
     known = table.get(peer.name)
     if known is None:
         return ()
-    if known.is_doubted or known.incarnation > peer.incarnation:
+    if known.is_suspect_or_dead or known.incarnation > peer.incarnation:
         return (known,)
     return ()
 
 
-def _agreed(table: MemberTable, heard: Iterable[Member]) -> set[str]:
-    agreed = set()
-    for claim in heard:
+def _matching_names(table: MemberTable, received: Iterable[Member]) -> set[str]:
+    matching = set()
+    for claim in received:
         known = table.get(claim.name)
-        if known is not None and known.essence == claim.essence:
-            agreed.add(claim.name)
-    return agreed
+        if (
+            known is not None
+            and known.without_config_version == claim.without_config_version
+        ):
+            matching.add(claim.name)
+    return matching
--- a/packages/fennelfork/src/fennelfork/membership/_vm_list.py
+++ b/packages/fennelfork/src/fennelfork/membership/_vm_list.py
@@ -5,15 +5,15 @@
 
 import attrs
 
-_ALONE_MS: Final = 500
-_WATCHING_MS: Final = 5000
-_RESTING_MS: Final = 300_000
-_LONGEST_BACKOFF_MS: Final = 30_000
-_LEAST_SHARE: Final = 0.5
+_ALONE_INTERVAL_MS: Final = 500
+_WATCHING_INTERVAL_MS: Final = 5000
+_IDLE_INTERVAL_MS: Final = 300_000
+_MAX_BACKOFF_MS: Final = 30_000
+_MIN_JITTER_SHARE: Final = 0.5
 
 
 @attrs.define(kw_only=True)
-class ListSchedule:
+class VmListSchedule:
     """Spaces out the reads of the VM list.
 
     The list is a seed and a hint. A daemon that knows no other reads it
@@ -27,20 +27,22 @@
     failures: int = 0
     _rng: random.Random
 
-    def note(self, *, succeeded: bool) -> None:
+    def record_read(self, *, succeeded: bool) -> None:
         """Take in how a read ended."""
         self.failures = 0 if succeeded else self.failures + 1
 
-    def wait_ms(self, *, alone: bool, watching: bool) -> float:
+    def wait_ms(self, *, is_alone: bool, is_watching: bool) -> float:
         """Give how long to wait, at random from half of the bound upwards.
 
         Args:
             alone: whether this daemon knows no other.
             watching: whether it watches the platform for its data centre.
         """
-        bound_ms: float = _WATCHING_MS if watching else _RESTING_MS
-        if alone:
-            bound_ms = _ALONE_MS
-        backed_off = min(bound_ms * 2**self.failures, _LONGEST_BACKOFF_MS)
-        bound_ms = max(bound_ms, backed_off)
-        return self._rng.uniform(bound_ms * _LEAST_SHARE, bound_ms)
+        bound_ms: float = (
+            _WATCHING_INTERVAL_MS if is_watching else _IDLE_INTERVAL_MS
+        )
+        if is_alone:
+            bound_ms = _ALONE_INTERVAL_MS
+        backoff_ms = min(bound_ms * 2**self.failures, _MAX_BACKOFF_MS)
+        bound_ms = max(bound_ms, backoff_ms)
+        return self._rng.uniform(bound_ms * _MIN_JITTER_SHARE, bound_ms)
--- a/packages/fennelfork/src/fennelfork/once/_admission.py
+++ b/packages/fennelfork/src/fennelfork/once/_admission.py
@@ -11,41 +11,41 @@
 
 
 @attrs.frozen(kw_only=True)
-class RunIt:
+class StartExecution:
     """The request is new: whoever holds this runs it."""
 
 
 @attrs.frozen(kw_only=True)
-class AwaitIt:
+class AwaitRunning:
     """The request is being run: wait for that run."""
 
 
 @attrs.frozen(kw_only=True)
-class AnswerIt:
+class ReplayAnswer:
     """The request has ended: give this answer."""
 
     answer: Result[str, Failure]
 
 
-OnceAdmission = RunIt | AwaitIt | AnswerIt
+OnceAdmission = StartExecution | AwaitRunning | ReplayAnswer
 
 
 @functools.singledispatch
-def repeat_admission(state: OnceState) -> OnceAdmission:
+def admit_duplicate(state: OnceState) -> OnceAdmission:
     """Decide on a repeat by the state of the first."""
     raise TypeError(f'not a state: {state!r}')
 
 
-@repeat_admission.register
-def _repeat_open(state: Accepted | Sent) -> OnceAdmission:
-    return AwaitIt()
+@admit_duplicate.register
+def _admit_duplicate_open(state: Accepted | Sent) -> OnceAdmission:
+    return AwaitRunning()
 
 
-@repeat_admission.register
-def _repeat_done(state: Done) -> OnceAdmission:
-    return AnswerIt(answer=Success(state.outcome))
+@admit_duplicate.register
+def _admit_duplicate_done(state: Done) -> OnceAdmission:
+    return ReplayAnswer(answer=Success(state.outcome))
 
 
-@repeat_admission.register
-def _repeat_ended(state: Ended) -> OnceAdmission:
-    return AnswerIt(answer=Failed(state.failure))
+@admit_duplicate.register
+def _admit_duplicate_ended(state: Ended) -> OnceAdmission:
+    return ReplayAnswer(answer=Failed(state.failure))
--- a/packages/fennelfork/src/fennelfork/once/_caller.py
+++ b/packages/fennelfork/src/fennelfork/once/_caller.py
@@ -28,17 +28,17 @@
 
 
 @attrs.frozen(kw_only=True)
-class NothingSent:
+class ConnectFailed:
     """No connection could be opened, so no byte left the caller."""
 
 
 @attrs.frozen(kw_only=True)
-class NoAnswer:
+class AnswerLost:
     """Something may have been sent, and no whole answer came back."""
 
 
 @attrs.frozen(kw_only=True)
-class OnceAnswered:
+class AnswerReceived:
     """The system answered; without an outcome, it gave a verdict.
 
     Attributes:
@@ -50,7 +50,7 @@
     has_outcome: bool = False
 
 
-CallerEvent = NothingSent | NoAnswer | OnceAnswered
+CallerEvent = ConnectFailed | AnswerLost | AnswerReceived
 
 
 @attrs.define(kw_only=True)
@@ -61,9 +61,11 @@
         in_doubt: whether an attempt under the present ticket may have run.
     """
 
-    in_doubt: bool = False
+    is_in_doubt: bool = False
 
-    def after(self, event: CallerEvent, ticket_left_ms: float) -> CallerStep:
+    def next_step(
+        self, event: CallerEvent, ticket_left_ms: float
+    ) -> CallerStep:
         """Decide on the next step.
 
         Args:
@@ -71,30 +73,32 @@
             ticket_left_ms: what is left of `ticket_ms`, counted by the caller
                 from when the ticket arrived.
         """
-        step = _after(event, self.in_doubt)
-        self.in_doubt = step is CallerStep.ASK_AGAIN
-        if self.in_doubt and ticket_left_ms <= 0:
+        step = _next_step(event, self.is_in_doubt)
+        self.is_in_doubt = step is CallerStep.ASK_AGAIN
+        if self.is_in_doubt and ticket_left_ms <= 0:
             return CallerStep.LOOK_UP
         return step
 
 
 @functools.singledispatch
-def _after(event: CallerEvent, in_doubt: bool) -> CallerStep:
+def _next_step(event: CallerEvent, is_in_doubt: bool) -> CallerStep:
     raise TypeError(f'not an event: {event!r}')
 
 
-@_after.register
-def _after_nothing(event: NothingSent, in_doubt: bool) -> CallerStep:
-    return CallerStep.ASK_AGAIN if in_doubt else CallerStep.RENEW
+@_next_step.register
+def _step_after_failed_connect(
+    event: ConnectFailed, is_in_doubt: bool
+) -> CallerStep:
+    return CallerStep.ASK_AGAIN if is_in_doubt else CallerStep.RENEW
 
 
-@_after.register
-def _after_silence(event: NoAnswer, in_doubt: bool) -> CallerStep:
+@_next_step.register
+def _step_after_lost_answer(event: AnswerLost, is_in_doubt: bool) -> CallerStep:
     return CallerStep.ASK_AGAIN
 
 
-@_after.register
-def _after_answer(event: OnceAnswered, in_doubt: bool) -> CallerStep:
+@_next_step.register
+def _step_after_answer(event: AnswerReceived, is_in_doubt: bool) -> CallerStep:
     if event.has_outcome:
         return CallerStep.STOP
     if event.verdict is Verdict.NOT_RUN:
--- a/packages/fennelfork/src/fennelfork/once/_gate.py
+++ b/packages/fennelfork/src/fennelfork/once/_gate.py
@@ -9,7 +9,7 @@
 from fennelfork._clock import Clock
 from fennelfork._verdict import Failure
 from fennelfork.once._admission import OnceAdmission
-from fennelfork.once._memory import (
+from fennelfork.once._table import (
     OnceLimits,
     OnceRequest,
     OnceTable,
@@ -22,7 +22,7 @@
     check_binding,
     check_ticket,
     issue_ticket,
-    unsettled,
+    unknown_outcome,
 )
 
 
@@ -48,12 +48,12 @@
 
 
 @attrs.frozen(kw_only=True)
-class RunHere:
+class ExecuteLocally:
     """This incarnation issued the ticket."""
 
 
 @attrs.frozen(kw_only=True)
-class PassOn:
+class ForwardToPeer:
     """Another live incarnation issued the ticket; only it may decide."""
 
     daemon: str
@@ -68,7 +68,7 @@
     _clock: Clock
     _rng: random.Random
     _table: OnceTable
-    _closed: bool = False
+    _is_closed: bool = False
 
     @property
     def table(self) -> OnceTable:
@@ -77,25 +77,25 @@
 
     def issue(self, lifetime_ms: int) -> Ticket | None:
         """Issue a ticket, or none once the incarnation is leaving."""
-        if self._closed:
+        if self._is_closed:
             return None
         return issue_ticket(self._key, self._clock, self._rng, lifetime_ms)
 
-    def close(self) -> None:
+    def stop_issuing(self) -> None:
         """Issue no more tickets; requests under issued ones are still taken.
 
         A leaving daemon serves until what it gave out has expired.
         """
-        self._closed = True
+        self._is_closed = True
 
-    def refuse_new(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Refuse every request not yet known, for good, before exiting."""
-        self._closed = True
-        self._table.close()
+        self._is_closed = True
+        self._table.close_issued_tickets()
 
     def route(
         self, request: ExecuteRequest
-    ) -> Result[RunHere | PassOn, Failure]:
+    ) -> Result[ExecuteLocally | ForwardToPeer, Failure]:
         """Decide which incarnation answers a request that came in here.
 
         Returns:
@@ -113,22 +113,28 @@
             What to do with it, or the failure to answer.
         """
         ticket = check_binding(request.request_id, request.ticket)
-        return ticket.bind(self._check).bind(
-            lambda genuine: self._table.admit(genuine, _table_view(request)),
+        return ticket.bind(self._check_ticket).bind(
+            lambda genuine: self._table.admit(genuine, _once_request(request)),
         )
 
-    def _check(self, ticket: Ticket) -> Result[Ticket, Failure]:
+    def _check_ticket(self, ticket: Ticket) -> Result[Ticket, Failure]:
         return check_ticket(self._key, ticket)
 
-    def _route(self, ticket: Ticket) -> Result[RunHere | PassOn, Failure]:
+    def _route(
+        self, ticket: Ticket
+    ) -> Result[ExecuteLocally | ForwardToPeer, Failure]:
         terms = ticket.terms
         if terms.daemon != self._key.daemon:
             return Success(
-                PassOn(daemon=terms.daemon, incarnation=terms.incarnation),
+                ForwardToPeer(
+                    daemon=terms.daemon, incarnation=terms.incarnation
+                ),
             )
         if terms.incarnation != self._key.incarnation:
-            return Failed(unsettled('the daemon of the ticket has restarted'))
-        return Success(RunHere())
+            return Failed(
+                unknown_outcome('the daemon of the ticket has restarted')
+            )
+        return Success(ExecuteLocally())
 
 
 def once_gate(
@@ -153,7 +159,7 @@
     )
 
 
-def _table_view(request: ExecuteRequest) -> OnceRequest:
+def _once_request(request: ExecuteRequest) -> OnceRequest:
     return once_request(
         request.request_id,
         request.front,
--- a/packages/fennelfork/src/fennelfork/once/_reply.py
+++ b/packages/fennelfork/src/fennelfork/once/_response.py
@@ -29,7 +29,7 @@
     action: str
 
 
-def judge_execute_reply(
+def classify_execute_response(
     call: ExecuteCall,
     status: int,
     body: bytes,
@@ -45,27 +45,27 @@
         The outcome, or a failure. It says `NOT_RUN` only if the reply is
         about this very attempt and says so itself.
     """
-    document = _document(body)
-    if not _is_about(call, document):
-        return _doubtful('the reply is about another request')
+    document = _parse_body(body)
+    if not _matches_attempt(call, document):
+        return _bad_response('the reply is about another request')
     if status != _OK:
-        return Failed(_read_problem(document))
+        return Failed(_parse_failure(document))
     outcome = document.get('outcome')
     if document.get('key') != call.key or not isinstance(outcome, str):
-        return _doubtful('the reply has no outcome of this key')
+        return _bad_response('the reply has no outcome of this key')
     return Success(outcome)
 
 
-def _is_about(call: ExecuteCall, document: dict[str, Any]) -> bool:
-    told = (document.get('request_id'), document.get('sub_query'))
-    return told == (call.request_id, call.sub_query)
+def _matches_attempt(call: ExecuteCall, document: dict[str, Any]) -> bool:
+    received = (document.get('request_id'), document.get('sub_query'))
+    return received == (call.request_id, call.sub_query)
 
 
-def _read_problem(document: dict[str, Any]) -> Failure:
+def _parse_failure(document: dict[str, Any]) -> Failure:
     retry_after_ms = document.get('retry_after_ms')
     return Failure(
-        code=_read_code(document.get('code')),
-        verdict=_read_verdict(document.get('verdict')),
+        code=_parse_code(document.get('code')),
+        verdict=_parse_verdict(document.get('verdict')),
         detail=str(document.get('detail', 'the server gave no reason')),
         retry_after_ms=(
             retry_after_ms if isinstance(retry_after_ms, int) else None
@@ -73,17 +73,17 @@
     )
 
 
-def _read_code(told: object) -> FailureCode:
+def _parse_code(received: object) -> FailureCode:
     known = {code.value: code for code in FailureCode}
-    return known.get(str(told), FailureCode.BAD_REPLY)
+    return known.get(str(received), FailureCode.BAD_REPLY)
 
 
-def _read_verdict(told: object) -> Verdict:
+def _parse_verdict(received: object) -> Verdict:
     known = {verdict.value: verdict for verdict in Verdict}
-    return known.get(str(told), Verdict.MAY_HAVE_RUN)
+    return known.get(str(received), Verdict.MAY_HAVE_RUN)
 
 
-def _document(body: bytes) -> dict[str, Any]:
+def _parse_body(body: bytes) -> dict[str, Any]:
     try:
         parsed = json.loads(body)
     except ValueError:
@@ -91,5 +91,5 @@
     return parsed if isinstance(parsed, dict) else {}
 
 
-def _doubtful(detail: str) -> Result[str, Failure]:
+def _bad_response(detail: str) -> Result[str, Failure]:
     return Failed(may_have_run(FailureCode.BAD_REPLY, detail))
--- a/packages/fennelfork/src/fennelfork/once/_memory.py
+++ b/packages/fennelfork/src/fennelfork/once/_table.py
@@ -18,7 +18,11 @@
     Failure,
     Verdict,
 )
-from fennelfork.once._admission import OnceAdmission, RunIt, repeat_admission
+from fennelfork.once._admission import (
+    OnceAdmission,
+    StartExecution,
+    admit_duplicate,
+)
 from fennelfork.once._state import (
     Accepted,
     Done,
@@ -31,7 +35,7 @@
     ticket_closed,
     ticket_expired,
 )
-from fennelfork.once._ticket import Ticket, unsettled
+from fennelfork.once._ticket import Ticket, unknown_outcome
 
 _NEVER_MS: Final = -1
 
@@ -46,8 +50,8 @@
         grace_ms: how long after the expiry of its ticket an id is kept.
     """
 
-    entries: int = 4096
-    outcome_chars: int = 2048
+    max_entries: int = 4096
+    max_outcome_chars: int = 2048
     grace_ms: int = 60_000
 
 
@@ -79,9 +83,9 @@
     _limits: OnceLimits
     _entries: dict[str, _Entry] = attrs.field(factory=dict)
     # (reading at which the id may be forgotten, id), the earliest first.
-    _ends: SortedList = attrs.field(factory=SortedList)
+    _removal_times: SortedList = attrs.field(factory=SortedList)
     # Ids unknown to the table are refused under tickets issued up to here.
-    _closed_ms: int = _NEVER_MS
+    _closed_until_ms: int = _NEVER_MS
 
     @property
     def size(self) -> int:
@@ -107,15 +111,15 @@
         Returns:
             What to do with it, or the failure to answer.
         """
-        self._forget()
+        self._remove_expired()
         entry = self._entries.get(request.request_id)
         if entry is None:
             return self._admit_new(ticket, request)
         if entry.content_hash != request.content_hash:
             return Failed(conflict(entry.state))
-        return Success(repeat_admission(entry.state))
+        return Success(admit_duplicate(entry.state))
 
-    def may_send(self, request_id: str) -> Result[float, Failure]:
+    def begin_send(self, request_id: str) -> Result[float, Failure]:
         """Decide, immediately before the first byte, whether to send.
 
         Returns:
@@ -137,13 +141,13 @@
         entry.state = Sent()
         return Success(left_ms)
 
-    def take_back(self, request_id: str) -> None:
+    def revert_send(self, request_id: str) -> None:
         """Note a backend server's own word that it did not run the request."""
         entry = self._entries[request_id]
         if isinstance(entry.state, Sent):
             entry.state = Accepted()
 
-    def finish(self, request_id: str, outcome: str) -> None:
+    def record_outcome(self, request_id: str, outcome: str) -> None:
         """Note the outcome of the run.
 
         Raises:
@@ -152,7 +156,7 @@
         entry = self._entries[request_id]
         if not isinstance(entry.state, Sent):
             raise ValueError(f'not sent: {request_id}')
-        if len(outcome) > self._limits.outcome_chars:
+        if len(outcome) > self._limits.max_outcome_chars:
             entry.state = Ended(failure=outcome_too_long())
             return
         entry.state = Done(outcome=outcome)
@@ -176,14 +180,14 @@
             return entry.state.failure
         return reason.with_verdict(Verdict.RAN)
 
-    def withdraw(self, request_id: str, reason: Failure) -> None:
+    def abandon_unsent(self, request_id: str, reason: Failure) -> None:
         """End a request of which no byte was sent; leave any other alone."""
         if isinstance(self._entries[request_id].state, Accepted):
             self.abandon(request_id, reason)
 
-    def close(self) -> None:
+    def close_issued_tickets(self) -> None:
         """Refuse for good every unknown id under the tickets of up to now."""
-        self._closed_ms = math.floor(self._clock.now_ms())
+        self._closed_until_ms = math.floor(self._clock.now_ms())
 
     def _admit_new(
         self,
@@ -191,33 +195,33 @@
         request: OnceRequest,
     ) -> Result[OnceAdmission, Failure]:
         now_ms = self._clock.now_ms()
-        if now_ms >= self._end_ms(ticket):
-            return Failed(unsettled('the ticket ended long ago'))
-        if ticket.expired(now_ms):
+        if now_ms >= self._removal_ms(ticket):
+            return Failed(unknown_outcome('the ticket ended long ago'))
+        if ticket.has_expired(now_ms):
             return Failed(ticket_expired())
-        if ticket.terms.issued_ms <= self._closed_ms:
+        if ticket.terms.issued_ms <= self._closed_until_ms:
             return Failed(ticket_closed())
-        if len(self._entries) >= self._limits.entries:
-            self.close()
+        if len(self._entries) >= self._limits.max_entries:
+            self.close_issued_tickets()
             return Failed(ticket_closed())
         self._entries[request.request_id] = _Entry(
             expires_ms=ticket.terms.expires_ms,
             content_hash=request.content_hash,
             state=Accepted(),
         )
-        self._ends.add((self._end_ms(ticket), request.request_id))
-        return Success(RunIt())
+        self._removal_times.add((self._removal_ms(ticket), request.request_id))
+        return Success(StartExecution())
 
-    def _end_ms(self, ticket: Ticket) -> int:
+    def _removal_ms(self, ticket: Ticket) -> int:
         return ticket.terms.expires_ms + self._limits.grace_ms
 
-    def _forget(self) -> None:
+    def _remove_expired(self) -> None:
         now_ms = self._clock.now_ms()
-        while self._ends and self._ends[0][0] <= now_ms:
-            _, request_id = self._ends.pop(0)
+        while self._removal_times and self._removal_times[0][0] <= now_ms:
+            _, request_id = self._removal_times.pop(0)
             if is_open(self._entries[request_id].state):
-                again_ms = math.ceil(now_ms) + self._limits.grace_ms
-                self._ends.add((again_ms, request_id))
+                removal_ms = math.ceil(now_ms) + self._limits.grace_ms
+                self._removal_times.add((removal_ms, request_id))
             else:
                 self._entries.pop(request_id)
 
--- a/packages/fennelfork/src/fennelfork/once/_target.py
+++ b/packages/fennelfork/src/fennelfork/once/_target.py
@@ -17,7 +17,7 @@
     server: Server
 
 
-def execute_servers(
+def servers_for_record(
     front: Front,
     views: Iterable[ShardView],
     key: int,
@@ -39,18 +39,18 @@
     newest = {
         view.shard: version
         for view in views
-        if (version := _newest(view, key)) is not None
+        if (version := _newest_version(view, key)) is not None
     }
-    holders = [name for name in front.shards if name in newest]
-    holders.sort(key=newest.__getitem__, reverse=True)
-    found: list[NamedServer] = []
-    for name in holders:
+    shard_names = [name for name in front.shards if name in newest]
+    shard_names.sort(key=newest.__getitem__, reverse=True)
+    candidates: list[NamedServer] = []
+    for name in shard_names:
         servers = front.shards[name].servers.items()
-        found.extend(_ordered(servers, data_centre, rng))
-    return tuple(found)
+        candidates.extend(_order_by_distance(servers, data_centre, rng))
+    return tuple(candidates)
 
 
-def _newest(view: ShardView, key: int) -> int | None:
+def _newest_version(view: ShardView, key: int) -> int | None:
     """Give the newest snapshot at which a shard holds a record."""
     versions = (
         snapshot.version
@@ -60,12 +60,14 @@
     return max(versions, default=None)
 
 
-def _ordered(
+def _order_by_distance(
     servers: Iterable[tuple[str, Server]],
     data_centre: str,
     rng: random.Random,
 ) -> list[NamedServer]:
     named = [NamedServer(name=name, server=each) for name, each in servers]
     rng.shuffle(named)
-    named.sort(key=lambda one: one.server.data_centre != data_centre)
+    named.sort(
+        key=lambda named_server: named_server.server.data_centre != data_centre
+    )
     return named
--- a/packages/fennelfork/src/fennelfork/once/_ticket.py
+++ b/packages/fennelfork/src/fennelfork/once/_ticket.py
@@ -25,12 +25,12 @@
 
 MAX_REQUEST_ID_CHARS: Final = 160
 MAX_TICKET_CHARS: Final = 512
-_BINDING_MARK: Final = '@'
+_BINDING_SEPARATOR: Final = '@'
 _SERIAL_BITS: Final = 96
 _MIN_SECRET_BYTES: Final = 16
 _MAC_CHARS: Final = 32
-_FIELD_MARK: Final = '.'
-_FIELDS: Final = 3
+_FIELD_SEPARATOR: Final = '.'
+_FIELD_COUNT: Final = 3
 
 
 @attrs.frozen(kw_only=True)
@@ -62,9 +62,9 @@
     @property
     def text(self) -> str:
         """The ticket as callers hold it."""
-        return _FIELD_MARK.join((self.signed, self.mac))
+        return _FIELD_SEPARATOR.join((self.signed, self.mac))
 
-    def expired(self, now_ms: float) -> bool:
+    def has_expired(self, now_ms: float) -> bool:
         """Tell whether nothing may start any more under the ticket."""
         return now_ms >= self.terms.expires_ms
 
@@ -121,7 +121,7 @@
         expires_ms=issued_ms + lifetime_ms,
     )
     serial = f'{rng.getrandbits(_SERIAL_BITS):024x}'
-    signed = _FIELD_MARK.join((serial, _encode(terms)))
+    signed = _FIELD_SEPARATOR.join((serial, _encode(terms)))
     return Ticket(
         serial=serial,
         terms=terms,
@@ -137,16 +137,16 @@
         The ticket, or a failure that says `MAY_HAVE_RUN`: a request whose
         ticket was damaged may have run under the genuine one.
     """
-    parts = text.split(_FIELD_MARK)
-    wrong_form = not text.isascii() or len(parts) != _FIELDS
-    if wrong_form or len(text) > MAX_TICKET_CHARS:
-        return Failed(unsettled('the ticket cannot be read'))
+    parts = text.split(_FIELD_SEPARATOR)
+    is_malformed = not text.isascii() or len(parts) != _FIELD_COUNT
+    if is_malformed or len(text) > MAX_TICKET_CHARS:
+        return Failed(unknown_outcome('the ticket cannot be read'))
     serial, payload, mac = parts
     try:
         terms = _decode(payload)
     except (ValueError, binascii.Error, cattrs.BaseValidationError):
-        return Failed(unsettled('the ticket cannot be read'))
-    signed = _FIELD_MARK.join((serial, payload))
+        return Failed(unknown_outcome('the ticket cannot be read'))
+    signed = _FIELD_SEPARATOR.join((serial, payload))
     return Success(Ticket(serial=serial, terms=terms, signed=signed, mac=mac))
 
 
@@ -161,27 +161,27 @@
         run under the genuine ticket or in an earlier incarnation.
     """
     if ticket.terms.daemon != key.daemon:
-        return Failed(unsettled('the ticket names another daemon'))
+        return Failed(unknown_outcome('the ticket names another daemon'))
     if ticket.terms.incarnation != key.incarnation:
-        return Failed(unsettled('the daemon of the ticket has restarted'))
-    genuine = hmac.compare_digest(
+        return Failed(unknown_outcome('the daemon of the ticket has restarted'))
+    is_genuine = hmac.compare_digest(
         key.mac(ticket.signed).encode(),
         ticket.mac.encode(),
     )
-    if not genuine:
-        return Failed(unsettled('the ticket is forged or altered'))
+    if not is_genuine:
+        return Failed(unknown_outcome('the ticket is forged or altered'))
     return Success(ticket)
 
 
-def bound_request_id(name: str, ticket_text: str) -> str:
+def bind_request_id(name: str, ticket_text: str) -> str:
     """Bind a caller's name of a request to the ticket it is sent under.
 
     Args:
         name: the caller's own name; unique among its requests of the ticket.
         ticket_text: the ticket as the entries answer gave it.
     """
-    serial, _, _ = ticket_text.partition(_FIELD_MARK)
-    return f'{name}{_BINDING_MARK}{serial}'
+    serial, _, _ = ticket_text.partition(_FIELD_SEPARATOR)
+    return f'{name}{_BINDING_SEPARATOR}{serial}'
 
 
 def check_binding(
@@ -195,9 +195,9 @@
         no daemon ever runs one; an id bound to another ticket fails as
         `MAY_HAVE_RUN`, since it may have run under that one.
     """
-    name, mark, serial = request_id.rpartition(_BINDING_MARK)
-    unbound = not (name and mark and serial)
-    if unbound or len(request_id) > MAX_REQUEST_ID_CHARS:
+    name, separator, serial = request_id.rpartition(_BINDING_SEPARATOR)
+    is_unbound = not (name and separator and serial)
+    if is_unbound or len(request_id) > MAX_REQUEST_ID_CHARS:
         return Failed(
             not_run(
                 FailureCode.BAD_REQUEST,
@@ -205,12 +205,12 @@
                 f'ticket, and at most {MAX_REQUEST_ID_CHARS} characters',
             ),
         )
-    if bound_request_id(name, ticket_text) != request_id:
-        return Failed(unsettled('request_id is bound to another ticket'))
+    if bind_request_id(name, ticket_text) != request_id:
+        return Failed(unknown_outcome('request_id is bound to another ticket'))
     return parse_ticket(ticket_text)
 
 
-def unsettled(detail: str) -> Failure:
+def unknown_outcome(detail: str) -> Failure:
     """Build the failure of a request whose own incarnation cannot be asked."""
     return may_have_run(FailureCode.TICKET, detail)
 
--- a/packages/fennelfork/tests/core_builders_network.py
+++ b/packages/fennelfork/tests/core_builders_network.py
@@ -19,7 +19,7 @@
     MembershipPolicy,
     MemberStatus,
     MemberTable,
-    ProbeAnswer,
+    ProbeAck,
     SendProbe,
     membership,
 )
@@ -27,7 +27,7 @@
 
 _STEP_MS = 100
 _LATENCY_MS = 2
-_FIRST_RUN = 1024
+_INITIAL_INCARNATION = 1024
 
 
 @attrs.define(kw_only=True)
@@ -36,23 +36,23 @@
 
     name: str
     fleet: Controller
-    up: bool = True
-    paused: bool = False
-    silent: bool = False
+    is_up: bool = True
+    is_paused: bool = False
+    is_unresponsive: bool = False
     inbox: list[Callable[[], None]] = attrs.field(factory=list)
 
     @property
     def me(self) -> Member:
         """What the daemon says of itself."""
-        return self.fleet.view.me
+        return self.fleet.view.local
 
     @property
     def table(self) -> MemberTable:
         """What the daemon knows."""
         return self.fleet.view.table
 
-    def believes(self, name: str) -> MemberStatus | None:
-        """Give the state in which this daemon holds another."""
+    def get_state(self, name: str) -> MemberStatus | None:
+        """Give the state in which this daemon condition another."""
         member = self.table.get(name)
         return member and member.state
 
@@ -66,7 +66,7 @@
     nodes: dict[str, Node] = attrs.field(factory=dict)
     is_cut: Callable[[str, str], bool] = lambda _from, _to: False
     sent: int = 0
-    told: int = 0
+    gossiped: int = 0
     _events: list = attrs.field(factory=list)
     _numbers: itertools.count = attrs.field(factory=itertools.count)
 
@@ -87,91 +87,93 @@
         """Let `for_ms` pass."""
         until = self.now_ms + for_ms
         while self._events and self._events[0][0] <= until:
-            at_ms, _, act = heapq.heappop(self._events)
+            at_ms, _, action = heapq.heappop(self._events)
             self.now_ms = at_ms
-            act()
+            action()
         self.now_ms = until
 
-    def run_until(self, holds: Callable[[], bool], cap_ms: float) -> float:
-        """Let time pass until `holds`, and give how long it took."""
-        begun_ms = self.now_ms
-        while not holds() and self.now_ms < begun_ms + cap_ms:
+    def run_until(self, condition: Callable[[], bool], max_ms: float) -> float:
+        """Let time pass until `condition`, and give how long it took."""
+        started_ms = self.now_ms
+        while not condition() and self.now_ms < started_ms + max_ms:
             self.run(_STEP_MS)
-        assert holds(), f'not within {cap_ms} ms'
-        return self.now_ms - begun_ms
+        assert condition(), f'not within {max_ms} ms'
+        return self.now_ms - started_ms
 
     def wake(self, node: Node) -> None:
-        """Let a paused daemon run on, first of all what waited for it."""
-        node.paused = False
+        """Let a is_paused daemon run on, first of all what waited for it."""
+        node.is_paused = False
         waiting = list(node.inbox)
         node.inbox.clear()
-        for act in waiting:
-            act()
+        for action in waiting:
+            action()
 
     def send(self, node: Node, sends: tuple[SendProbe, ...]) -> None:
         """Carry out the orders of a daemon's controller."""
         for order in sends:
             self.sent += 1
-            self.told += len(order.message.gossip)
+            self.gossiped += len(order.message.gossip)
             self._call(node, order)
 
     def _step(self, node: Node) -> None:
-        if not node.up:
+        if not node.is_up:
             return
-        if not node.paused:
+        if not node.is_paused:
             self.send(node, node.fleet.step(self.now_ms))
             node.fleet.view.take_changes()
         self._after(_STEP_MS, partial(self._step, node))
 
     def _call(self, node: Node, order: SendProbe) -> None:
-        target = self.nodes.get(order.to.name)
+        target = self.nodes.get(order.target.name)
         self._after(order.timeout_ms, partial(self._lose, node, order))
-        if target is None or self.is_cut(node.name, order.to.name):
+        if target is None or self.is_cut(node.name, order.target.name):
             return
-        if not target.up and not target.silent:
+        if not target.is_up and not target.is_unresponsive:
             refuse = partial(self._fail, node, order, refused=True)
             self._after(_LATENCY_MS, refuse)
         arrive = partial(self._arrive, node, target, order)
         self._after(_LATENCY_MS, partial(self._on, target, arrive))
 
     def _arrive(self, node: Node, target: Node, order: SendProbe) -> None:
-        heard = target.fleet.on_probe(order.message, self.now_ms)
-        self.send(target, heard.sends)
+        effects = target.fleet.on_probe(order.message, self.now_ms)
+        self.send(target, effects.probes)
         if order.message.relay_to is None:
-            self._answer(node, order, heard.answer)
+            self._answer(node, order, effects.ack)
             return
         relayed = target.fleet.relay(order.message.relay_to, self.now_ms)
-        unreached = attrs.evolve(heard.answer, reached=False)
+        unreached = attrs.evolve(effects.ack, reached=False)
         if relayed is None:
             self._answer(node, order, unreached)
         elif self._relay(target, relayed):
-            self._answer(node, order, heard.answer)
+            self._answer(node, order, effects.ack)
         else:
-            give_up = partial(self._answer, node, order, unreached)
+            report_unreached = partial(self._answer, node, order, unreached)
             self._after(
                 relayed.timeout_ms, partial(self._lose, target, relayed)
             )
-            self._after(relayed.timeout_ms, give_up)
+            self._after(relayed.timeout_ms, report_unreached)
 
     def _relay(self, node: Node, order: SendProbe) -> bool:
-        asked = self.nodes.get(order.to.name)
-        if asked is None or asked.paused or not asked.up:
+        relay_target = self.nodes.get(order.target.name)
+        if (
+            relay_target is None
+            or relay_target.is_paused
+            or not relay_target.is_up
+        ):
             return False
-        if self.is_cut(node.name, asked.name):
+        if self.is_cut(node.name, relay_target.name):
             return False
-        heard = asked.fleet.on_probe(order.message, self.now_ms)
-        self.send(asked, heard.sends)
-        self._deliver(node, order, heard.answer)
+        effects = relay_target.fleet.on_probe(order.message, self.now_ms)
+        self.send(relay_target, effects.probes)
+        self._deliver(node, order, effects.ack)
         return True
 
-    def _answer(self, node: Node, order: SendProbe, reply: ProbeAnswer) -> None:
+    def _answer(self, node: Node, order: SendProbe, reply: ProbeAck) -> None:
         deliver = partial(self._deliver, node, order, reply)
         self._after(_LATENCY_MS, partial(self._on, node, deliver))
 
-    def _deliver(
-        self, node: Node, order: SendProbe, reply: ProbeAnswer
-    ) -> None:
-        sends = node.fleet.on_answer(order.call, reply, self.now_ms)
+    def _deliver(self, node: Node, order: SendProbe, reply: ProbeAck) -> None:
+        sends = node.fleet.on_ack(order.probe_id, reply, self.now_ms)
         self.send(node, sends)
 
     def _lose(self, node: Node, order: SendProbe) -> None:
@@ -179,38 +181,38 @@
 
     def _fail(self, node: Node, order: SendProbe, *, refused: bool) -> None:
         sends = node.fleet.on_failure(
-            order.call,
+            order.probe_id,
             self.now_ms,
             refused=refused,
         )
         self.send(node, sends)
 
-    def _on(self, node: Node, act: Callable[[], None]) -> None:
-        if node.paused:
-            node.inbox.append(act)
-        elif node.up:
-            act()
+    def _on(self, node: Node, action: Callable[[], None]) -> None:
+        if node.is_paused:
+            node.inbox.append(action)
+        elif node.is_up:
+            action()
 
-    def _after(self, by_ms: float, act: Callable[[], None]) -> None:
-        event = (self.now_ms + by_ms, next(self._numbers), act)
+    def _after(self, by_ms: float, action: Callable[[], None]) -> None:
+        event = (self.now_ms + by_ms, next(self._numbers), action)
         heapq.heappush(self._events, event)
 
 
-def a_network(size: int, seed: int = 0, centres: int = 3) -> Network:
+def a_network(size: int, seed: int = 0, data_centres: int = 3) -> Network:
     """Build a network of `size` daemons that know each other."""
     network = Network(rng=random.Random(seed))
     members = [
         a_member(
             f'vm-{number}',
-            f'dc-{number % centres + 1}',
-            region=f'region-{number % centres % 2 + 1}',
-            incarnation=_FIRST_RUN,
+            f'dc-{number % data_centres + 1}',
+            region=f'region-{number % data_centres % 2 + 1}',
+            incarnation=_INITIAL_INCARNATION,
         )
         for number in range(size)
     ]
     for member in members:
         node = network.start(member, members)
         for other in members:
-            node.fleet.view.hear_claims([other], 0)
-        node.fleet.schedule.note_members()
+            node.fleet.view.apply_claims([other], 0)
+        node.fleet.schedule.add_new_members()
     return network
--- a/packages/fennelfork/tests/core_builders_once.py
+++ b/packages/fennelfork/tests/core_builders_once.py
@@ -10,22 +10,24 @@
 
 from fennelfork import Clock, Failure, FailureCode, ManualTime, Verdict, not_run
 from fennelfork.once import (
-    AnswerIt,
     ExecuteRequest,
+    ForwardToPeer,
     OnceGate,
     OnceLimits,
     OnceTable,
-    PassOn,
-    RunIt,
-    bound_request_id,
+    ReplayAnswer,
+    StartExecution,
+    bind_request_id,
     ticket_key,
-    unsettled,
+    unknown_outcome,
 )
 
 NAMES: Final = ('vm-1', 'vm-2')
 LIFETIME_MS: Final = 100
 GRACE_MS: Final = 20
-LIMITS: Final = OnceLimits(entries=2, grace_ms=GRACE_MS, outcome_chars=64)
+LIMITS: Final = OnceLimits(
+    max_entries=2, grace_ms=GRACE_MS, max_outcome_chars=64
+)
 _ORIGINS_MS: Final = {'vm-1': 0.0, 'vm-2': 70.0}
 _REASON: Final = not_run(FailureCode.UNREACHABLE, 'no reply')
 
@@ -37,7 +39,7 @@
 ) -> ExecuteRequest:
     """Build a request whose id is bound to `ticket`."""
     return ExecuteRequest(
-        request_id=bound_request_id(name, ticket),
+        request_id=bind_request_id(name, ticket),
         ticket=ticket,
         front='raft-search',
         key=7,
@@ -137,7 +139,7 @@
         if isinstance(routed, Failed):
             return Failed(routed.failure())
         to = routed.unwrap()
-        if isinstance(to, PassOn):
+        if isinstance(to, ForwardToPeer):
             if cut or self.restarts[to.daemon] != to.incarnation:
                 return Failed(self.unreachable())
             name = to.daemon
@@ -145,7 +147,7 @@
 
     def unreachable(self) -> Failure:
         """Give what a daemon says when it cannot ask the right one."""
-        return unsettled('the daemon of the ticket cannot be asked')
+        return unknown_outcome('the daemon of the ticket cannot be asked')
 
     def tell(self, request_id: str, answer: Result[str, Failure]) -> None:
         """Note what a caller was told of a request."""
@@ -157,7 +159,7 @@
     def send(self, position: int, wait_ms: float) -> None:
         """Let a job check and send, after `wait_ms` of its run time."""
         gate, request_id = self.jobs.pop(position)
-        leave = gate.table.may_send(request_id)
+        leave = gate.table.begin_send(request_id)
         if isinstance(leave, Failed):
             self.tell(request_id, Failed(leave.failure()))
             return
@@ -174,11 +176,11 @@
         if reply_lost:
             self.lose(message)
         elif outcome is None:
-            table.take_back(message.request_id)
+            table.revert_send(message.request_id)
             failure = table.abandon(message.request_id, _REASON)
             self.tell(message.request_id, Failed(failure))
         else:
-            table.finish(message.request_id, outcome)
+            table.record_outcome(message.request_id, outcome)
             self.tell(message.request_id, Success(outcome))
 
     def lose(self, message: Message) -> None:
@@ -195,8 +197,8 @@
         if isinstance(admitted, Failed):
             return Failed(admitted.failure())
         admission = admitted.unwrap()
-        if isinstance(admission, AnswerIt):
+        if isinstance(admission, ReplayAnswer):
             return admission.answer
-        if isinstance(admission, RunIt):
+        if isinstance(admission, StartExecution):
             self.jobs.append((gate, request.request_id))
-        return Failed(unsettled('no reply yet'))
+        return Failed(unknown_outcome('no reply yet'))
--- a/packages/fennelfork/tests/core_builders_once_naive.py
+++ b/packages/fennelfork/tests/core_builders_once_naive.py
@@ -44,7 +44,7 @@
     ) -> Result[OnceAdmission, Failure]:
         """Decide after making room."""
         known = self.state(request.request_id) is not None
-        if not known and self.size >= self._limits.entries:
+        if not known and self.size >= self._limits.max_entries:
             _drop_oldest_done(self)
         return OnceTable.admit(self, ticket, request)
 
@@ -53,7 +53,7 @@
 class StaysOpen(OnceTable):
     """Refuses for want of room what it takes when it comes again."""
 
-    def close(self) -> None:
+    def close_issued_tickets(self) -> None:
         """Leave the tickets of up to now open."""
 
 
@@ -61,7 +61,7 @@
 class SendsLate(OnceTable):
     """Weighs the expiry when a request comes in, and not at the send."""
 
-    def may_send(self, request_id: str) -> Result[float, Failure]:
+    def begin_send(self, request_id: str) -> Result[float, Failure]:
         """Send whatever the time is."""
         self._entries[request_id].state = Sent()
         return Success(math.inf)
@@ -92,13 +92,13 @@
 
 
 def _drop_oldest_done(table: OnceTable) -> None:
-    for _, request_id in table._ends:
+    for _, request_id in table._removal_times:
         if isinstance(table.state(request_id), Done):
             _drop(table, request_id)
             return
 
 
 def _drop(table: OnceTable, request_id: str) -> None:
-    position = [known for _, known in table._ends].index(request_id)
-    table._ends.pop(position)
+    position = [known for _, known in table._removal_times].index(request_id)
+    table._removal_times.pop(position)
     table._entries.pop(request_id)
--- a/packages/fennelfork/tests/test_membership.py
+++ b/packages/fennelfork/tests/test_membership.py
@@ -10,9 +10,9 @@
 from fennelfork.membership import (
     MemberStatus,
     announce,
-    announce_end,
+    announce_exit,
     announce_leave,
-    leave_is_told,
+    leave_is_announced,
 )
 
 _ALIVE = MemberStatus.ALIVE
@@ -21,12 +21,12 @@
 
 
 def _up(network: Network) -> list[Node]:
-    return [node for node in network.nodes.values() if node.up]
+    return [node for node in network.nodes.values() if node.is_up]
 
 
 def _all_believe(network: Network, name: str, *states: MemberStatus) -> bool:
     return all(
-        node.believes(name) in states
+        node.get_state(name) in states
         for node in _up(network)
         if node.name != name
     )
@@ -63,9 +63,9 @@
         """Half a minute after all started, probes carry no news."""
         network = a_network(size)
         network.run(30_000)
-        network.told = 0
+        network.gossiped = 0
         network.run(10_000)
-        assert network.told == 0
+        assert network.gossiped == 0
 
 
 class TestJoin:
@@ -121,15 +121,15 @@
 class TestKill:
     """A daemon that ends without a word."""
 
-    @pytest.mark.parametrize('silent', [True, False])
+    @pytest.mark.parametrize('unresponsive', [True, False])
     @pytest.mark.parametrize('size', [3, 9, 60])
-    def test_is_noticed_by_all(self, size: int, *, silent: bool) -> None:
+    def test_is_noticed_by_all(self, size: int, *, unresponsive: bool) -> None:
         """All suspect it within seconds and hold it for dead after that."""
         network = a_network(size)
         network.run(5000)
         killed = network.nodes['vm-1']
-        killed.up = False
-        killed.silent = silent
+        killed.is_up = False
+        killed.is_unresponsive = unresponsive
         network.run_until(
             lambda: _all_believe(
                 network,
@@ -147,7 +147,7 @@
     def test_is_forgotten_after_a_while(self) -> None:
         """The dead leave the tables, so that they do not grow for ever."""
         network = a_network(5)
-        network.nodes['vm-1'].up = False
+        network.nodes['vm-1'].is_up = False
         network.run(1_000_000)
         assert {len(node.table) for node in _up(network)} == {4}
 
@@ -157,7 +157,7 @@
         network.run(5000)
         restarted = [f'vm-{number}' for number in range(0, 60, 5)]
         for name in restarted:
-            network.nodes[name].up = False
+            network.nodes[name].is_up = False
         network.run(3000)
         seeds = [network.nodes['vm-1'].me, network.nodes['vm-2'].me]
         for again in restarted:
@@ -171,8 +171,10 @@
             network.start(later, seeds)
         network.run_until(lambda: _settled(network), _MINUTE_MS)
         for witness in _up(network):
-            runs = {member.run for member in witness.table}
-            assert runs == {1, 9}
+            incarnations = {
+                member.process_incarnation for member in witness.table
+            }
+            assert incarnations == {1, 9}
 
 
 class TestReusedAddress:
@@ -182,7 +184,7 @@
         """A lost daemon whose address is taken over does not stay alive."""
         network = a_network(9)
         network.run(5000)
-        network.nodes['vm-1'].up = False
+        network.nodes['vm-1'].is_up = False
         network.nodes['vm-1'] = network.nodes['vm-2']
         network.run(_MINUTE_MS)
         assert _all_believe(network, 'vm-1', _DEAD)
@@ -197,7 +199,7 @@
         network = a_network(9)
         network.run(5000)
         paused = network.nodes['vm-1']
-        paused.paused = True
+        paused.is_paused = True
         network.run(pause_ms)
         network.wake(paused)
         network.run_until(lambda: _settled(network), _MINUTE_MS)
@@ -210,14 +212,14 @@
         network = a_network(9)
         network.run(5000)
         paused = network.nodes['vm-1']
-        paused.paused = True
+        paused.is_paused = True
         seen = set()
         for _ in range(30):
             network.run(100)
-            seen |= {node.believes('vm-1') for node in _up(network)}
+            seen |= {node.get_state('vm-1') for node in _up(network)}
         network.wake(paused)
         network.run(5000)
-        seen |= {node.believes('vm-1') for node in _up(network)}
+        seen |= {node.get_state('vm-1') for node in _up(network)}
         assert _DEAD not in seen
         assert _settled(network)
 
@@ -226,7 +228,7 @@
         network = a_network(9)
         network.run(5000)
         old = network.nodes['vm-1']
-        old.paused = True
+        old.is_paused = True
         network.run(20_000)
         successor = attrs.evolve(
             a_member('vm-1', 'dc-2', region='region-1', incarnation=9216),
@@ -236,8 +238,8 @@
         network.run(5000)
         network.wake(old)
         network.run(10_000)
-        assert old.fleet.view.standing.superseded
-        assert not new.fleet.view.standing.superseded
+        assert old.fleet.view.local_member.is_superseded
+        assert not new.fleet.view.local_member.is_superseded
         assert {
             node.table.get('vm-1').incarnation for node in _up(network)
         } == {9216}
@@ -281,7 +283,7 @@
         for _ in range(300):
             network.run(100)
             seen |= {
-                node.believes(f'vm-{number}')
+                node.get_state(f'vm-{number}')
                 for node in _up(network)
                 for number in (0, 2, 3, 4, 5, 6, 7, 8)
                 if node.name != 'vm-1'
@@ -306,7 +308,7 @@
         for _ in range(1200):
             network.run(100)
             seen |= {
-                node.believes(other.name)
+                node.get_state(other.name)
                 for node in _up(network)
                 for other in _up(network)
                 if regions[node.name] == regions[other.name]
@@ -324,8 +326,8 @@
         network.run(5000)
         leaver = network.nodes['vm-1']
         announce_leave(leaver.fleet)
-        assert not leave_is_told(leaver.fleet)
-        network.run_until(lambda: leave_is_told(leaver.fleet), 5000)
+        assert not leave_is_announced(leaver.fleet)
+        network.run_until(lambda: leave_is_announced(leaver.fleet), 5000)
         assert _all_believe(network, 'vm-1', MemberStatus.LEAVING)
 
     def test_suspects_are_told_too(self) -> None:
@@ -333,10 +335,10 @@
         network = a_network(2)
         network.run(5000)
         leaver = network.nodes['vm-1']
-        leaver.fleet.view.accuse('vm-0', 1024, network.now_ms)
+        leaver.fleet.view.suspect_member('vm-0', 1024, network.now_ms)
         announce_leave(leaver.fleet)
-        network.run_until(lambda: leave_is_told(leaver.fleet), 5000)
-        assert network.nodes['vm-0'].believes('vm-1') is MemberStatus.LEAVING
+        network.run_until(lambda: leave_is_announced(leaver.fleet), 5000)
+        assert network.nodes['vm-0'].get_state('vm-1') is MemberStatus.LEAVING
 
     def test_end_is_told_without_suspicion(self) -> None:
         """A daemon that says that it is gone is dead to all at once."""
@@ -345,9 +347,9 @@
         leaver = network.nodes['vm-1']
         announce_leave(leaver.fleet)
         network.run(5000)
-        network.send(leaver, announce_end(leaver.fleet, network.now_ms))
+        network.send(leaver, announce_exit(leaver.fleet, network.now_ms))
         network.run(10)
-        leaver.up = False
+        leaver.is_up = False
         network.run_until(lambda: _all_believe(network, 'vm-1', _DEAD), 5000)
 
     def test_leaver_that_is_killed_is_dead_in_the_end(self) -> None:
@@ -357,7 +359,7 @@
         leaver = network.nodes['vm-1']
         announce_leave(leaver.fleet)
         network.run(2000)
-        leaver.up = False
+        leaver.is_up = False
         network.run_until(
             lambda: _all_believe(network, 'vm-1', _DEAD),
             _MINUTE_MS,
@@ -379,8 +381,8 @@
         """A hint about a dead daemon makes it suspect at once."""
         network = a_network(9)
         network.run(5000)
-        network.nodes['vm-1'].up = False
+        network.nodes['vm-1'].is_up = False
         node = network.nodes['vm-0']
         node.fleet.on_unreachable('vm-1')
         network.run(250)
-        assert node.believes('vm-1') is MemberStatus.SUSPECT
+        assert node.get_state('vm-1') is MemberStatus.SUSPECT
--- a/packages/fennelfork/tests/test_membership_machine.py
+++ b/packages/fennelfork/tests/test_membership_machine.py
@@ -27,8 +27,8 @@
 
 
 def _sees(node: Node, other: Node) -> bool:
-    believed = node.believes(other.name)
-    if other.up:
+    believed = node.get_state(other.name)
+    if other.is_up:
         return believed is other.me.state
     return believed in {MemberStatus.DEAD, None}
 
@@ -45,30 +45,30 @@
         self.cut: set[tuple[str, str]] = set()
         self.network.is_cut = self._is_cut
         self.highest: dict[tuple[str, str], int] = {}
-        self.runs = 1
+        self.incarnations = 1
 
     @rule(seconds=st.integers(1, 15))
     def time_passes(self, seconds: int) -> None:
         """Let some seconds pass."""
         self.network.run(seconds * 1000)
 
-    @rule(name=_NAME, silent=st.booleans())
-    def kill(self, name: str, *, silent: bool) -> None:
+    @rule(name=_NAME, unresponsive=st.booleans())
+    def kill(self, name: str, *, unresponsive: bool) -> None:
         """End a daemon without a word; its VM refuses or is silent too."""
         node = self.network.nodes[name]
-        node.up = False
-        node.silent = silent
+        node.is_up = False
+        node.is_unresponsive = unresponsive
 
     @rule(name=_NAME)
     def restart(self, name: str) -> None:
         """Start a killed daemon again under a later incarnation."""
         node = self.network.nodes[name]
-        if node.up:
+        if node.is_up:
             return
-        self.runs += 1
+        self.incarnations += 1
         again = attrs.evolve(
             node.me,
-            incarnation=(self.runs * 64) * _RUN_STEP,
+            incarnation=(self.incarnations * 64) * _RUN_STEP,
             state=MemberStatus.ALIVE,
         )
         seeds = [other.me for other in self.network.nodes.values()]
@@ -80,7 +80,7 @@
     @rule(name=_NAME)
     def pause(self, name: str) -> None:
         """Stop a daemon from running."""
-        self.network.nodes[name].paused = True
+        self.network.nodes[name].is_paused = True
 
     @rule(name=_NAME)
     def wake(self, name: str) -> None:
@@ -112,7 +112,7 @@
     def leave(self, name: str) -> None:
         """Have a daemon announce its stop."""
         node = self.network.nodes[name]
-        if node.up:
+        if node.is_up:
             announce_leave(node.fleet)
 
     @invariant()
@@ -152,10 +152,10 @@
         self.network.run(_PEACE_MS)
         nodes = list(self.network.nodes.values())
         wrong = [
-            (node.name, other.name, node.believes(other.name))
+            (node.name, other.name, node.get_state(other.name))
             for node in nodes
             for other in nodes
-            if node.up and not _sees(node, other)
+            if node.is_up and not _sees(node, other)
         ]
         assert not wrong
 
--- a/packages/fennelfork/tests/test_membership_member_table.py
+++ b/packages/fennelfork/tests/test_membership_member_table.py
@@ -42,7 +42,8 @@
         mine = _table(first)
         theirs = _table(second)
         given_names = {
-            member.name for member in mine.differing(theirs.digests, 99, _RNG)
+            member.name
+            for member in mine.members_to_sync(theirs.digests, 99, _RNG)
         }
         assert all(
             member.name in given_names
@@ -54,13 +55,13 @@
     def test_of_a_wrong_size_give_nothing(self) -> None:
         """A daemon of another version, without digests, is told nothing."""
         table = _table([a_member('vm-1')])
-        assert table.differing(b'', 9, _RNG) == ()
+        assert table.members_to_sync(b'', 9, _RNG) == ()
 
     def test_give_no_more_than_the_limit(self) -> None:
         """An empty table gets a part at a time."""
         table = _table([a_member(f'vm-{number}') for number in range(50)])
         empty = MemberTable()
-        assert len(table.differing(empty.digests, 9, _RNG)) == 9
+        assert len(table.members_to_sync(empty.digests, 9, _RNG)) == 9
 
 
 class TestEpoch:
--- a/packages/fennelfork/tests/test_membership_parts.py
+++ b/packages/fennelfork/tests/test_membership_parts.py
@@ -8,16 +8,16 @@
 from hypothesis import strategies as st
 
 from fennelfork.membership import (
-    ListSchedule,
     MembershipPolicy,
     MemberStatus,
     MemberTable,
+    VmListSchedule,
 )
-from fennelfork.membership._errands import Errands
+from fennelfork.membership._extra_probes import ExtraProbes
 from fennelfork.membership._gossip import GossipQueue
 from fennelfork.membership._health import LocalHealth
-from fennelfork.membership._order import ProbeOrder
-from fennelfork.membership._own_standing import OwnStanding
+from fennelfork.membership._local_member import LocalMember
+from fennelfork.membership._probe_order import ProbeOrder
 
 _NOBODY: frozenset[str] = frozenset()
 _POLICY = MembershipPolicy()
@@ -30,7 +30,7 @@
         """Each change is told a bounded number of times."""
         queue = GossipQueue()
         queue.add('vm-1')
-        told = [queue.take(5, 3, _NOBODY) for _ in range(4)]
+        told = [queue.take_names(5, 3, _NOBODY) for _ in range(4)]
         assert told == [('vm-1',), ('vm-1',), ('vm-1',), ()]
 
     def test_prefers_the_least_told(self) -> None:
@@ -38,25 +38,25 @@
         queue = GossipQueue()
         for name in ('vm-1', 'vm-2'):
             queue.add(name)
-        told = [queue.take(1, 9, _NOBODY) for _ in range(4)]
+        told = [queue.take_names(1, 9, _NOBODY) for _ in range(4)]
         assert told == [('vm-1',), ('vm-2',), ('vm-1',), ('vm-2',)]
 
     def test_what_the_receiver_told_is_not_told_back(self) -> None:
         """It does not count as told either."""
         queue = GossipQueue()
         queue.add('vm-1')
-        assert queue.take(5, 1, {'vm-1'}) == ()
-        assert queue.take(5, 1, _NOBODY) == ('vm-1',)
+        assert queue.take_names(5, 1, {'vm-1'}) == ()
+        assert queue.take_names(5, 1, _NOBODY) == ('vm-1',)
 
     def test_what_others_know_dies_out_sooner(self) -> None:
         """Meeting a daemon that knows a change counts for several tellings."""
         queue = GossipQueue()
         for name in ('vm-1', 'vm-2'):
             queue.add(name)
-        queue.agree({'vm-1', 'vm-9'}, 3, 4)
-        assert queue.take(5, 4, _NOBODY) == ('vm-2', 'vm-1')
-        assert queue.take(5, 4, _NOBODY) == ('vm-2',)
-        queue.agree_on_all(3, 4)
+        queue.record_known({'vm-1', 'vm-9'}, 3, 4)
+        assert queue.take_names(5, 4, _NOBODY) == ('vm-2', 'vm-1')
+        assert queue.take_names(5, 4, _NOBODY) == ('vm-2',)
+        queue.record_all_known(3, 4)
         assert not len(queue)
 
 
@@ -69,10 +69,10 @@
         health = LocalHealth()
         for good in history:
             if good:
-                health.better()
+                health.improve()
             else:
-                health.worse()
-            assert 1 <= health.factor <= 9
+                health.degrade()
+            assert 1 <= health.timeout_factor <= 9
 
 
 class TestProbeOrder:
@@ -87,7 +87,7 @@
         order = ProbeOrder(own_name='vm-0', rng=random.Random(seed))
         others = {f'vm-{number}' for number in range(1, size)}
         for _ in range(3):
-            probed = [order.following(table) for _ in range(size - 1)]
+            probed = [order.take_next(table) for _ in range(size - 1)]
             assert sorted(map(str, probed)) == sorted(others)
 
     def test_leaves_out_the_dead(self) -> None:
@@ -95,7 +95,7 @@
         table = MemberTable()
         table.put(a_member('vm-1', state=MemberStatus.DEAD))
         order = ProbeOrder(own_name='vm-0', rng=random.Random(0))
-        assert order.following(table) is None
+        assert order.take_next(table) is None
 
 
 class TestErrands:
@@ -108,24 +108,26 @@
         seconds: int,
     ) -> None:
         """No more than the burst and the rate times the time."""
-        errands = Errands(policy=_POLICY)
+        extra_probes = ExtraProbes(policy=_POLICY)
         for number in range(claims):
-            errands.verify(a_member(f'vm-{number}'))
+            extra_probes.add_claim(a_member(f'vm-{number}'))
         done = 0
         for now_ms in range(0, seconds * 1000, 100):
-            while errands.next_claim(now_ms) is not None:
+            while extra_probes.take_claim(now_ms) is not None:
                 done += 1
-        allowed = _POLICY.extra_burst + _POLICY.extra_a_second * seconds
+        allowed = (
+            _POLICY.extra_probe_burst + _POLICY.extra_probes_per_s * seconds
+        )
         assert done <= min(claims, allowed)
-        assert done >= min(claims, allowed - _POLICY.extra_a_second)
+        assert done >= min(claims, allowed - _POLICY.extra_probes_per_s)
 
     def test_one_claim_a_member_waits(self) -> None:
         """A rumour that comes by many ways is verified once."""
-        errands = Errands(policy=_POLICY)
+        extra_probes = ExtraProbes(policy=_POLICY)
         for _ in range(5):
-            errands.verify(a_member('vm-1'))
-        assert errands.next_claim(0) == a_member('vm-1')
-        assert errands.next_claim(0) is None
+            extra_probes.add_claim(a_member('vm-1'))
+        assert extra_probes.take_claim(0) == a_member('vm-1')
+        assert extra_probes.take_claim(0) is None
 
 
 class TestOwnStanding:
@@ -133,11 +135,11 @@
 
     def test_outbids_its_earlier_run(self) -> None:
         """After the clock went back, a higher incarnation is taken."""
-        standing = OwnStanding(me=a_member('vm-1'), policy=_POLICY)
+        local_member = LocalMember(record=a_member('vm-1'), policy=_POLICY)
         claim = a_member('vm-1', state=MemberStatus.DEAD, incarnation=50)
-        assert standing.hear(claim, 0)
-        assert standing.me.incarnation == 51
-        assert not standing.superseded
+        assert local_member.apply_claim(claim, 0)
+        assert local_member.record.incarnation == 51
+        assert not local_member.is_superseded
 
     @pytest.mark.parametrize(
         ('since_ms', 'denies'), [(100, True), (9e9, False)]
@@ -149,11 +151,11 @@
         denies: bool,
     ) -> None:
         """Without a probe from outside for long it does not refute."""
-        standing = OwnStanding(me=a_member('vm-1'), policy=_POLICY)
-        standing.note_reached(0)
+        local_member = LocalMember(record=a_member('vm-1'), policy=_POLICY)
+        local_member.record_probe(0)
         claim = a_member('vm-1', state=MemberStatus.SUSPECT)
-        assert standing.hear(claim, since_ms) is denies
-        assert standing.refutations == int(denies)
+        assert local_member.apply_claim(claim, since_ms) is denies
+        assert local_member.refutations == int(denies)
 
 
 class TestListSchedule:
@@ -161,23 +163,23 @@
 
     def test_failures_back_off_with_jitter(self) -> None:
         """Waits grow to a bound, never twice the same."""
-        schedule = ListSchedule(rng=random.Random(1))
+        schedule = VmListSchedule(rng=random.Random(1))
         waits = []
         for _ in range(12):
-            waits.append(schedule.wait_ms(alone=True, watching=False))
-            schedule.note(succeeded=False)
+            waits.append(schedule.wait_ms(is_alone=True, is_watching=False))
+            schedule.record_read(succeeded=False)
         assert waits[0] <= 500
         assert 15_000 <= waits[-1] <= 30_000
         assert len(set(waits)) == 12
 
     def test_few_read_it_at_rest(self) -> None:
         """A member that neither watches nor is alone reads it rarely."""
-        schedule = ListSchedule(rng=random.Random(1))
-        rare = schedule.wait_ms(alone=False, watching=False)
-        assert rare >= 10 * schedule.wait_ms(alone=False, watching=True)
+        schedule = VmListSchedule(rng=random.Random(1))
+        rare = schedule.wait_ms(is_alone=False, is_watching=False)
+        assert rare >= 10 * schedule.wait_ms(is_alone=False, is_watching=True)
 
     def test_success_ends_the_backoff(self) -> None:
         """The next wait is the normal one."""
-        schedule = ListSchedule(failures=9, rng=random.Random(1))
-        schedule.note(succeeded=True)
-        assert schedule.wait_ms(alone=True, watching=False) <= 500
+        schedule = VmListSchedule(failures=9, rng=random.Random(1))
+        schedule.record_read(succeeded=True)
+        assert schedule.wait_ms(is_alone=True, is_watching=False) <= 500
--- a/packages/fennelfork/tests/test_once_reply.py
+++ b/packages/fennelfork/tests/test_once_response.py
@@ -7,7 +7,7 @@
 from returns.result import Success
 
 from fennelfork import FailureCode, Verdict
-from fennelfork.once import ExecuteCall, judge_execute_reply
+from fennelfork.once import ExecuteCall, classify_execute_response
 
 _CALL = ExecuteCall(
     request_id='cert-1@s',
@@ -31,7 +31,9 @@
 
 
 def _judge(status: int, document: Any):
-    return judge_execute_reply(_CALL, status, json.dumps(document).encode())
+    return classify_execute_response(
+        _CALL, status, json.dumps(document).encode()
+    )
 
 
 class TestJudge:
@@ -72,5 +74,5 @@
 
     def test_doubts_what_is_cut(self) -> None:
         """Half a body proves nothing."""
-        judged = judge_execute_reply(_CALL, 200, b'{"request_id": "ce')
+        judged = classify_execute_response(_CALL, 200, b'{"request_id": "ce')
         assert judged.failure().verdict is Verdict.MAY_HAVE_RUN
--- a/packages/fennelfork/tests/test_once_memory.py
+++ b/packages/fennelfork/tests/test_once_table.py
@@ -15,15 +15,15 @@
 
 from fennelfork import FailureCode, ManualTime, Verdict, not_run
 from fennelfork.once import (
-    AnswerIt,
-    AwaitIt,
+    AwaitRunning,
     Ended,
+    ExecuteLocally,
     ExecuteRequest,
+    ForwardToPeer,
     OnceGate,
     OnceTable,
-    PassOn,
-    RunHere,
-    RunIt,
+    ReplayAnswer,
+    StartExecution,
 )
 
 _REASON = not_run(FailureCode.UNREACHABLE, 'no reply')
@@ -37,7 +37,7 @@
 
 def _taken(gate: OnceGate) -> ExecuteRequest:
     request = execute_request(_ticket(gate))
-    assert gate.admit(request) == Success(RunIt())
+    assert gate.admit(request) == Success(StartExecution())
     return request
 
 
@@ -45,7 +45,7 @@
     ticket = _ticket(gate)
     filling = [
         execute_request(ticket, f'fill-{number}')
-        for number in range(LIMITS.entries)
+        for number in range(LIMITS.max_entries)
     ]
     for request in filling:
         gate.admit(request)
@@ -59,19 +59,19 @@
         """A repeat of a running request is told to wait, sent or not."""
         gate = build_gate(ManualTime())
         request = _taken(gate)
-        assert gate.admit(request) == Success(AwaitIt())
-        gate.table.may_send(request.request_id)
-        assert gate.admit(request) == Success(AwaitIt())
+        assert gate.admit(request) == Success(AwaitRunning())
+        gate.table.begin_send(request.request_id)
+        assert gate.admit(request) == Success(AwaitRunning())
 
     def test_gets_the_same_outcome(self) -> None:
         """A repeat of a finished request gets its outcome, after expiry too."""
         manual = ManualTime()
         gate = build_gate(manual)
         request = _taken(gate)
-        gate.table.may_send(request.request_id)
-        gate.table.finish(request.request_id, 'certificate 5')
+        gate.table.begin_send(request.request_id)
+        gate.table.record_outcome(request.request_id, 'certificate 5')
         manual.advance(LIFETIME_MS + 1)
-        answer = AnswerIt(answer=Success('certificate 5'))
+        answer = ReplayAnswer(answer=Success('certificate 5'))
         assert gate.admit(request) == Success(answer)
 
     @pytest.mark.parametrize('sent', [False, True])
@@ -80,19 +80,19 @@
         gate = build_gate(ManualTime())
         request = _taken(gate)
         if sent:
-            gate.table.may_send(request.request_id)
+            gate.table.begin_send(request.request_id)
         failure = gate.table.abandon(request.request_id, _REASON)
         verdict = Verdict.MAY_HAVE_RUN if sent else Verdict.NOT_RUN
         assert failure.verdict is verdict
-        answer = AnswerIt(answer=Failed(failure))
+        answer = ReplayAnswer(answer=Failed(failure))
         assert gate.admit(request) == Success(answer)
 
     def test_for_something_else_is_a_conflict(self) -> None:
         """An id does not stand for two contents."""
         gate = build_gate(ManualTime())
         request = _taken(gate)
-        gate.table.may_send(request.request_id)
-        gate.table.finish(request.request_id, 'certificate 5')
+        gate.table.begin_send(request.request_id)
+        gate.table.record_outcome(request.request_id, 'certificate 5')
         refused = gate.admit(attrs.evolve(request, action='revoke'))
         assert refused.failure().code is FailureCode.CONFLICT
         assert refused.failure().verdict is Verdict.RAN
@@ -101,17 +101,17 @@
         """A second send of a request is a defect."""
         gate = build_gate(ManualTime())
         request = _taken(gate)
-        gate.table.may_send(request.request_id)
+        gate.table.begin_send(request.request_id)
         with pytest.raises(ValueError, match='sent already'):
-            gate.table.may_send(request.request_id)
+            gate.table.begin_send(request.request_id)
 
     def test_may_be_sent_after_the_server_refused(self) -> None:
         """The server's own word that it did not run lets another try."""
         gate = build_gate(ManualTime())
         request = _taken(gate)
-        gate.table.may_send(request.request_id)
-        gate.table.take_back(request.request_id)
-        assert gate.table.may_send(request.request_id) == Success(LIFETIME_MS)
+        gate.table.begin_send(request.request_id)
+        gate.table.revert_send(request.request_id)
+        assert gate.table.begin_send(request.request_id) == Success(LIFETIME_MS)
 
     @pytest.mark.parametrize('sent', [False, True])
     def test_is_withdrawn_only_unsent(self, sent: bool) -> None:
@@ -119,20 +119,20 @@
         gate = build_gate(ManualTime())
         request = _taken(gate)
         if sent:
-            gate.table.may_send(request.request_id)
-        gate.table.withdraw(request.request_id, _REASON)
+            gate.table.begin_send(request.request_id)
+        gate.table.abandon_unsent(request.request_id, _REASON)
         ended = isinstance(gate.table.state(request.request_id), Ended)
         assert ended is not sent
         if ended:
-            leave = gate.table.may_send(request.request_id)
+            leave = gate.table.begin_send(request.request_id)
             assert leave.failure().verdict is Verdict.NOT_RUN
 
     def test_outcome_too_long_is_still_known_to_have_run(self) -> None:
         """A repeat learns that it ran when the outcome could not be kept."""
         gate = build_gate(ManualTime())
         request = _taken(gate)
-        gate.table.may_send(request.request_id)
-        gate.table.finish(request.request_id, 'x' * 65)
+        gate.table.begin_send(request.request_id)
+        gate.table.record_outcome(request.request_id, 'x' * 65)
         state = gate.table.state(request.request_id)
         assert isinstance(state, Ended)
         assert state.failure.verdict is Verdict.RAN
@@ -147,7 +147,7 @@
         gate = build_gate(manual)
         request = _taken(gate)
         manual.advance(LIFETIME_MS)
-        leave = gate.table.may_send(request.request_id)
+        leave = gate.table.begin_send(request.request_id)
         assert leave.failure().verdict is Verdict.NOT_RUN
 
     def test_an_unknown_id_did_not_run_while_ids_are_kept(self) -> None:
@@ -165,12 +165,12 @@
         manual = ManualTime()
         gate = build_gate(manual)
         running, ended = _taken(gate), _taken(gate)
-        gate.table.may_send(running.request_id)
+        gate.table.begin_send(running.request_id)
         gate.table.abandon(ended.request_id, _REASON)
         manual.advance(LIFETIME_MS + GRACE_MS)
-        assert gate.admit(running) == Success(AwaitIt())
+        assert gate.admit(running) == Success(AwaitRunning())
         assert gate.table.size == 1
-        gate.table.finish(running.request_id, 'late')
+        gate.table.record_outcome(running.request_id, 'late')
         manual.advance(GRACE_MS)
         assert gate.admit(running).failure().verdict is Verdict.MAY_HAVE_RUN
         assert gate.table.size == 0
@@ -207,11 +207,11 @@
         gate = build_gate(manual)
         known = _taken(gate)
         _fill(gate)
-        assert gate.admit(known) == Success(AwaitIt())
+        assert gate.admit(known) == Success(AwaitRunning())
         gate.table.abandon(known.request_id, _REASON)
         manual.advance(LIFETIME_MS + GRACE_MS)
         request = execute_request(_ticket(gate))
-        assert gate.admit(request) == Success(RunIt())
+        assert gate.admit(request) == Success(StartExecution())
 
 
 class TestGate:
@@ -222,8 +222,8 @@
         manual = ManualTime()
         first = build_gate(manual)
         request = execute_request(_ticket(first))
-        assert first.route(request) == Success(RunHere())
-        away = PassOn(daemon='vm-1', incarnation=1)
+        assert first.route(request) == Success(ExecuteLocally())
+        away = ForwardToPeer(daemon='vm-1', incarnation=1)
         assert build_gate(manual, 'vm-2').route(request) == Success(away)
 
     def test_a_restart_ends_the_tickets(self) -> None:
@@ -239,15 +239,15 @@
         """It issues no ticket, and takes requests of those it issued."""
         gate = build_gate(ManualTime())
         ticket = _ticket(gate)
-        gate.close()
+        gate.stop_issuing()
         assert gate.issue(LIFETIME_MS) is None
-        assert gate.admit(execute_request(ticket)) == Success(RunIt())
+        assert gate.admit(execute_request(ticket)) == Success(StartExecution())
 
     def test_an_exiting_daemon_refuses_what_is_new(self) -> None:
         """Before it exits it says not run of new ids, and means it."""
         gate = build_gate(ManualTime())
         known = _taken(gate)
         new = execute_request(_ticket(gate), 'cert-2')
-        gate.refuse_new()
+        gate.refuse_new_requests()
         assert gate.admit(new).failure().verdict is Verdict.NOT_RUN
-        assert gate.admit(known) == Success(AwaitIt())
+        assert gate.admit(known) == Success(AwaitRunning())
--- a/packages/fennelfork/tests/test_once_target.py
+++ b/packages/fennelfork/tests/test_once_target.py
@@ -4,7 +4,7 @@
 
 from fennelfork.config import Front, Server, Shard
 from fennelfork.gather import ShardView, SnapshotView, key_range
-from fennelfork.once import execute_servers
+from fennelfork.once import servers_for_record
 
 
 def _server(centre: str) -> Server:
@@ -37,7 +37,7 @@
 
 
 def _names(key: int, *views: ShardView, seed: int = 1) -> list[str]:
-    found = execute_servers(_FRONT, views, key, 'dc-2', random.Random(seed))
+    found = servers_for_record(_FRONT, views, key, 'dc-2', random.Random(seed))
     return [one.name for one in found]
 
 
--- a/packages/fennelfork/tests/test_once_ticket.py
+++ b/packages/fennelfork/tests/test_once_ticket.py
@@ -11,7 +11,7 @@
 from fennelfork.once import (
     Ticket,
     TicketKey,
-    bound_request_id,
+    bind_request_id,
     check_binding,
     check_ticket,
     issue_ticket,
@@ -70,8 +70,8 @@
         """A ticket is over at its expiry, not a millisecond later."""
         ticket = _issue()
         assert ticket.terms.expires_ms == 150
-        assert not ticket.expired(149.9)
-        assert ticket.expired(150)
+        assert not ticket.has_expired(149.9)
+        assert ticket.has_expired(150)
 
     def test_refuses_a_short_secret(self) -> None:
         """A key that could be guessed is a defect."""
@@ -118,7 +118,7 @@
     def test_takes_a_bound_id(self) -> None:
         """An id made for the ticket passes, also with marks in its name."""
         ticket = _issue()
-        request_id = bound_request_id('paolo@trinacria/17', ticket.text)
+        request_id = bind_request_id('paolo@trinacria/17', ticket.text)
         assert check_binding(request_id, ticket.text) == Success(ticket)
 
     @pytest.mark.parametrize(
@@ -135,7 +135,7 @@
         """An id under another ticket may have run, and runs no more."""
         first = _issue(seed=1)
         second = _issue(seed=2)
-        request_id = bound_request_id('cert-1', first.text)
+        request_id = bind_request_id('cert-1', first.text)
         refused = check_binding(request_id, second.text)
         assert isinstance(refused, Failed)
         assert refused.failure().verdict is Verdict.MAY_HAVE_RUN
@@ -144,6 +144,6 @@
         """The right serial before other terms still needs the code."""
         first = _issue(seed=1)
         forged = attrs.evolve(_issue(seed=2), signed=first.signed)
-        request_id = bound_request_id('cert-1', first.text)
+        request_id = bind_request_id('cert-1', first.text)
         checked = check_binding(request_id, forged.text).bind(_check)
         assert isinstance(checked, Failed)
