--- a/packages/fennelfork/src/fennelfork/membership/__init__.py
+++ b/packages/fennelfork/src/fennelfork/membership/__init__.py
@@ -1,6 +1,6 @@
-"""Who is in the fleet, found out by probing and told in passing.
+"""Gossip-based membership of the daemons, after the SWIM protocol.
 
-The public names stand in `__init__.pyi`; each is loaded when first used.
+`__init__.pyi` lists the public names; each is loaded on first use.
 """
 
 import lazy_loader
--- a/packages/fennelfork/src/fennelfork/membership/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/membership/__init__.pyi
@@ -1,4 +1,4 @@
-"""Who is in the fleet, found out by probing and told in passing."""
+"""Gossip-based membership of the daemons, after the SWIM protocol."""
 
 from ._announce import announce as announce
 from ._announce import announce_exit as announce_exit
--- a/packages/fennelfork/src/fennelfork/membership/_announce.py
+++ b/packages/fennelfork/src/fennelfork/membership/_announce.py
@@ -1,4 +1,4 @@
-"""What a daemon announces of itself: configuration, leave, end."""
+"""Announcements of the local daemon: configuration, leave and exit."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 
 def announce(fleet: Membership, local: Member) -> None:
-    """Say something new of this daemon, and spread it at once."""
+    """Update the record of the local daemon and gossip a changed record."""
     if local != fleet.view.local:
         fleet.view.update_local(local)
         fleet.schedule.extra_probes.add_gossip_probes(
@@ -17,10 +17,11 @@
 
 
 def announce_leave(fleet: Membership) -> None:
-    """Tell each member that this daemon will stop; it serves on meanwhile.
+    """Announce to every member that the local daemon will stop.
 
-    Each is told in person, not by gossip alone: from then on it names this
-    daemon in no entry answer, so the longest `ttl_ms` counts from there.
+    The daemon keeps serving. A direct message to each member, rather than
+    gossip alone, bounds the time after which entry answers no longer list the
+    daemon: the longest `ttl_ms` starts when the announcement ends.
     """
     local = fleet.view.local
     if local.state is not MemberStatus.ALIVE:
@@ -36,16 +37,16 @@
 
 
 def leave_is_announced(fleet: Membership) -> bool:
-    """Tell whether each member was told of the leave, or did not answer."""
+    """Return whether every member has received the leave or timed out."""
     waiting = fleet.schedule.extra_probes.leave_targets
     return not waiting and not fleet.prober.has_gossip_outstanding
 
 
 def announce_exit(fleet: Membership, now_ms: float) -> tuple[SendProbe, ...]:
-    """Say that this daemon is gone; its last act.
+    """Mark the local daemon dead, as the last step before the process ends.
 
     Returns:
-        Probes that carry the news to a few members, who pass it on.
+        Probes that gossip the exit to a few members.
     """
     local = fleet.view.local
     fleet.view.update_local(local.with_state(MemberStatus.DEAD))
--- a/packages/fennelfork/src/fennelfork/membership/_claims.py
+++ b/packages/fennelfork/src/fennelfork/membership/_claims.py
@@ -1,9 +1,9 @@
-"""What to believe of a claim that one daemon makes about another.
+"""Decisions on claims that one daemon makes about another.
 
-Good news is believed, as only the member itself raises its incarnation. Bad
-news about a member that is believed to be well is verified by an own probe
-first: a claim of a daemon that was cut off or slow then costs one probe and
-moves no home.
+A claim that a member is alive is stored, since only the member itself raises
+its incarnation. A claim that a healthy member is suspect or dead is verified
+by a probe first, so that a daemon with a slow or broken network cannot move
+homes.
 """
 
 import attrs
@@ -13,11 +13,11 @@
 
 @attrs.frozen(kw_only=True)
 class ClaimDecision:
-    """What to make of a claim.
+    """Decision on a claim about a member.
 
     Attributes:
-        store: the record to keep from now on, none to keep the known one.
-        verify: whether to probe the member and tell it of the claim.
+        store: record that replaces the known one; none to keep the known one.
+        verify: whether to probe the member and forward the claim to it.
     """
 
     store: Member | None = None
@@ -25,14 +25,14 @@
 
 
 def evaluate_claim(known: Member | None, claim: Member) -> ClaimDecision:
-    """Weigh what a third daemon says of a member.
+    """Decide on a claim of a third daemon about a member.
 
     Args:
-        known: what is believed of that member so far.
-        claim: what is said of it.
+        known: stored record of the member, if any.
+        claim: record of the member in the message.
 
     Returns:
-        The record to keep and whether to verify the claim.
+        The record to store and whether to verify the claim.
     """
     if known is None:
         return _evaluate_unknown(claim)
--- a/packages/fennelfork/src/fennelfork/membership/_extra_probes.py
+++ b/packages/fennelfork/src/fennelfork/membership/_extra_probes.py
@@ -1,4 +1,4 @@
-"""Probes outside the regular period, and what bounds them."""
+"""Probes outside the regular period and their rate limit."""
 
 from typing import Final
 
@@ -14,13 +14,15 @@
 
 @attrs.define(kw_only=True)
 class ExtraProbes:
-    """Claims to verify and news to spread at once, out of a token bucket.
+    """Pending extra probes, limited by a token bucket.
 
-    However much happens at a time, a daemon makes no more extra probes than
-    the bucket allows; what does not fit waits, oldest first.
+    Claims wait for verification in the order of arrival. Probes that announce
+    a leave take no tokens.
 
     Attributes:
-        to_tell: names still to be told that this daemon leaves.
+        policy: rate and burst of extra probes.
+        leave_targets: names of members that still await the leave
+            announcement.
     """
 
     policy: MembershipPolicy
@@ -31,32 +33,32 @@
     _refilled_ms: float = float('-inf')
 
     def add_claim(self, claim: Member) -> None:
-        """Have a claim verified by an own probe."""
+        """Queue a claim for verification by a probe."""
         if len(self._claims) < _MAX_CLAIMS:
             self._claims.setdefault(claim.name, claim)
 
     def add_gossip_probes(self, count: int) -> None:
-        """Have `count` random members probed soon, to pass on news."""
+        """Request probes of `count` random members that carry gossip."""
         self._gossip_probes = min(
             _MAX_GOSSIP_PROBES, self._gossip_probes + count
         )
 
     def take_claim(self, now_ms: float) -> Member | None:
-        """Give a claim to verify now, none if there is none or no token."""
+        """Remove and return the oldest claim, or none without a token."""
         if not self._claims or not self._take_token(now_ms):
             return None
         oldest = next(iter(self._claims))
         return self._claims.pop(oldest)
 
     def take_gossip_probe(self, now_ms: float) -> bool:
-        """Tell whether to probe a random member now."""
+        """Return whether to probe a random member now."""
         if not self._gossip_probes or not self._take_token(now_ms):
             return False
         self._gossip_probes -= 1
         return True
 
     def take_leave_targets(self) -> tuple[str, ...]:
-        """Give the names to be told in this step."""
+        """Remove and return the leave targets of this step."""
         count = self.policy.leave_probes_per_step
         names = tuple(self.leave_targets[:count])
         self.leave_targets = self.leave_targets[count:]
--- a/packages/fennelfork/src/fennelfork/membership/_gossip.py
+++ b/packages/fennelfork/src/fennelfork/membership/_gossip.py
@@ -1,4 +1,4 @@
-"""Which members the next message tells about."""
+"""Selection of the membership updates that a message carries."""
 
 from collections.abc import Set as AbstractSet
 
@@ -7,27 +7,27 @@
 
 @attrs.define(kw_only=True)
 class GossipQueue:
-    """Names of members whose record changed, with how often it was told."""
+    """Members with a changed record and the transmissions of each change."""
 
     _transmissions: dict[str, int] = attrs.field(factory=dict)
 
     def __len__(self) -> int:
-        """Count the members that are still told about."""
+        """Return the number of members with a change to transmit."""
         return len(self._transmissions)
 
     def add(self, name: str) -> None:
-        """Tell about `name` from now on, as a fresh change."""
+        """Queue a change of the member `name` with no transmissions so far."""
         self._transmissions[name] = 0
 
     def record_known(
         self, names: AbstractSet[str], weight: int, max_transmissions: int
     ) -> None:
-        """Count changes that another daemon evidently knows as told.
+        """Count changes that a peer already knows as transmitted.
 
         Args:
-            names: of the members it agrees on.
-            weight: how many tellings one agreement counts for.
-            most: after how many tellings a name is dropped.
+            names: names of members whose record the peer shares.
+            weight: number of transmissions to add for each name.
+            max_transmissions: number of transmissions that ends a change.
         """
         for name in tuple(names & self._transmissions.keys()):
             self._transmissions[name] += weight
@@ -35,7 +35,7 @@
                 self._transmissions.pop(name)
 
     def record_all_known(self, weight: int, max_transmissions: int) -> None:
-        """Count all changes so, after meeting a daemon with an equal table."""
+        """Count all changes as known to a peer with an equal member table."""
         self.record_known(self._transmissions.keys(), weight, max_transmissions)
 
     def take_names(
@@ -44,16 +44,16 @@
         max_transmissions: int,
         known: AbstractSet[str],
     ) -> tuple[str, ...]:
-        """Give the least-told names and count them as told once more.
+        """Return the least transmitted names and count one transmission each.
 
         Args:
-            limit: how many names at most.
-            tellings: after how many a name is dropped.
-            known: names that the receiver has just told about itself; these
-                are not given and not counted.
+            limit: maximum number of names.
+            max_transmissions: number of transmissions that ends a change.
+            known: names that the receiver has just sent; these are neither
+                returned nor counted.
 
         Returns:
-            The names, least told first.
+            Names of changed members, least transmitted first.
         """
         unknown = self._transmissions.keys() - known
         names = sorted(
--- a/packages/fennelfork/src/fennelfork/membership/_health.py
+++ b/packages/fennelfork/src/fennelfork/membership/_health.py
@@ -1,4 +1,4 @@
-"""How far this daemon trusts its own timing."""
+"""Local health score, which lengthens the timeouts of a slow daemon."""
 
 from typing import Final
 
@@ -9,23 +9,23 @@
 
 @attrs.define(kw_only=True)
 class LocalHealth:
-    """A score that stretches this daemon's own timeouts.
+    """Score that multiplies the probe timeouts of the local daemon.
 
-    A daemon that is itself slow sees others as late. Each sign of that makes
-    it wait longer before it accuses anyone; each answer in time heals it.
+    A daemon that is itself slow sees late acknowledgements from healthy
+    members. The longer timeouts avoid false suspicions.
     """
 
     score: int = 0
 
     @property
     def timeout_factor(self) -> int:
-        """By how much timeouts are to be multiplied, one when healthy."""
+        """Multiplier of probe timeouts; 1 for a healthy daemon."""
         return 1 + self.score
 
     def improve(self) -> None:
-        """Count an answer in time."""
+        """Record an acknowledgement in time."""
         self.score = max(0, self.score - 1)
 
     def degrade(self) -> None:
-        """Count a sign that this daemon is slow or cut off."""
+        """Record a sign that the local daemon is slow or disconnected."""
         self.score = min(_MAX_SCORE, self.score + 1)
--- a/packages/fennelfork/src/fennelfork/membership/_local_member.py
+++ b/packages/fennelfork/src/fennelfork/membership/_local_member.py
@@ -1,4 +1,4 @@
-"""A daemon's own standing: what it answers to claims about itself."""
+"""The local daemon's own record and its refutation of claims."""
 
 import attrs
 
@@ -8,16 +8,16 @@
 
 @attrs.define(kw_only=True)
 class LocalMember:
-    """This daemon's word about itself.
+    """Record of the local daemon.
 
-    A daemon denies that it is suspect by a higher incarnation, but only if a
-    probe from outside reached it lately: one that can call others and cannot
-    be called is of no use to them, and would be suspected again at once.
+    The daemon refutes a suspicion by a higher incarnation, but only after a
+    recent probe from another daemon: a daemon with outbound connections alone
+    is of no use to others and would soon be suspected again.
 
     Attributes:
-        me: what it says.
-        refutations: how often it denied a claim.
-        superseded: whether another daemon runs under its name.
+        record: record that the daemon publishes.
+        refutations: number of refuted claims.
+        is_superseded: whether another daemon runs under the same name.
     """
 
     record: Member
@@ -27,14 +27,14 @@
     _last_probe_ms: float = float('-inf')
 
     def record_probe(self, now_ms: float) -> None:
-        """Note that a probe from outside arrived."""
+        """Record the arrival of a probe from another daemon."""
         self._last_probe_ms = now_ms
 
     def apply_claim(self, claim: Member, now_ms: float) -> bool:
-        """Take in what another daemon says of this one.
+        """Apply a claim of another daemon about the local one.
 
         Returns:
-            Whether `record` changed and is to be told.
+            Whether `record` changed and has to be published.
         """
         if claim.incarnation > self.record.incarnation:
             return self._apply_later_incarnation(claim)
--- a/packages/fennelfork/src/fennelfork/membership/_member.py
+++ b/packages/fennelfork/src/fennelfork/membership/_member.py
@@ -1,20 +1,20 @@
-"""One daemon of the fleet, as another daemon knows it."""
+"""Record of one daemon of the fleet."""
 
 import enum
 from typing import Final
 
 import attrs
 
-# Low bits of an incarnation count refutations within one run.
+# Number of low bits that count refutations within a process lifetime.
 _REFUTATION_BITS: Final = 10
 
 
 @enum.unique
 class MemberStatus(enum.Enum):
-    """What is believed of a member.
+    """State of a member.
 
-    `SUSPECT` means that it did not answer and may still refute; `LEAVING`
-    that it announced its stop and serves on for a while.
+    `SUSPECT`: the member did not acknowledge a probe and may still refute the
+    suspicion. `LEAVING`: the member announced its stop and still serves.
     """
 
     ALIVE = 'alive'
@@ -25,20 +25,20 @@
 
 @attrs.frozen(kw_only=True)
 class Member:
-    """A daemon, its addresses and what it last said of itself.
+    """Addresses, incarnation and configuration version of a daemon.
 
     Attributes:
-        name: unique in the fleet, kept over restarts.
-        incarnation: rises with each start of the daemon, and each time that
-            it refutes a suspicion.
-        state: what is believed of it.
-        region: where it runs.
-        data_centre: where it runs, within the region.
-        caller: `ip:port` of its caller face.
-        operator: `ip:port` of its operator face.
-        peer: `ip:port` of its peer face.
-        config_version: version of the configuration that it runs.
-        config_hash: digest of that configuration.
+        name: name that is unique in the fleet and stable over restarts.
+        incarnation: number that rises with each start of the daemon and each
+            refutation of a suspicion.
+        state: state of the member.
+        region: region of the daemon.
+        data_centre: data centre of the daemon within the region.
+        caller: `ip:port` of the caller API.
+        operator: `ip:port` of the operator API.
+        peer: `ip:port` of the peer RPC.
+        config_version: version of the active configuration; 0 for none.
+        config_hash: digest of the active configuration.
     """
 
     name: str
@@ -54,17 +54,17 @@
 
     @property
     def process_incarnation(self) -> int:
-        """Which run of the daemon this is, the same for all refutations."""
+        """Part of the incarnation that is constant for one process lifetime."""
         return self.incarnation >> _REFUTATION_BITS
 
     @property
     def is_ready(self) -> bool:
-        """Whether it has a configuration to answer by."""
+        """Whether the daemon has an active configuration."""
         return self.config_version > 0
 
     @property
     def without_config_version(self) -> 'Member':
-        """The same member with all versions of a configuration alike."""
+        """The member with every configuration version reduced to 0 or 1."""
         return attrs.evolve(
             self,
             config_version=min(self.config_version, 1),
@@ -73,19 +73,19 @@
 
     @property
     def is_suspect_or_dead(self) -> bool:
-        """Whether it is held for dead or may be."""
+        """Whether the state is suspect or dead."""
         return self.state in {MemberStatus.SUSPECT, MemberStatus.DEAD}
 
     def with_state(self, state: MemberStatus) -> 'Member':
-        """Give the same member under another state."""
+        """Return a copy of the member in another state."""
         return attrs.evolve(self, state=state)
 
 
 def initial_incarnation(wall_ms: float) -> int:
-    """Give the incarnation of a daemon that starts at `wall_ms`.
+    """Return the incarnation of a daemon that starts at `wall_ms`.
 
-    Nothing is stored between runs; civil time orders them. Should the clock
-    have gone back, the daemon hears of its higher incarnation from the others
-    and goes above it.
+    The wall clock orders process lifetimes, so nothing needs to be stored. If
+    the clock was set back, the daemon learns its higher incarnation from the
+    other members and raises its own above that one.
     """
     return int(wall_ms) << _REFUTATION_BITS
--- a/packages/fennelfork/src/fennelfork/membership/_member_table.py
+++ b/packages/fennelfork/src/fennelfork/membership/_member_table.py
@@ -1,4 +1,4 @@
-"""All that one daemon knows of the fleet, with digests to compare it."""
+"""Table of all known members with digests for synchronisation."""
 
 import random
 from collections.abc import Iterator
@@ -20,17 +20,15 @@
 
 @attrs.define(kw_only=True)
 class MemberTable:
-    """Members by name.
+    """Members by name, with one digest for each bucket of names.
 
-    The digests are one number for each bucket of names, kept up to date with
-    each change, so that two daemons find out with 128 bytes which part of
-    their tables differs. Dead members and suspicions do not count in them:
-    the first are forgotten at different times, the second are each daemon's
-    own.
+    Two daemons compare digests of 128 bytes to find the buckets in which their
+    tables differ. Digests leave out dead members, which daemons remove at
+    different times.
 
     Attributes:
-        epoch: rises with each change that matters to homes and entries.
-        live_count: how many members are not dead.
+        epoch: number that rises with each change of homes or entry answers.
+        live_count: number of members that are not dead.
     """
 
     epoch: int = 0
@@ -41,25 +39,25 @@
 
     @property
     def digests(self) -> bytes:
-        """The digests of all buckets, joined."""
+        """The digests of all buckets, concatenated."""
         return b''.join(
             digest.to_bytes(_DIGEST_BYTES, 'big') for digest in self._digests
         )
 
     def __iter__(self) -> Iterator[Member]:
-        """Go over all members, dead ones too."""
+        """Iterate over all members, including dead ones."""
         return iter(self._by_name.values())
 
     def __len__(self) -> int:
-        """Count all members, dead ones too."""
+        """Return the number of members, including dead ones."""
         return len(self._by_name)
 
     def get(self, name: str) -> Member | None:
-        """Give the member called `name`, if known."""
+        """Return the member called `name`, if known."""
         return self._by_name.get(name)
 
     def put(self, member: Member) -> None:
-        """Store `member` in place of what was known of that name."""
+        """Store `member` in place of any record with the same name."""
         known = self._by_name.get(member.name)
         self._by_name[member.name] = member
         if (
@@ -73,13 +71,13 @@
         self._toggle_digest(member, 1)
 
     def take_reconfigured(self) -> tuple[Member, ...]:
-        """Give members of which only the configuration changed since."""
+        """Return members with only a new configuration since the last call."""
         names = sorted(self._reconfigured & self._by_name.keys())
         self._reconfigured.clear()
         return tuple(self._by_name[name] for name in names)
 
     def remove(self, name: str) -> None:
-        """Drop all that is known of `name`."""
+        """Remove the member called `name`."""
         known = self._by_name.pop(name, None)
         self._toggle_digest(known, -1)
         self.epoch += 1
@@ -90,12 +88,13 @@
         limit: int,
         rng: random.Random,
     ) -> tuple[Member, ...]:
-        """Give members of buckets that differ from another daemon's.
+        """Return members of buckets whose digest differs from another daemon's.
 
         Args:
-            digests: the other daemon's; of a wrong size, nothing is given.
-            limit: how many members to give at most.
-            rng: which bucket comes first, so that each gets its turn.
+            digests: digests of the other daemon; an unexpected size yields
+                no members.
+            limit: maximum number of members.
+            rng: source of the random choice among the members.
 
         Returns:
             Members in any state, at most `limit`.
--- a/packages/fennelfork/src/fennelfork/membership/_membership.py
+++ b/packages/fennelfork/src/fennelfork/membership/_membership.py
@@ -1,9 +1,10 @@
-"""Membership without agreement: who is there, found out by probing.
+"""Membership controller: failure detection by probes, updates by gossip.
 
-Each daemon probes one member a period, whatever the size of the fleet. What
-does not answer is tried through relays, then suspected, then held for dead;
-news travels with the probes. The controller decides and does no I/O: the
-adapter carries out each `SendProbe` and reports what came of it.
+Each daemon probes one member per period, whatever the size of the fleet. A
+member that does not acknowledge is probed through relays, then suspected,
+then declared dead. Updates travel on probes and acknowledgements. The
+controller does no I/O: an adapter sends each `SendProbe` and reports the
+result.
 """
 
 import random
@@ -28,11 +29,11 @@
 
 @attrs.frozen(kw_only=True)
 class ProbeEffects:
-    """What follows from a probe of another daemon.
+    """Results of a received probe.
 
     Attributes:
-        answer: to give at once.
-        sends: probes to make.
+        ack: acknowledgement to return to the sender.
+        probes: probes to send.
     """
 
     ack: ProbeAck
@@ -41,15 +42,16 @@
 
 @attrs.define(kw_only=True)
 class Membership:
-    """The controller of one daemon's membership.
+    """Membership controller of one daemon.
 
-    Call `step` several times a period; carry out what each method returns.
+    The adapter calls `step` several times per period and sends the probes that
+    each method returns.
 
     Attributes:
-        policy: times and bounds.
-        view: what this daemon believes of the fleet.
-        prober: the outstanding calls.
-        schedule: whom to probe when.
+        policy: times and limits.
+        view: known members and pending updates.
+        prober: outstanding probes.
+        schedule: targets and times of probes.
     """
 
     policy: MembershipPolicy
@@ -61,17 +63,17 @@
 
     @property
     def health(self) -> LocalHealth:
-        """How far this daemon trusts its own timing."""
+        """The local health score."""
         return self.prober.health
 
     def step(self, now_ms: float) -> tuple[SendProbe, ...]:
-        """Move on to `now_ms`: time out, and probe if the period is over."""
+        """Handle expired timers at `now_ms` and return the due probes."""
         self._handle_step_lag(now_ms)
         self.view.handle_timers(now_ms)
         return self.schedule.take_due_probes(now_ms)
 
     def on_probe(self, message: ProbeMessage, now_ms: float) -> ProbeEffects:
-        """Take in a probe of another daemon."""
+        """Apply a probe of another daemon."""
         self.view.apply_probe(message.sender, now_ms)
         self._apply_claims(message.gossip, now_ms)
         members_to_sync = self.view.table.members_to_sync(
@@ -99,7 +101,7 @@
         ack: ProbeAck,
         now_ms: float,
     ) -> tuple[SendProbe, ...]:
-        """Take in the answer to a `SendProbe`."""
+        """Apply the acknowledgement of a `SendProbe`."""
         epoch = self.view.table.epoch
         outcome = self.prober.record_ack(probe_id, ack, now_ms)
         self.view.apply_ack(ack.sender, now_ms)
@@ -115,33 +117,33 @@
         *,
         refused: bool,
     ) -> tuple[SendProbe, ...]:
-        """Take in that a `SendProbe` was not answered.
+        """Handle a `SendProbe` without an acknowledgement.
 
         Args:
-            call: the number of the order.
-            now_ms: when the adapter gave up.
-            refused: whether the address refused the connection, which shows
-                that nobody listens there.
+            probe_id: number of the probe.
+            now_ms: time of the failure.
+            refused: whether the address refused the connection, which proves
+                that no process listens there.
         """
         outcome = self.prober.record_failure(probe_id, now_ms, refused=refused)
         return self._follow_up(outcome, now_ms)
 
     def relay(self, name: str, now_ms: float) -> SendProbe | None:
-        """Probe a member for another daemon, none if it is unknown."""
+        """Probe a member for another daemon; none for an unknown member."""
         target = self.view.table.get(name)
         if target is None or self.prober.is_full:
             return None
         return self.prober.send_gossip(target, now_ms)
 
     def on_unreachable(self, name: str) -> None:
-        """Take a hint, for instance of a failed sub-query, and verify it."""
+        """Verify a member that another component failed to reach."""
         known = self.view.table.get(name)
         if known is not None and known.state is MemberStatus.ALIVE:
             suspicion = known.with_state(MemberStatus.SUSPECT)
             self.schedule.extra_probes.add_claim(suspicion)
 
     def set_seeds(self, seeds: Iterable[Member]) -> None:
-        """Take what the lagging VM list shows, as addresses to try."""
+        """Replace the seeds with members from the VM list."""
         own_name = self.view.local.name
         self.schedule.seeds = {
             seed.name: seed for seed in seeds if seed.name != own_name
@@ -188,7 +190,7 @@
     policy: MembershipPolicy,
     rng: random.Random,
 ) -> Membership:
-    """Build the controller of the daemon that `local` describes."""
+    """Build the membership controller of the daemon with the record `local`."""
     view = fleet_view(local, policy)
     prober = Prober(
         policy=policy,
--- a/packages/fennelfork/src/fennelfork/membership/_messages.py
+++ b/packages/fennelfork/src/fennelfork/membership/_messages.py
@@ -1,4 +1,4 @@
-"""What daemons say to each other about membership."""
+"""Messages of the membership protocol."""
 
 import attrs
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen(kw_only=True)
 class ProbeMessage:
-    """A question whether the receiver answers, with news.
+    """Probe with gossip that the receiver has to acknowledge.
 
     Attributes:
-        sender: the asking daemon's word about itself.
-        gossip: what it believes of some others, and claims to check.
-        digests: of its table, for the receiver to find what differs.
-        relay_to: name of a member to probe on the sender's behalf.
+        sender: record of the sending daemon.
+        gossip: updates about other members and claims to verify.
+        digests: digests of the sender's member table.
+        relay_to: name of a member to probe on behalf of the sender.
     """
 
     sender: Member
@@ -24,13 +24,13 @@
 
 @attrs.frozen(kw_only=True)
 class ProbeAck:
-    """The answer to a probe.
+    """Acknowledgement of a probe.
 
     Attributes:
-        sender: the answering daemon's word about itself.
-        gossip: what it believes of some others.
-        reached: whether the member of `relay_to` answered it.
-        more: whether tables differ in more than fitted into `gossip`.
+        sender: record of the acknowledging daemon.
+        gossip: updates about other members.
+        reached: whether the member of `relay_to` acknowledged a probe.
+        has_more: whether more members differ than `gossip` has room for.
     """
 
     sender: Member
@@ -41,13 +41,13 @@
 
 @attrs.frozen(kw_only=True)
 class SendProbe:
-    """Order to the adapter: call `target`, then report what came of it.
+    """Command to the adapter: send a probe and report the result.
 
     Attributes:
-        call: number to report the result under.
-        to: whom to call; a seed that is not yet a member has incarnation 0.
-        message: what to send.
-        timeout_ms: after which the call has failed.
+        probe_id: number that identifies the probe in the report.
+        target: receiver; a seed that is not yet a member has incarnation 0.
+        message: probe to send.
+        timeout_ms: time after which the probe has failed.
     """
 
     probe_id: int
@@ -58,7 +58,7 @@
 
 @attrs.frozen(kw_only=True)
 class MemberChange:
-    """A change of belief, for logs and counters."""
+    """Change of a member record, for logs and counters."""
 
     before: Member | None
     after: Member
--- a/packages/fennelfork/src/fennelfork/membership/_policy.py
+++ b/packages/fennelfork/src/fennelfork/membership/_policy.py
@@ -1,4 +1,4 @@
-"""Times and bounds of membership."""
+"""Times and limits of membership."""
 
 import math
 from typing import Final
@@ -10,30 +10,33 @@
 
 @attrs.frozen(kw_only=True)
 class MembershipPolicy:
-    """Times and bounds, the same in all daemons of a fleet.
+    """Times and limits, equal in all daemons of a fleet.
 
     Attributes:
-        period_ms: how often a daemon probes one member.
-        probe_timeout_ms: how long a probed member may take.
-        relay_extra_ms: how much longer a probe through a relay may take.
-        relays: how many relays try what did not answer.
-        suspicion_periods: periods from suspect to dead in a fleet of ten.
-        forget_ms: how long a dead member is remembered.
-        gossip_limit: members told of in one message.
-        gossip_repeats: how often a change is told, for each doubling of the
-            fleet.
-        agreement_weight: tellings that one daemon which evidently knows a
-            change counts for; news that all know dies out fast.
-        sync_limit: members given in one answer to differing digests.
-        reconnect_periods: how often a dead or unheard-of member is tried.
-        extra_a_second: rate of probes outside the period.
-        extra_burst: how many of them may go at once.
-        spread: how many members hear at once of a change this daemon made.
-        tell_a_step: members told in one step that this daemon leaves.
-        calls_limit: calls outstanding at most.
-        lag_ms: a step later than this is a sign that this daemon is slow.
-        reachable_periods: how long one probe from outside shows that others
-            can reach this daemon.
+        period_ms: interval between regular probes.
+        probe_timeout_ms: time for a direct probe to be acknowledged.
+        relay_timeout_extra_ms: additional time for a probe through a relay.
+        relay_count: number of relays that probe an unresponsive member.
+        suspicion_timeout_periods: periods from suspect to dead in a fleet of
+            ten members.
+        dead_retention_ms: time for which a dead member stays in the table.
+        max_gossip_updates: maximum number of updates in one message.
+        transmissions_per_doubling: transmissions of a change for each
+            doubling of the fleet.
+        agreement_weight: transmissions to count for a peer that already knows
+            a change, so that gossip about common knowledge ends early.
+        max_synced_members: maximum number of members in one acknowledgement
+            that answers different digests.
+        reconnect_periods: periods between probes of a dead member or a seed
+            that is not a member.
+        extra_probes_per_s: rate limit of extra probes.
+        extra_probe_burst: maximum burst of extra probes.
+        gossip_fanout: number of members to probe at once with a local change.
+        leave_probes_per_step: number of leave announcements per step.
+        max_outstanding_probes: maximum number of outstanding probes.
+        max_step_lag_ms: delay of a step that indicates a slow local daemon.
+        reachable_periods: periods for which one received probe shows that
+            other daemons can reach the local one.
     """
 
     period_ms: float = 1000
@@ -56,14 +59,14 @@
     reachable_periods: float = 5
 
     def suspicion_timeout_ms(self, size: int) -> float:
-        """Give the time from suspect to dead in a fleet of `size`.
+        """Return the time from suspect to dead in a fleet of `size` members.
 
-        News needs a number of periods that grows with the logarithm of the
-        fleet's size; so does the time a member has to refute.
+        Gossip takes a number of periods that grows with the logarithm of the
+        fleet size, and so does the time a member needs to refute a suspicion.
         """
         scale = max(_MIN_SCALE, math.log10(max(size, 1)))
         return self.suspicion_timeout_periods * scale * self.period_ms
 
     def max_transmissions(self, size: int) -> int:
-        """Give how often one change is told in a fleet of `size`."""
+        """Return the transmissions of a change in a fleet of `size`."""
         return self.transmissions_per_doubling * math.ceil(math.log2(size + 1))
--- a/packages/fennelfork/src/fennelfork/membership/_probe_order.py
+++ b/packages/fennelfork/src/fennelfork/membership/_probe_order.py
@@ -1,4 +1,4 @@
-"""In which order members are probed."""
+"""Order in which members are probed."""
 
 import random
 
@@ -10,10 +10,10 @@
 
 @attrs.define(kw_only=True)
 class ProbeOrder:
-    """A random permutation of the members, a fresh one after each pass.
+    """Random permutation of the members, shuffled anew after each pass.
 
-    So each member is probed once in a pass by each other one, and the time
-    until somebody probes a given member does not grow with the fleet.
+    Each member is probed once per pass, so the time until some daemon probes a
+    given member does not grow with the fleet.
     """
 
     own_name: str
@@ -21,12 +21,12 @@
     _remaining: list[str] = attrs.field(factory=list)
 
     def add(self, name: str) -> None:
-        """Put a new member at a random place of the running pass."""
+        """Insert a new member at a random position of the current pass."""
         place = self._rng.randint(0, len(self._remaining))
         self._remaining.insert(place, name)
 
     def take_next(self, table: MemberTable) -> str | None:
-        """Give the next member that is not dead, none if there is none."""
+        """Return the next member that is not dead, or none."""
         while self._remaining:
             name = self._remaining.pop()
             if self._is_eligible(table, name):
--- a/packages/fennelfork/src/fennelfork/membership/_prober.py
+++ b/packages/fennelfork/src/fennelfork/membership/_prober.py
@@ -1,4 +1,4 @@
-"""Reaching one member: directly, then through relays, then accusing it."""
+"""Failure detection: direct probes, indirect probes and suspicion."""
 
 import enum
 import random
@@ -25,13 +25,13 @@
 
 @attrs.define(kw_only=True)
 class _ProbeRound:
-    """One attempt to reach a member by all ways.
+    """Direct and indirect probes of one member.
 
     Attributes:
         target: name of the member.
-        incarnation: the one that is to be accused.
-        rumoured: whether another daemon already failed to reach it.
-        pending: relays that have not reported.
+        incarnation: incarnation to suspect after a failure.
+        is_reported: whether another daemon already failed to reach the member.
+        pending: number of relays without a report.
     """
 
     target: str
@@ -49,11 +49,11 @@
 
 @attrs.frozen(kw_only=True)
 class ProbeOutcome:
-    """What follows from the result of a call.
+    """Results of a finished probe.
 
     Attributes:
-        accused: whether a member is now suspected that was not before.
-        sends: further probes to make.
+        is_newly_suspected: whether the member became suspect.
+        probes: further probes to send.
     """
 
     is_newly_suspected: bool = False
@@ -62,7 +62,7 @@
 
 @attrs.define(kw_only=True)
 class Prober:
-    """Keeps the outstanding calls and draws conclusions from them."""
+    """Outstanding probes and the conclusions from their results."""
 
     policy: MembershipPolicy
     view: FleetView
@@ -73,7 +73,7 @@
 
     @property
     def has_gossip_outstanding(self) -> bool:
-        """Whether a call that only carries news is outstanding."""
+        """Whether a probe that only carries gossip is outstanding."""
         return any(
             probe.kind is _ProbeKind.GOSSIP
             for probe in self._outstanding.values()
@@ -81,18 +81,18 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further call may be made now."""
+        """Whether the limit on outstanding probes is reached."""
         return len(self._outstanding) >= self.policy.max_outstanding_probes
 
     def probe_directly(self, target: Member, now_ms: float) -> SendProbe:
-        """Probe a member; if it stays silent, try relays."""
+        """Probe a member; a failure starts indirect probes through relays."""
         return self._send(_ProbeKind.DIRECT, target, _new_round(target), now_ms)
 
     def verify_claim(self, claim: Member, now_ms: float) -> SendProbe | None:
-        """Probe a member that another daemon doubts, and tell it so.
+        """Probe a suspect member and forward the claim about it.
 
         Returns:
-            None if the claim is overtaken by what is known.
+            None if the claim is older than the known record.
         """
         known = self.view.table.get(claim.name)
         if known is None or known.incarnation > claim.incarnation:
@@ -105,17 +105,17 @@
         )
 
     def send_gossip(self, target: Member, now_ms: float) -> SendProbe:
-        """Call a member to pass on news; silence means nothing."""
+        """Send gossip to a member; a failure has no consequences."""
         return self._send(_ProbeKind.GOSSIP, target, _new_round(target), now_ms)
 
     def discard_outstanding(self) -> None:
-        """Draw no conclusion from the calls that are outstanding."""
+        """Discard the outstanding probes and ignore their results."""
         self._outstanding.clear()
 
     def record_ack(
         self, probe_id: int, ack: ProbeAck, now_ms: float
     ) -> ProbeOutcome:
-        """Conclude from an answer; its gossip is not looked at here."""
+        """Handle an acknowledgement, apart from its gossip."""
         finished = self._outstanding.pop(probe_id, None)
         if finished is None:
             return ProbeOutcome()
@@ -131,7 +131,7 @@
     def record_failure(
         self, probe_id: int, now_ms: float, *, refused: bool
     ) -> ProbeOutcome:
-        """Conclude from a call that was refused or not answered in time."""
+        """Handle a probe that was refused or timed out."""
         finished = self._outstanding.pop(probe_id, None)
         if finished is None:
             return ProbeOutcome()
@@ -143,7 +143,7 @@
                 finished.probe_round, now_ms, refused
             )
         if finished.kind is _ProbeKind.RELAYED:
-            # A relay reports in time even of a member it does not reach.
+            # A relay acknowledges even if the target does not respond.
             self.health.degrade()
             return self._handle_relay_failure(finished.probe_round, now_ms)
         return ProbeOutcome()
@@ -221,7 +221,7 @@
 
 
 def _is_from_other_daemon(probe: _OutstandingProbe, ack: ProbeAck) -> bool:
-    """Tell whether another daemon now has the address that was probed."""
+    """Return whether another daemon now uses the probed address."""
     if probe.kind is not _ProbeKind.DIRECT:
         return False
     return ack.sender.name != probe.probe_round.target
--- a/packages/fennelfork/src/fennelfork/membership/_schedule.py
+++ b/packages/fennelfork/src/fennelfork/membership/_schedule.py
@@ -1,4 +1,4 @@
-"""Whom to probe when: the regular period, seeds, and extra probes."""
+"""Schedule of regular probes, probes of seeds and extra probes."""
 
 import random
 from collections.abc import Iterator, Mapping
@@ -20,11 +20,11 @@
 
 @attrs.define(kw_only=True)
 class ProbeSchedule:
-    """Decides which probes are due.
+    """Selection of the probes that are due.
 
     Attributes:
-        errands: extra probes that wait for their turn.
-        seeds: members by name as the VM list shows them.
+        extra_probes: pending extra probes.
+        seeds: members by name from the VM list of the platform.
     """
 
     extra_probes: ExtraProbes
@@ -40,7 +40,7 @@
     _ordered_epoch: int = 0
 
     def take_due_probes(self, now_ms: float) -> tuple[SendProbe, ...]:
-        """Give the probes of the period, if it is over, and extra ones."""
+        """Return regular probes at the end of a period, and extra probes."""
         probes = list(self._leave_probes(now_ms))
         if now_ms >= self._next_period_ms:
             self._next_period_ms = now_ms + self._period_ms()
@@ -50,11 +50,11 @@
         return (*probes, *self.take_extra_probes(now_ms))
 
     def take_extra_probes(self, now_ms: float) -> tuple[SendProbe, ...]:
-        """Give the extra probes that may be made now."""
+        """Return the extra probes that the limits allow now."""
         return (*self._claim_probes(now_ms), *self._gossip_probes(now_ms))
 
     def add_new_members(self) -> None:
-        """Give members that are new to the table a place in the order."""
+        """Add new members of the table to the probe order."""
         epoch = self._view.table.epoch
         if epoch == self._ordered_epoch:
             return
@@ -65,7 +65,7 @@
         self._ordered_names = names
 
     def announce_leave_to_all(self) -> None:
-        """Have each member told in person what this daemon says of itself."""
+        """Queue a leave announcement to every member that is not dead."""
         own_name = self._view.local.name
         self.extra_probes.leave_targets = [
             member.name
@@ -74,7 +74,7 @@
         ]
 
     def sample_healthy(self, count: int) -> list[Member]:
-        """Give up to `count` random members that are not doubted."""
+        """Return up to `count` random healthy other members."""
         healthy_members = self._healthy_others()
         return self._rng.sample(
             healthy_members, min(count, len(healthy_members))
--- a/packages/fennelfork/src/fennelfork/membership/_timers.py
+++ b/packages/fennelfork/src/fennelfork/membership/_timers.py
@@ -1,39 +1,39 @@
-"""When a suspect is held for dead, and when the dead are forgotten."""
+"""Timers of suspect members and of the removal of dead ones."""
 
 import attrs
 
 
 @attrs.define(kw_only=True)
 class SuspicionTimers:
-    """The times that run for suspect and dead members, by name."""
+    """Timers of suspect and dead members by name."""
 
     _suspect_until_ms: dict[str, float] = attrs.field(factory=dict)
     _dead_since_ms: dict[str, float] = attrs.field(factory=dict)
 
     def start_suspicion(self, name: str, dead_at_ms: float) -> None:
-        """Hold `name` for dead at `dead_at_ms`, or earlier if so before."""
+        """Start the timer of a suspect member unless one is running."""
         self._suspect_until_ms.setdefault(name, dead_at_ms)
 
     def record_death(self, name: str, now_ms: float) -> None:
-        """Note that `name` is held for dead from now on."""
+        """Record the death of the member `name`."""
         self._suspect_until_ms.pop(name, None)
         self._dead_since_ms[name] = now_ms
 
     def clear(self, name: str) -> None:
-        """Note that `name` is well."""
+        """Stop all timers of the member `name`."""
         self._suspect_until_ms.pop(name, None)
         self._dead_since_ms.pop(name, None)
 
     def take_expired_suspects(self, now_ms: float) -> list[str]:
-        """Give the suspects whose time is over, and stop their timers."""
+        """Remove and return the suspects with an expired timer."""
         return _take_expired(self._suspect_until_ms, now_ms)
 
     def take_expired_dead(self, died_before_ms: float) -> list[str]:
-        """Give the members dead since `died_before_ms`, and drop them."""
+        """Remove and return the members that died by `died_before_ms`."""
         return _take_expired(self._dead_since_ms, died_before_ms)
 
     def extend_suspicions(self, by_ms: float) -> None:
-        """Give all suspects more time."""
+        """Extend the timers of all suspects."""
         for name in self._suspect_until_ms:
             self._suspect_until_ms[name] += by_ms
 
--- a/packages/fennelfork/src/fennelfork/membership/_view.py
+++ b/packages/fennelfork/src/fennelfork/membership/_view.py
@@ -1,4 +1,4 @@
-"""What a daemon believes of the fleet."""
+"""The local daemon's view of the fleet."""
 
 from collections.abc import Iterable
 
@@ -16,13 +16,13 @@
 
 @attrs.define(kw_only=True)
 class FleetView:
-    """The members, the suspicions that run, and the news to pass on.
+    """Known members, running suspicions and pending gossip.
 
     Attributes:
-        policy: times and bounds.
-        standing: this daemon's word about itself.
-        table: all members, this daemon among them.
-        timers: of suspect and dead members.
+        policy: times and limits.
+        local_member: record of the local daemon and its refutations.
+        table: all members, including the local daemon.
+        timers: timers of suspect and dead members.
     """
 
     policy: MembershipPolicy
@@ -34,11 +34,11 @@
 
     @property
     def local(self) -> Member:
-        """This daemon's word about itself."""
+        """The record of the local daemon."""
         return self.local_member.record
 
     def update_local(self, local: Member) -> None:
-        """Say something new of this daemon, and pass it on."""
+        """Replace the record of the local daemon and gossip a change."""
         known = self.table.get(local.name)
         self.local_member.record = local
         self.table.put(local)
@@ -53,10 +53,10 @@
         claims: Iterable[Member],
         now_ms: float,
     ) -> list[Member]:
-        """Take in what another daemon believes.
+        """Apply the claims of another daemon.
 
         Returns:
-            Claims about members to verify.
+            Claims to verify by a probe.
         """
         to_verify = []
         for claim in claims:
@@ -72,16 +72,16 @@
         return to_verify
 
     def apply_ack(self, sender: Member, now_ms: float) -> None:
-        """Take in the word of a member that answered this daemon."""
+        """Store the record of a member that acknowledged a probe."""
         known = self.table.get(sender.name)
         if known is None or sender.incarnation >= known.incarnation:
             self._store(sender, now_ms)
 
     def apply_probe(self, sender: Member, now_ms: float) -> None:
-        """Take in the word of a member that asked this daemon.
+        """Apply the record of a member that sent a probe.
 
-        It shows that others reach this daemon, not that others reach the
-        sender: that does not clear a suspicion.
+        A received probe shows that the local daemon is reachable. It does not
+        show that the sender is, so it does not clear a suspicion.
         """
         self.local_member.record_probe(now_ms)
         known = self.table.get(sender.name)
@@ -96,10 +96,10 @@
     def suspect_member(
         self, name: str, incarnation: int, now_ms: float
     ) -> bool:
-        """Suspect a member that neither this daemon nor a relay reached.
+        """Suspect a member after failed direct and indirect probes.
 
         Returns:
-            Whether that is news to this daemon.
+            Whether the member was alive before.
         """
         known = self.table.get(name)
         if known is None or known.incarnation != incarnation:
@@ -112,7 +112,7 @@
         return False
 
     def handle_timers(self, now_ms: float) -> None:
-        """Bury suspects whose time is over, forget the long dead."""
+        """Declare expired suspects dead and remove long-dead members."""
         for name in self.timers.take_expired_suspects(now_ms):
             known = self.table.get(name)
             if known is not None:
@@ -127,12 +127,13 @@
         received: Iterable[Member] = (),
         digests: bytes = b'',
     ) -> tuple[Member, ...]:
-        """Give what `peer` should hear, first of all what is said of it.
+        """Return the updates for a peer, claims about the peer first.
 
         Args:
-            peer: who will hear it.
-            heard: what it has just told, not to be told back.
-            digests: of its table; if equal to this one's, it knows all news.
+            peer: receiver of the updates.
+            received: updates from the peer, which are not sent back.
+            digests: digests of the peer's table; equal digests show that the
+                peer knows all pending updates.
         """
         matching = _matching_names(self.table, received)
         max_transmissions = self.policy.max_transmissions(self.table.live_count)
@@ -154,7 +155,7 @@
         return (*_claims_about(self.table, peer), *updates)
 
     def take_changes(self) -> tuple[MemberChange, ...]:
-        """Give the changes since the last time."""
+        """Remove and return the changes since the last call."""
         changes = tuple(self._changes)
         self._changes.clear()
         return changes
@@ -194,7 +195,7 @@
 
 
 def _claims_about(table: MemberTable, peer: Member) -> tuple[Member, ...]:
-    """Give what a member should hear of itself, if anything."""
+    """Return the claim that a member has to refute or adopt, if any."""
     known = table.get(peer.name)
     if known is None:
         return ()
--- a/packages/fennelfork/src/fennelfork/membership/_vm_list.py
+++ b/packages/fennelfork/src/fennelfork/membership/_vm_list.py
@@ -1,4 +1,4 @@
-"""When to read the platform's lagging VM list."""
+"""Schedule of reads of the platform's VM list."""
 
 import random
 from typing import Final
@@ -14,29 +14,31 @@
 
 @attrs.define(kw_only=True)
 class VmListSchedule:
-    """Spaces out the reads of the VM list.
+    """Intervals between reads of the VM list, with jitter and backoff.
 
-    The list is a seed and a hint. A daemon that knows no other reads it
-    often, a watcher of its data centre now and then, the rest rarely, so that
-    the platform's calls grow with data centres. Failures back off.
+    The list provides seeds and may lag behind. A daemon that knows no other
+    member reads the list often, a watcher of its data centre sometimes, the
+    other daemons rarely. The load on the platform thus grows with the number
+    of data centres.
 
     Attributes:
-        failures: reads that failed since the last that did not.
+        failures: number of failed reads since the last successful one.
     """
 
     failures: int = 0
     _rng: random.Random
 
     def record_read(self, *, succeeded: bool) -> None:
-        """Take in how a read ended."""
+        """Record the result of a read."""
         self.failures = 0 if succeeded else self.failures + 1
 
     def wait_ms(self, *, is_alone: bool, is_watching: bool) -> float:
-        """Give how long to wait, at random from half of the bound upwards.
+        """Return a random wait between half of an upper bound and the bound.
 
         Args:
-            alone: whether this daemon knows no other.
-            watching: whether it watches the platform for its data centre.
+            is_alone: whether the daemon knows no other member.
+            is_watching: whether the daemon watches the platform for its data
+                centre.
         """
         bound_ms: float = (
             _WATCHING_INTERVAL_MS if is_watching else _IDLE_INTERVAL_MS
--- a/packages/fennelfork/src/fennelfork/once/__init__.py
+++ b/packages/fennelfork/src/fennelfork/once/__init__.py
@@ -1,6 +1,6 @@
-"""Non-idempotent requests: run at most once, and a true word on whether.
+"""At-most-once execution of non-idempotent requests, with reliable verdicts.
 
-The public names stand in `__init__.pyi`; each is loaded when first used.
+`__init__.pyi` lists the public names; each is loaded on first use.
 """
 
 import lazy_loader
--- a/packages/fennelfork/src/fennelfork/once/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/once/__init__.pyi
@@ -1,4 +1,4 @@
-"""Non-idempotent requests: run at most once, and a true word on whether."""
+"""At-most-once execution of non-idempotent requests, with reliable verdicts."""
 
 from ._admission import AwaitRunning as AwaitRunning
 from ._admission import OnceAdmission as OnceAdmission
--- a/packages/fennelfork/src/fennelfork/once/_admission.py
+++ b/packages/fennelfork/src/fennelfork/once/_admission.py
@@ -1,4 +1,4 @@
-"""What to do with a non-idempotent request that came in."""
+"""Admission of a non-idempotent request that arrives at its daemon."""
 
 import functools
 
@@ -12,17 +12,21 @@
 
 @attrs.frozen(kw_only=True)
 class StartExecution:
-    """The request is new: whoever holds this runs it."""
+    """The request is new: start its execution."""
 
 
 @attrs.frozen(kw_only=True)
 class AwaitRunning:
-    """The request is being run: wait for that run."""
+    """The request is running: wait for the result."""
 
 
 @attrs.frozen(kw_only=True)
 class ReplayAnswer:
-    """The request has ended: give this answer."""
+    """The request has finished: return the stored answer.
+
+    Attributes:
+        answer: stored outcome or failure.
+    """
 
     answer: Result[str, Failure]
 
@@ -32,8 +36,8 @@
 
 @functools.singledispatch
 def admit_duplicate(state: OnceState) -> OnceAdmission:
-    """Decide on a repeat by the state of the first."""
-    raise TypeError(f'not a state: {state!r}')
+    """Decide on a duplicate request from the state of the first one."""
+    raise TypeError(f'unknown request state: {state!r}')
 
 
 @admit_duplicate.register
--- a/packages/fennelfork/src/fennelfork/once/_caller.py
+++ b/packages/fennelfork/src/fennelfork/once/_caller.py
@@ -1,7 +1,7 @@
-"""What the caller of a non-idempotent request may do next.
+"""Next steps of a caller that has sent a non-idempotent request.
 
-The system keeps a request id from running twice whatever callers do. That the
-same deed is not asked for under two ids is the caller's part, decided here.
+The daemons execute a request id at most once. The caller has to avoid a
+second id for the same operation; this module decides when a new id is safe.
 """
 
 import enum
@@ -14,11 +14,11 @@
 
 @enum.unique
 class CallerStep(enum.Enum):
-    """What to do next.
+    """Next step of the caller.
 
-    `ASK_AGAIN`: the same id under the same ticket, at any daemon. `RENEW`:
-    take a new ticket, and so a new id. `LOOK_UP`: ask no more; search for the
-    record once the ticket has ended. `STOP`: the outcome is known.
+    `ASK_AGAIN`: send the same id under the same ticket, to any daemon. `RENEW`:
+    obtain a new ticket, and thus use a new id. `LOOK_UP`: stop sending and read
+    the record after the ticket has expired. `STOP`: the outcome is known.
     """
 
     ASK_AGAIN = 'ask_again'
@@ -29,21 +29,21 @@
 
 @attrs.frozen(kw_only=True)
 class ConnectFailed:
-    """No connection could be opened, so no byte left the caller."""
+    """No connection could be opened, so no byte of the request was sent."""
 
 
 @attrs.frozen(kw_only=True)
 class AnswerLost:
-    """Something may have been sent, and no whole answer came back."""
+    """The request may have been sent, and no complete answer arrived."""
 
 
 @attrs.frozen(kw_only=True)
 class AnswerReceived:
-    """The system answered; without an outcome, it gave a verdict.
+    """An answer arrived, with an outcome or with the verdict of an error.
 
     Attributes:
-        verdict: `RAN` with the outcome, or that of the error.
-        has_outcome: whether the outcome came along.
+        verdict: `RAN` with an outcome, otherwise the verdict of the error.
+        has_outcome: whether the answer contains the outcome.
     """
 
     verdict: Verdict
@@ -55,10 +55,10 @@
 
 @attrs.define(kw_only=True)
 class OnceCaller:
-    """One deed that a caller wants done at most once.
+    """One operation that a caller wants executed at most once.
 
     Attributes:
-        in_doubt: whether an attempt under the present ticket may have run.
+        is_in_doubt: whether an attempt under the current ticket may have run.
     """
 
     is_in_doubt: bool = False
@@ -66,12 +66,12 @@
     def next_step(
         self, event: CallerEvent, ticket_left_ms: float
     ) -> CallerStep:
-        """Decide on the next step.
+        """Return the next step after an event.
 
         Args:
-            event: what came of the last attempt.
-            ticket_left_ms: what is left of `ticket_ms`, counted by the caller
-                from when the ticket arrived.
+            event: result of the last attempt.
+            ticket_left_ms: remainder of `ticket_ms`, counted from the arrival
+                of the ticket.
         """
         step = _next_step(event, self.is_in_doubt)
         self.is_in_doubt = step is CallerStep.ASK_AGAIN
@@ -82,7 +82,7 @@
 
 @functools.singledispatch
 def _next_step(event: CallerEvent, is_in_doubt: bool) -> CallerStep:
-    raise TypeError(f'not an event: {event!r}')
+    raise TypeError(f'unknown caller event: {event!r}')
 
 
 @_next_step.register
--- a/packages/fennelfork/src/fennelfork/once/_gate.py
+++ b/packages/fennelfork/src/fennelfork/once/_gate.py
@@ -1,4 +1,4 @@
-"""The way of a non-idempotent request into the incarnation that may run it."""
+"""Routing and admission of non-idempotent requests in one incarnation."""
 
 import random
 
@@ -28,15 +28,15 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteRequest:
-    """A non-idempotent request as a caller sends it.
+    """Non-idempotent request of a caller.
 
     Attributes:
-        request_id: the caller's name of it, bound to the ticket.
-        ticket: text of the ticket it is sent under.
-        front: the search front that holds the record.
-        key: the record that it acts on.
-        action: what to do, as the backend server understands it.
-        tenant: on whose behalf.
+        request_id: id that the caller chose and bound to the ticket.
+        ticket: text of the ticket.
+        front: search front that contains the record.
+        key: key of the record that the request changes.
+        action: action in the terms of the backend server.
+        tenant: tenant of the caller.
     """
 
     request_id: str
@@ -49,12 +49,17 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteLocally:
-    """This incarnation issued the ticket."""
+    """The local incarnation issued the ticket and decides on the request."""
 
 
 @attrs.frozen(kw_only=True)
 class ForwardToPeer:
-    """Another live incarnation issued the ticket; only it may decide."""
+    """Another incarnation issued the ticket and has to decide on the request.
+
+    Attributes:
+        daemon: name of the daemon in the ticket.
+        incarnation: incarnation of that daemon in the ticket.
+    """
 
     daemon: str
     incarnation: int
@@ -62,7 +67,7 @@
 
 @attrs.define(kw_only=True)
 class OnceGate:
-    """Tickets and memory of one incarnation, which begin and end together."""
+    """Ticket issuer and request table of one incarnation."""
 
     _key: TicketKey
     _clock: Clock
@@ -72,45 +77,46 @@
 
     @property
     def table(self) -> OnceTable:
-        """The request ids taken by this incarnation."""
+        """The request ids that this incarnation has accepted."""
         return self._table
 
     def issue(self, lifetime_ms: int) -> Ticket | None:
-        """Issue a ticket, or none once the incarnation is leaving."""
+        """Issue a ticket, or none after `stop_issuing`."""
         if self._is_closed:
             return None
         return issue_ticket(self._key, self._clock, self._rng, lifetime_ms)
 
     def stop_issuing(self) -> None:
-        """Issue no more tickets; requests under issued ones are still taken.
+        """Stop issuing tickets and still accept requests under issued ones.
 
-        A leaving daemon serves until what it gave out has expired.
+        A draining daemon serves until its tickets have expired.
         """
         self._is_closed = True
 
     def refuse_new_requests(self) -> None:
-        """Refuse every request not yet known, for good, before exiting."""
+        """Refuse unknown request ids permanently, before the process exits."""
         self._is_closed = True
         self._table.close_issued_tickets()
 
     def route(
         self, request: ExecuteRequest
     ) -> Result[ExecuteLocally | ForwardToPeer, Failure]:
-        """Decide which incarnation answers a request that came in here.
+        """Return the incarnation that decides on a request.
 
         Returns:
-            Where to decide it; or a failure, if its id is not bound to its
-            ticket, or the ticket is of a former run of this daemon.
+            The place of the decision, or a failure: the request id is not
+            bound to the ticket, or an earlier incarnation of the local daemon
+            issued the ticket.
         """
         return check_binding(request.request_id, request.ticket).bind(
             self._route
         )
 
     def admit(self, request: ExecuteRequest) -> Result[OnceAdmission, Failure]:
-        """Decide on a request that came here, directly or passed on.
+        """Decide on a request that arrived directly or was forwarded.
 
         Returns:
-            What to do with it, or the failure to answer.
+            The admission decision or the failure to answer.
         """
         ticket = check_binding(request.request_id, request.ticket)
         return ticket.bind(self._check_ticket).bind(
@@ -146,10 +152,10 @@
     """Build the gate of a new incarnation.
 
     Args:
-        key: a key drawn for this incarnation.
+        key: secret key of the incarnation.
         clock: monotonic clock of the incarnation.
-        rng: source of the serials of tickets.
-        limits: bounds of what is remembered.
+        rng: source of ticket serials.
+        limits: limits of the request table.
     """
     return OnceGate(
         key=key,
--- a/packages/fennelfork/src/fennelfork/once/_response.py
+++ b/packages/fennelfork/src/fennelfork/once/_response.py
@@ -1,4 +1,4 @@
-"""What a backend server's reply proves about a non-idempotent request."""
+"""Classification of a backend server's response to an execute request."""
 
 import json
 from typing import Any, Final
@@ -17,10 +17,10 @@
     """One attempt at a backend server.
 
     Attributes:
-        request_id: the caller's id.
-        sub_query: tells this attempt from any other of the same request.
-        key: the record that it acts on.
-        action: what to do.
+        request_id: request id of the caller.
+        sub_query: id that distinguishes the attempts of one request.
+        key: key of the record that the request changes.
+        action: action in the terms of the backend server.
     """
 
     request_id: str
@@ -34,25 +34,27 @@
     status: int,
     body: bytes,
 ) -> Result[str, Failure]:
-    """Tell what came of an attempt whose reply arrived.
+    """Classify the response to an attempt.
 
     Args:
-        call: the attempt that the connection was used for.
-        status: HTTP status of the reply.
-        body: body of the reply.
+        call: attempt that used the connection.
+        status: HTTP status of the response.
+        body: body of the response.
 
     Returns:
-        The outcome, or a failure. It says `NOT_RUN` only if the reply is
-        about this very attempt and says so itself.
+        The outcome or a failure. The verdict is `NOT_RUN` only if the response
+        names this attempt and contains that verdict.
     """
     document = _parse_body(body)
     if not _matches_attempt(call, document):
-        return _bad_response('the reply is about another request')
+        return _bad_response('the response is for another attempt')
     if status != _OK:
         return Failed(_parse_failure(document))
     outcome = document.get('outcome')
     if document.get('key') != call.key or not isinstance(outcome, str):
-        return _bad_response('the reply has no outcome of this key')
+        return _bad_response(
+            'the response has no outcome for the key of the request'
+        )
     return Success(outcome)
 
 
@@ -66,7 +68,7 @@
     return Failure(
         code=_parse_code(document.get('code')),
         verdict=_parse_verdict(document.get('verdict')),
-        detail=str(document.get('detail', 'the server gave no reason')),
+        detail=str(document.get('detail', 'the backend server gave no reason')),
         retry_after_ms=(
             retry_after_ms if isinstance(retry_after_ms, int) else None
         ),
--- a/packages/fennelfork/src/fennelfork/once/_state.py
+++ b/packages/fennelfork/src/fennelfork/once/_state.py
@@ -1,4 +1,4 @@
-"""States of a non-idempotent request in the incarnation that took it."""
+"""States of a non-idempotent request in the incarnation that accepted it."""
 
 import attrs
 
@@ -13,24 +13,32 @@
 
 @attrs.frozen(kw_only=True)
 class Accepted:
-    """Taken, and no byte of it sent."""
+    """The request is accepted and no byte has been sent."""
 
 
 @attrs.frozen(kw_only=True)
 class Sent:
-    """On its way to a backend server, or being run there."""
+    """The request is in flight to a backend server or running there."""
 
 
 @attrs.frozen(kw_only=True)
 class Done:
-    """Ran, with the outcome that the backend server gave."""
+    """The request ran.
+
+    Attributes:
+        outcome: outcome from the backend server.
+    """
 
     outcome: str
 
 
 @attrs.frozen(kw_only=True)
 class Ended:
-    """Failed for good."""
+    """The request ended with a failure.
+
+    Attributes:
+        failure: failure to answer, including to duplicates.
+    """
 
     failure: Failure
 
@@ -39,15 +47,15 @@
 
 
 def is_open(state: OnceState) -> bool:
-    """Tell whether the request has not ended."""
+    """Return whether the request has not ended."""
     return isinstance(state, Accepted | Sent)
 
 
 def conflict(state: OnceState) -> Failure:
-    """Build the failure of an id that was used for another request."""
+    """Build the failure of an id that was used with other content."""
     failure = may_have_run(
         FailureCode.CONFLICT,
-        'the request id was used before, for something else',
+        'the request id was used before with other content',
     )
     if isinstance(state, Done):
         return failure.with_verdict(Verdict.RAN)
@@ -57,19 +65,24 @@
 
 
 def ticket_expired() -> Failure:
-    """Build the failure of a request that came after its ticket ended."""
-    return not_run(FailureCode.TICKET, 'the ticket expired; take a new one')
+    """Build the failure of a request under an expired ticket."""
+    return not_run(
+        FailureCode.TICKET, 'the ticket has expired; request a new ticket'
+    )
 
 
 def ticket_closed() -> Failure:
     """Build the failure of a new request under a closed ticket."""
     return not_run(
         FailureCode.QUEUE_FULL,
-        'the ticket takes no new requests; take a new one',
+        'the ticket accepts no new requests; request a new ticket',
     )
 
 
 def outcome_too_long() -> Failure:
-    """Build what a repeat is told when the outcome could not be kept."""
-    failure = may_have_run(FailureCode.BAD_REPLY, 'it ran; outcome too long')
+    """Build the failure of a request with an outcome too long to keep."""
+    failure = may_have_run(
+        FailureCode.BAD_REPLY,
+        'the request ran; its outcome is too long to keep',
+    )
     return failure.with_verdict(Verdict.RAN)
--- a/packages/fennelfork/src/fennelfork/once/_table.py
+++ b/packages/fennelfork/src/fennelfork/once/_table.py
@@ -1,7 +1,8 @@
-"""What one incarnation remembers of the non-idempotent requests it took.
+"""Request ids and states in one incarnation, for at-most-once execution.
 
-A verdict speaks of the request id, not of the attempt: `NOT_RUN` is said only
-here, by the incarnation that the ticket names, and closes the id for good.
+A verdict applies to the request id rather than to an attempt. Only the
+incarnation in the ticket answers `NOT_RUN`, and then refuses the id
+permanently.
 """
 
 import math
@@ -42,12 +43,12 @@
 
 @attrs.frozen(kw_only=True)
 class OnceLimits:
-    """Bounds of what is remembered.
+    """Limits of the request table.
 
     Attributes:
-        entries: how many request ids at once.
-        outcome_chars: the longest outcome that is kept for a repeat.
-        grace_ms: how long after the expiry of its ticket an id is kept.
+        max_entries: maximum number of request ids.
+        max_outcome_chars: maximum length of an outcome kept for duplicates.
+        grace_ms: time for which an id stays after the expiry of its ticket.
     """
 
     max_entries: int = 4096
@@ -57,11 +58,11 @@
 
 @attrs.frozen(kw_only=True)
 class OnceRequest:
-    """A request as the table tells it from others.
+    """Id and content hash of a request.
 
     Attributes:
-        request_id: the id, bound to a ticket.
-        content_hash: hash of all that the request asks for.
+        request_id: id that is bound to a ticket.
+        content_hash: hash of the complete content of the request.
     """
 
     request_id: str
@@ -77,23 +78,23 @@
 
 @attrs.define(kw_only=True)
 class OnceTable:
-    """The request ids of one incarnation; lost with it, as its tickets are."""
+    """Request ids of one incarnation, held in memory only."""
 
     _clock: Clock
     _limits: OnceLimits
     _entries: dict[str, _Entry] = attrs.field(factory=dict)
-    # (reading at which the id may be forgotten, id), the earliest first.
+    # Pairs (time of removal in ms, request id), earliest first.
     _removal_times: SortedList = attrs.field(factory=SortedList)
-    # Ids unknown to the table are refused under tickets issued up to here.
+    # Tickets issued up to this time accept no new request ids.
     _closed_until_ms: int = _NEVER_MS
 
     @property
     def size(self) -> int:
-        """How many ids are remembered."""
+        """The number of request ids in the table."""
         return len(self._entries)
 
     def state(self, request_id: str) -> OnceState | None:
-        """Give the state of an id, or none if it is not remembered."""
+        """Return the state of a request id, or none for an unknown id."""
         entry = self._entries.get(request_id)
         return None if entry is None else entry.state
 
@@ -102,14 +103,14 @@
         ticket: Ticket,
         request: OnceRequest,
     ) -> Result[OnceAdmission, Failure]:
-        """Decide on a request that came with a genuine ticket of its id.
+        """Decide on a request with a valid ticket that is bound to its id.
 
         Args:
-            ticket: passed by `check_binding` and `check_ticket`.
-            request: the request.
+            ticket: ticket that passed `check_binding` and `check_ticket`.
+            request: id and content hash of the request.
 
         Returns:
-            What to do with it, or the failure to answer.
+            The admission decision or the failure to answer.
         """
         self._remove_expired()
         entry = self._entries.get(request.request_id)
@@ -120,20 +121,20 @@
         return Success(admit_duplicate(entry.state))
 
     def begin_send(self, request_id: str) -> Result[float, Failure]:
-        """Decide, immediately before the first byte, whether to send.
+        """Decide, immediately before the first byte, whether to send a request.
 
         Returns:
-            The milliseconds within which the run must start, or the failure
-            that the request has now ended with, or had ended with before.
+            The time in milliseconds within which execution must start, or the
+            failure that the request ended with.
 
         Raises:
-            ValueError: if the request was sent already.
+            ValueError: if the request was already sent.
         """
         entry = self._entries[request_id]
         if isinstance(entry.state, Ended):
             return Failed(entry.state.failure)
         if not isinstance(entry.state, Accepted):
-            raise ValueError(f'sent already: {request_id}')
+            raise ValueError(f'the request {request_id!r} was sent already')
         left_ms = entry.expires_ms - self._clock.now_ms()
         if left_ms <= 0:
             entry.state = Ended(failure=ticket_expired())
@@ -142,31 +143,32 @@
         return Success(left_ms)
 
     def revert_send(self, request_id: str) -> None:
-        """Note a backend server's own word that it did not run the request."""
+        """Record that the backend server reported the request as not run."""
         entry = self._entries[request_id]
         if isinstance(entry.state, Sent):
             entry.state = Accepted()
 
     def record_outcome(self, request_id: str, outcome: str) -> None:
-        """Note the outcome of the run.
+        """Record the outcome of an execution.
 
         Raises:
             ValueError: if the request was not sent.
         """
         entry = self._entries[request_id]
         if not isinstance(entry.state, Sent):
-            raise ValueError(f'not sent: {request_id}')
+            raise ValueError(f'the request {request_id!r} was not sent')
         if len(outcome) > self._limits.max_outcome_chars:
             entry.state = Ended(failure=outcome_too_long())
             return
         entry.state = Done(outcome=outcome)
 
     def abandon(self, request_id: str, reason: Failure) -> Failure:
-        """End a request that will not be pursued.
+        """End a request with a failure.
 
         Args:
-            request_id: the request.
-            reason: why; its verdict is replaced by what the state proves.
+            request_id: id of the request.
+            reason: cause of the failure, whose verdict is replaced according to
+                the state of the request.
 
         Returns:
             The failure that the request ended with.
@@ -181,12 +183,12 @@
         return reason.with_verdict(Verdict.RAN)
 
     def abandon_unsent(self, request_id: str, reason: Failure) -> None:
-        """End a request of which no byte was sent; leave any other alone."""
+        """Abandon a request unless a byte of the request was sent."""
         if isinstance(self._entries[request_id].state, Accepted):
             self.abandon(request_id, reason)
 
     def close_issued_tickets(self) -> None:
-        """Refuse for good every unknown id under the tickets of up to now."""
+        """Refuse unknown request ids under all tickets issued so far."""
         self._closed_until_ms = math.floor(self._clock.now_ms())
 
     def _admit_new(
@@ -196,7 +198,11 @@
     ) -> Result[OnceAdmission, Failure]:
         now_ms = self._clock.now_ms()
         if now_ms >= self._removal_ms(ticket):
-            return Failed(unknown_outcome('the ticket ended long ago'))
+            return Failed(
+                unknown_outcome(
+                    'the ticket expired and its request ids were removed'
+                )
+            )
         if ticket.has_expired(now_ms):
             return Failed(ticket_expired())
         if ticket.terms.issued_ms <= self._closed_until_ms:
@@ -230,18 +236,18 @@
     """Build the empty table of a new incarnation.
 
     Args:
-        clock: monotonic clock of the incarnation, the one that dates tickets.
-        limits: bounds of what is remembered.
+        clock: monotonic clock of the incarnation, which also dates tickets.
+        limits: limits of the table.
     """
     return OnceTable(clock=clock, limits=limits or OnceLimits())
 
 
 def once_request(request_id: str, *content: str | int) -> OnceRequest:
-    """Build the table's view of a request.
+    """Build the id and content hash of a request.
 
     Args:
-        request_id: the id, bound to a ticket.
-        content: all that the request asks for, in a fixed order.
+        request_id: id that is bound to a ticket.
+        content: complete content of the request, in a fixed order.
     """
     digest = xxhash.xxh3_128_intdigest(repr(content).encode())
     return OnceRequest(request_id=request_id, content_hash=digest)
--- a/packages/fennelfork/src/fennelfork/once/_target.py
+++ b/packages/fennelfork/src/fennelfork/once/_target.py
@@ -1,4 +1,4 @@
-"""Which backend servers may run a non-idempotent request."""
+"""Selection of backend servers for a non-idempotent request."""
 
 import random
 from collections.abc import Iterable
@@ -11,7 +11,12 @@
 
 @attrs.frozen(kw_only=True)
 class NamedServer:
-    """A configured backend server under its name."""
+    """Configured backend server and its name.
+
+    Attributes:
+        name: name of the backend server in the shard.
+        server: settings of the backend server.
+    """
 
     name: str
     server: Server
@@ -24,17 +29,18 @@
     data_centre: str,
     rng: random.Random,
 ) -> tuple[NamedServer, ...]:
-    """List the servers that hold a record, the best first.
+    """Return the backend servers that hold a record, best first.
 
-    While records move, the shard that holds the record at the newest snapshot
-    comes first; each server refuses what it no longer holds.
+    While a record moves, several shards may hold the record; the shard with the
+    newest snapshot comes first. A backend server refuses a record that it no
+    longer holds.
 
     Args:
         front: settings of the front.
-        views: what each of its shards holds.
-        key: the record.
-        data_centre: where this daemon runs; its own servers come first.
-        rng: spreads the load over equal servers.
+        views: key ranges that each shard of the front holds.
+        key: key of the record.
+        data_centre: data centre of the local daemon, whose servers come first.
+        rng: source of the random order of equal servers.
     """
     newest = {
         view.shard: version
@@ -51,7 +57,7 @@
 
 
 def _newest_version(view: ShardView, key: int) -> int | None:
-    """Give the newest snapshot at which a shard holds a record."""
+    """Return the newest snapshot in which a shard holds a record."""
     versions = (
         snapshot.version
         for snapshot in view.snapshots
--- a/packages/fennelfork/tests/core_builders_fleet.py
+++ b/packages/fennelfork/tests/core_builders_fleet.py
@@ -1,4 +1,4 @@
-"""Builders of members for the tests of the fleet."""
+"""Builders of members for tests of the fleet."""
 
 from hypothesis import strategies as st
 
@@ -15,7 +15,7 @@
     incarnation: int = 1,
     config_version: int = 1,
 ) -> Member:
-    """Build a member whose addresses follow from its name."""
+    """Build a member with addresses derived from its name."""
     return Member(
         name=name,
         incarnation=incarnation,
@@ -38,7 +38,7 @@
 
 
 def fleets(max_size: int = 12) -> st.SearchStrategy[list[Member]]:
-    """Give fleets with distinct names and any states."""
+    """Return a strategy for fleets with distinct names and any states."""
     return st.lists(
         st.builds(
             a_member,
--- a/packages/fennelfork/tests/core_builders_network.py
+++ b/packages/fennelfork/tests/core_builders_network.py
@@ -1,8 +1,7 @@
-"""Messages between membership controllers, moved by hand in one thread.
+"""Simulated network between membership controllers, in virtual time.
 
-Not a model of a cluster: the controllers are the product's own, and this
-module only carries their calls, in virtual time, along links that a test
-cuts.
+The controllers are those of the product. The network delivers their probes
+and drops those on links that a test has cut.
 """
 
 import heapq
@@ -32,7 +31,17 @@
 
 @attrs.define(kw_only=True)
 class Node:
-    """One daemon: its controller and whether it runs."""
+    """Simulated daemon.
+
+    Attributes:
+        name: name of the daemon.
+        fleet: membership controller.
+        is_up: whether the process runs.
+        is_paused: whether the process is suspended.
+        is_unresponsive: whether a crashed daemon's address drops connections
+            instead of refusing them.
+        inbox: events that wait for the end of a pause.
+    """
 
     name: str
     fleet: Controller
@@ -43,23 +52,23 @@
 
     @property
     def me(self) -> Member:
-        """What the daemon says of itself."""
+        """The daemon's own record."""
         return self.fleet.view.local
 
     @property
     def table(self) -> MemberTable:
-        """What the daemon knows."""
+        """The member table of the daemon."""
         return self.fleet.view.table
 
     def get_state(self, name: str) -> MemberStatus | None:
-        """Give the state in which this daemon condition another."""
+        """Return the state of a member in the table of this daemon."""
         member = self.table.get(name)
         return member and member.state
 
 
 @attrs.define(kw_only=True)
 class Network:
-    """Daemons by name, the links cut between them, and virtual time."""
+    """Daemons by name, cut links and virtual time."""
 
     now_ms: float = 0
     rng: random.Random
@@ -71,7 +80,7 @@
     _numbers: itertools.count = attrs.field(factory=itertools.count)
 
     def start(self, me: Member, seeds: list[Member]) -> Node:
-        """Start a daemon; a second one of a name replaces the first."""
+        """Start a daemon in place of any daemon with the same name."""
         fleet = membership(
             me,
             MembershipPolicy(),
@@ -84,7 +93,7 @@
         return node
 
     def run(self, for_ms: float) -> None:
-        """Let `for_ms` pass."""
+        """Advance the time by `for_ms`."""
         until = self.now_ms + for_ms
         while self._events and self._events[0][0] <= until:
             at_ms, _, action = heapq.heappop(self._events)
@@ -93,15 +102,15 @@
         self.now_ms = until
 
     def run_until(self, condition: Callable[[], bool], max_ms: float) -> float:
-        """Let time pass until `condition`, and give how long it took."""
+        """Advance the time until `condition` and return the elapsed time."""
         started_ms = self.now_ms
         while not condition() and self.now_ms < started_ms + max_ms:
             self.run(_STEP_MS)
         assert condition(), f'not within {max_ms} ms'
         return self.now_ms - started_ms
 
-    def wake(self, node: Node) -> None:
-        """Let a is_paused daemon run on, first of all what waited for it."""
+    def resume(self, node: Node) -> None:
+        """Resume a paused daemon and handle the events in its inbox."""
         node.is_paused = False
         waiting = list(node.inbox)
         node.inbox.clear()
@@ -109,7 +118,7 @@
             action()
 
     def send(self, node: Node, sends: tuple[SendProbe, ...]) -> None:
-        """Carry out the orders of a daemon's controller."""
+        """Send the probes of a daemon's controller."""
         for order in sends:
             self.sent += 1
             self.gossiped += len(order.message.gossip)
--- a/packages/fennelfork/tests/core_builders_once.py
+++ b/packages/fennelfork/tests/core_builders_once.py
@@ -1,4 +1,4 @@
-"""A model of daemons and a backend server for tests of at most once."""
+"""Model of daemons and a backend server for at-most-once tests."""
 
 import random
 from collections import Counter
@@ -29,7 +29,7 @@
     max_entries=2, grace_ms=GRACE_MS, max_outcome_chars=64
 )
 _ORIGINS_MS: Final = {'vm-1': 0.0, 'vm-2': 70.0}
-_REASON: Final = not_run(FailureCode.UNREACHABLE, 'no reply')
+_NO_REPLY: Final = not_run(FailureCode.UNREACHABLE, 'no reply')
 
 
 def execute_request(
@@ -49,14 +49,14 @@
 
 
 def build_gate(
-    manual: ManualTime,
+    manual_time: ManualTime,
     name: str = 'vm-1',
     incarnation: int = 1,
     table_type: type[OnceTable] = OnceTable,
 ) -> OnceGate:
-    """Build a gate on a clock of its own origin."""
+    """Build a gate with a clock of its own origin."""
     rng = random.Random(f'{name}/{incarnation}')
-    clock = Clock(read_ms=lambda: manual.at_ms + _ORIGINS_MS[name])
+    clock = Clock(read_ms=lambda: manual_time.at_ms + _ORIGINS_MS[name])
     return OnceGate(
         key=ticket_key(name, incarnation, rng.randbytes(16)),
         clock=clock,
@@ -67,23 +67,23 @@
 
 @attrs.frozen(kw_only=True, eq=False)
 class Message:
-    """An execute call on its way to a backend server."""
+    """Execute request in flight to a backend server."""
 
     request_id: str
     gate: OnceGate
-    late_ms: float
+    deadline_ms: float
 
 
 @attrs.define(kw_only=True)
 class Backend:
-    """A backend server that counts its runs and keeps deadlines."""
+    """Backend server that counts executions and enforces deadlines."""
 
     runs: Counter[str] = attrs.field(factory=Counter)
     started_ms: dict[str, float] = attrs.field(factory=dict)
 
     def run(self, message: Message, now_ms: float) -> str | None:
-        """Run the request, or refuse it when it came too late."""
-        if now_ms >= message.late_ms:
+        """Execute the request, or refuse an expired one."""
+        if now_ms >= message.deadline_ms:
             return None
         self.runs[message.request_id] += 1
         self.started_ms[message.request_id] = now_ms
@@ -92,101 +92,110 @@
 
 @attrs.define(kw_only=True)
 class Fleet:
-    """Two daemons, the backend server, and what callers were told."""
+    """Two daemons, the backend server and the answers to callers."""
 
-    manual: ManualTime = attrs.field(factory=ManualTime)
+    manual_time: ManualTime = attrs.field(factory=ManualTime)
     backend: Backend = attrs.field(factory=Backend)
     gates: dict[str, OnceGate] = attrs.field(factory=dict)
     restarts: Counter[str] = attrs.field(factory=Counter)
     jobs: list[tuple[OnceGate, str]] = attrs.field(factory=list)
-    wire: list[Message] = attrs.field(factory=list)
-    refused: set[str] = attrs.field(factory=set)
+    in_flight: list[Message] = attrs.field(factory=list)
+    not_run_ids: set[str] = attrs.field(factory=set)
     outcomes: dict[str, str] = attrs.field(factory=dict)
     expires_ms: dict[str, float] = attrs.field(factory=dict)
     table_type: type[OnceTable] = OnceTable
 
     def start(self, name: str) -> None:
-        """Start the next incarnation of a daemon; the last one is lost."""
+        """Start the next incarnation of a daemon, discarding the last."""
         self.restarts[name] += 1
         lost = self.gates.get(name)
         self.jobs = [job for job in self.jobs if job[0] is not lost]
         self.gates[name] = build_gate(
-            self.manual,
+            self.manual_time,
             name,
             self.restarts[name],
             self.table_type,
         )
 
     def ticket(self, name: str) -> str:
-        """Ask a daemon for a ticket."""
+        """Request a ticket from a daemon."""
         issued = self.gates[name].issue(LIFETIME_MS)
         assert issued is not None
-        self.expires_ms[issued.serial] = self.manual.at_ms + LIFETIME_MS
+        self.expires_ms[issued.serial] = self.manual_time.at_ms + LIFETIME_MS
         return issued.text
 
-    def ask(self, name: str, request: ExecuteRequest, cut: bool) -> None:
-        """Send a request to a daemon; `cut` parts it from its peers."""
-        self.tell(request.request_id, self.decide(name, request, cut))
+    def submit(
+        self, name: str, request: ExecuteRequest, is_partitioned: bool
+    ) -> None:
+        """Submit a request; a partitioned daemon cannot reach its peers."""
+        self.record_answer(
+            request.request_id, self.decide(name, request, is_partitioned)
+        )
 
     def decide(
         self,
         name: str,
         request: ExecuteRequest,
-        cut: bool,
+        is_partitioned: bool,
     ) -> Result[str, Failure]:
-        """Decide as the daemons do; a run in progress is not waited for."""
+        """Decide as the daemons do, without waiting for a running request."""
         routed = self.gates[name].route(request)
         if isinstance(routed, Failed):
             return Failed(routed.failure())
-        to = routed.unwrap()
-        if isinstance(to, ForwardToPeer):
-            if cut or self.restarts[to.daemon] != to.incarnation:
+        place = routed.unwrap()
+        if isinstance(place, ForwardToPeer):
+            if (
+                is_partitioned
+                or self.restarts[place.daemon] != place.incarnation
+            ):
                 return Failed(self.unreachable())
-            name = to.daemon
+            name = place.daemon
         return self._admit(self.gates[name], request)
 
     def unreachable(self) -> Failure:
-        """Give what a daemon says when it cannot ask the right one."""
+        """Return the failure for an unreachable issuing daemon."""
         return unknown_outcome('the daemon of the ticket cannot be asked')
 
-    def tell(self, request_id: str, answer: Result[str, Failure]) -> None:
-        """Note what a caller was told of a request."""
+    def record_answer(
+        self, request_id: str, answer: Result[str, Failure]
+    ) -> None:
+        """Record the answer to a caller."""
         if isinstance(answer, Success):
             self.outcomes[request_id] = answer.unwrap()
         elif answer.failure().verdict is Verdict.NOT_RUN:
-            self.refused.add(request_id)
+            self.not_run_ids.add(request_id)
 
     def send(self, position: int, wait_ms: float) -> None:
-        """Let a job check and send, after `wait_ms` of its run time."""
+        """Check the expiry of a job and send it with a limit of `wait_ms`."""
         gate, request_id = self.jobs.pop(position)
-        leave = gate.table.begin_send(request_id)
-        if isinstance(leave, Failed):
-            self.tell(request_id, Failed(leave.failure()))
+        permission = gate.table.begin_send(request_id)
+        if isinstance(permission, Failed):
+            self.record_answer(request_id, Failed(permission.failure()))
             return
-        late_ms = self.manual.at_ms + min(leave.unwrap(), wait_ms)
-        self.wire.append(
-            Message(request_id=request_id, gate=gate, late_ms=late_ms),
+        deadline_ms = self.manual_time.at_ms + min(permission.unwrap(), wait_ms)
+        self.in_flight.append(
+            Message(request_id=request_id, gate=gate, deadline_ms=deadline_ms),
         )
 
     def deliver(self, position: int, reply_lost: bool) -> None:
-        """Let the backend server read a message, and the daemon its reply."""
-        message = self.wire.pop(position)
-        outcome = self.backend.run(message, self.manual.at_ms)
+        """Deliver a message to the backend server and return its reply."""
+        message = self.in_flight.pop(position)
+        outcome = self.backend.run(message, self.manual_time.at_ms)
         table = message.gate.table
         if reply_lost:
-            self.lose(message)
+            self.abandon_message(message)
         elif outcome is None:
             table.revert_send(message.request_id)
-            failure = table.abandon(message.request_id, _REASON)
-            self.tell(message.request_id, Failed(failure))
+            failure = table.abandon(message.request_id, _NO_REPLY)
+            self.record_answer(message.request_id, Failed(failure))
         else:
             table.record_outcome(message.request_id, outcome)
-            self.tell(message.request_id, Success(outcome))
+            self.record_answer(message.request_id, Success(outcome))
 
-    def lose(self, message: Message) -> None:
-        """Let the daemon give up on a message."""
-        failure = message.gate.table.abandon(message.request_id, _REASON)
-        self.tell(message.request_id, Failed(failure))
+    def abandon_message(self, message: Message) -> None:
+        """Abandon a message in the daemon that sent it."""
+        failure = message.gate.table.abandon(message.request_id, _NO_REPLY)
+        self.record_answer(message.request_id, Failed(failure))
 
     def _admit(
         self,
--- a/packages/fennelfork/tests/core_builders_once_naive.py
+++ b/packages/fennelfork/tests/core_builders_once_naive.py
@@ -1,4 +1,4 @@
-"""Versions of at most once with one fault each, which tests must find."""
+"""Faulty versions of at-most-once execution that the tests must detect."""
 
 import math
 
@@ -19,60 +19,62 @@
 
 
 @attrs.define(kw_only=True)
-class ForgetsDone(OnceTable):
-    """Forgets a request as soon as it is done."""
+class RemovesFinished(OnceTable):
+    """Table that removes a request as soon as it has run."""
 
     def admit(
         self,
         ticket: Ticket,
         request: OnceRequest,
     ) -> Result[OnceAdmission, Failure]:
-        """Decide without the memory of what is done."""
+        """Remove a finished request before the decision."""
         if isinstance(self.state(request.request_id), Done):
-            _drop(self, request.request_id)
+            _remove(self, request.request_id)
         return OnceTable.admit(self, ticket, request)
 
 
 @attrs.define(kw_only=True)
-class EvictsOldest(OnceTable):
-    """Makes room by forgetting, before the ticket has ended."""
+class EvictsBeforeExpiry(OnceTable):
+    """Table that evicts ids before the expiry of their ticket."""
 
     def admit(
         self,
         ticket: Ticket,
         request: OnceRequest,
     ) -> Result[OnceAdmission, Failure]:
-        """Decide after making room."""
+        """Evict an id from a full table before the decision."""
         known = self.state(request.request_id) is not None
         if not known and self.size >= self._limits.max_entries:
-            _drop_oldest_done(self)
+            _remove_oldest_done(self)
         return OnceTable.admit(self, ticket, request)
 
 
 @attrs.define(kw_only=True)
-class StaysOpen(OnceTable):
-    """Refuses for want of room what it takes when it comes again."""
+class KeepsTicketsOpen(OnceTable):
+    """Table that later accepts an id it refused when full."""
 
     def close_issued_tickets(self) -> None:
-        """Leave the tickets of up to now open."""
+        """Keep the issued tickets open."""
 
 
 @attrs.define(kw_only=True)
-class SendsLate(OnceTable):
-    """Weighs the expiry when a request comes in, and not at the send."""
+class SkipsExpiryAtSend(OnceTable):
+    """Table that checks the expiry on arrival but not before the send."""
 
     def begin_send(self, request_id: str) -> Result[float, Failure]:
-        """Send whatever the time is."""
+        """Permit the send at any time."""
         self._entries[request_id].state = Sent()
         return Success(math.inf)
 
 
 @attrs.define(kw_only=True)
-class UnboundFleet(Fleet):
-    """Runs an id under whichever ticket it comes with."""
+class IgnoresBindingFleet(Fleet):
+    """Fleet that executes an id under any ticket."""
 
-    def ask(self, name: str, request: ExecuteRequest, cut: bool) -> None:
-        """Take the name of the request for its id."""
+    def submit(
+        self, name: str, request: ExecuteRequest, is_partitioned: bool
+    ) -> None:
+        """Use the name of the request without the ticket serial as its id."""
         bare = request.request_id.partition('@')[0]
         gate = self.gates[name]
         if gate.table.state(bare) is None:
@@ -83,22 +85,22 @@
 
 
 @attrs.define(kw_only=True)
-class DeadIsNotRunFleet(Fleet):
-    """Says that nothing ran when the right daemon cannot be asked."""
+class UnreachableIsNotRunFleet(Fleet):
+    """Fleet that answers `NOT_RUN` if the issuing daemon is unreachable."""
 
     def unreachable(self) -> Failure:
-        """Refuse without proof."""
+        """Return a `NOT_RUN` failure without proof."""
         return not_run(FailureCode.TICKET, 'the daemon is gone')
 
 
-def _drop_oldest_done(table: OnceTable) -> None:
+def _remove_oldest_done(table: OnceTable) -> None:
     for _, request_id in table._removal_times:
         if isinstance(table.state(request_id), Done):
-            _drop(table, request_id)
+            _remove(table, request_id)
             return
 
 
-def _drop(table: OnceTable, request_id: str) -> None:
+def _remove(table: OnceTable, request_id: str) -> None:
     position = [known for _, known in table._removal_times].index(request_id)
     table._removal_times.pop(position)
     table._entries.pop(request_id)
--- a/packages/fennelfork/tests/test_membership.py
+++ b/packages/fennelfork/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership controllers that talk to each other, in virtual time."""
+"""Membership controllers on a simulated network in virtual time."""
 
 import random
 
@@ -20,38 +20,39 @@
 _MINUTE_MS = 60_000
 
 
-def _up(network: Network) -> list[Node]:
+def _running(network: Network) -> list[Node]:
     return [node for node in network.nodes.values() if node.is_up]
 
 
-def _all_believe(network: Network, name: str, *states: MemberStatus) -> bool:
+def _all_have_state(network: Network, name: str, *states: MemberStatus) -> bool:
     return all(
         node.get_state(name) in states
-        for node in _up(network)
+        for node in _running(network)
         if node.name != name
     )
 
 
-def _settled(network: Network) -> bool:
+def _all_alive(network: Network) -> bool:
     return all(
-        _all_believe(network, node.name, _ALIVE) for node in _up(network)
+        _all_have_state(network, node.name, _ALIVE)
+        for node in _running(network)
     )
 
 
-class TestAtRest:
-    """A fleet to which nothing happens."""
+class TestIdle:
+    """A fleet without faults."""
 
     @pytest.mark.parametrize('size', [1, 2, 9, 60])
-    def test_nobody_is_suspected(self, size: int) -> None:
-        """After ten minutes all are alive, at their first incarnation."""
+    def test_no_member_is_suspected(self, size: int) -> None:
+        """All members stay alive in their initial incarnation."""
         network = a_network(size)
         network.run(_MINUTE_MS)
-        assert _settled(network)
-        assert {node.me.incarnation for node in _up(network)} == {1024}
+        assert _all_alive(network)
+        assert {node.me.incarnation for node in _running(network)} == {1024}
 
     @pytest.mark.parametrize('size', [9, 60])
-    def test_work_is_constant(self, size: int) -> None:
-        """Each daemon makes one probe a period, whatever the size."""
+    def test_probe_rate_is_constant(self, size: int) -> None:
+        """Each daemon sends one probe per period in a fleet of any size."""
         network = a_network(size)
         network.run(10_000)
         network.sent = 0
@@ -59,8 +60,8 @@
         assert 55 <= network.sent / size <= 65
 
     @pytest.mark.parametrize('size', [9, 60])
-    def test_news_of_a_start_dies_out(self, size: int) -> None:
-        """Half a minute after all started, probes carry no news."""
+    def test_gossip_about_a_start_ends(self, size: int) -> None:
+        """Probes carry no gossip half a minute after the start."""
         network = a_network(size)
         network.run(30_000)
         network.gossiped = 0
@@ -69,36 +70,36 @@
 
 
 class TestJoin:
-    """A daemon that starts."""
+    """Start of daemons."""
 
-    def test_from_one_seed_all_learn_all(self) -> None:
-        """With one listed VM a newcomer knows all, and all know it."""
+    def test_one_seed_suffices(self) -> None:
+        """A new daemon with one seed learns all members, and all learn it."""
         network = a_network(60)
         network.run(5000)
         seed = network.nodes['vm-0'].me
         network.start(a_member('new', incarnation=1024), [seed])
-        network.run_until(lambda: _settled(network), 20_000)
+        network.run_until(lambda: _all_alive(network), 20_000)
         newcomer = network.nodes['new']
         assert len(newcomer.table) == 61
 
-    def test_from_nothing_but_the_list(self) -> None:
-        """A whole fleet that starts at once finds itself."""
+    def test_whole_fleet_starts_from_seeds(self) -> None:
+        """Daemons that start together discover each other through the seeds."""
         network = Network(rng=random.Random(3))
         members = [a_member(f'vm-{number}') for number in range(30)]
         for member in members:
             network.start(member, members[:5])
         network.run_until(
-            lambda: all(len(node.table) == 30 for node in _up(network)),
+            lambda: all(len(node.table) == 30 for node in _running(network)),
             20_000,
         )
-        assert _settled(network)
+        assert _all_alive(network)
 
 
 class TestConfigured:
-    """A daemon that started without a configuration gets one."""
+    """First configuration of a daemon."""
 
-    def test_all_hear_of_it(self) -> None:
-        """That it is ready now is news to all, unlike later versions."""
+    def test_readiness_reaches_all_members(self) -> None:
+        """The first configuration of a daemon is gossiped to all members."""
         network = a_network(30)
         network.run(30_000)
         node = network.nodes['vm-1']
@@ -112,26 +113,26 @@
         announce(node.fleet, attrs.evolve(blank, config_version=5))
         network.run_until(
             lambda: all(
-                other.table.get('vm-1').is_ready for other in _up(network)
+                other.table.get('vm-1').is_ready for other in _running(network)
             ),
             10_000,
         )
 
 
-class TestKill:
-    """A daemon that ends without a word."""
+class TestCrash:
+    """Crash of daemons."""
 
     @pytest.mark.parametrize('unresponsive', [True, False])
     @pytest.mark.parametrize('size', [3, 9, 60])
-    def test_is_noticed_by_all(self, size: int, *, unresponsive: bool) -> None:
-        """All suspect it within seconds and hold it for dead after that."""
+    def test_is_detected_by_all(self, size: int, *, unresponsive: bool) -> None:
+        """All members suspect a crashed daemon and then declare it dead."""
         network = a_network(size)
         network.run(5000)
-        killed = network.nodes['vm-1']
-        killed.is_up = False
-        killed.is_unresponsive = unresponsive
+        crashed = network.nodes['vm-1']
+        crashed.is_up = False
+        crashed.is_unresponsive = unresponsive
         network.run_until(
-            lambda: _all_believe(
+            lambda: _all_have_state(
                 network,
                 'vm-1',
                 MemberStatus.SUSPECT,
@@ -140,19 +141,19 @@
             10_000,
         )
         network.run_until(
-            lambda: _all_believe(network, 'vm-1', _DEAD),
+            lambda: _all_have_state(network, 'vm-1', _DEAD),
             _MINUTE_MS,
         )
 
-    def test_is_forgotten_after_a_while(self) -> None:
-        """The dead leave the tables, so that they do not grow for ever."""
+    def test_dead_member_is_removed(self) -> None:
+        """Dead members are removed, which bounds the size of tables."""
         network = a_network(5)
         network.nodes['vm-1'].is_up = False
         network.run(1_000_000)
-        assert {len(node.table) for node in _up(network)} == {4}
+        assert {len(node.table) for node in _running(network)} == {4}
 
-    def test_of_a_fifth_and_restart(self) -> None:
-        """20% restarted at once under new incarnations all come back."""
+    def test_restart_of_a_fifth_of_the_fleet(self) -> None:
+        """Daemons that restart together rejoin with new incarnations."""
         network = a_network(60)
         network.run(5000)
         restarted = [f'vm-{number}' for number in range(0, 60, 5)]
@@ -160,71 +161,73 @@
             network.nodes[name].is_up = False
         network.run(3000)
         seeds = [network.nodes['vm-1'].me, network.nodes['vm-2'].me]
-        for again in restarted:
-            me = network.nodes[again].me
+        for name in restarted:
+            me = network.nodes[name].me
             later = a_member(
-                again,
+                name,
                 me.data_centre,
                 region=me.region,
                 incarnation=1024 * 9,
             )
             network.start(later, seeds)
-        network.run_until(lambda: _settled(network), _MINUTE_MS)
-        for witness in _up(network):
-            incarnations = {
-                member.process_incarnation for member in witness.table
-            }
+        network.run_until(lambda: _all_alive(network), _MINUTE_MS)
+        for node in _running(network):
+            incarnations = {member.process_incarnation for member in node.table}
             assert incarnations == {1, 9}
 
 
 class TestReusedAddress:
-    """An address that another daemon now has."""
+    """An address that another daemon now uses."""
 
-    def test_answer_under_another_name_is_no_answer(self) -> None:
-        """A lost daemon whose address is taken over does not stay alive."""
+    def test_ack_from_another_daemon_is_a_failure(self) -> None:
+        """An acknowledgement by another daemon keeps no member alive."""
         network = a_network(9)
         network.run(5000)
         network.nodes['vm-1'].is_up = False
         network.nodes['vm-1'] = network.nodes['vm-2']
         network.run(_MINUTE_MS)
-        assert _all_believe(network, 'vm-1', _DEAD)
+        assert _all_have_state(network, 'vm-1', _DEAD)
 
 
 class TestPause:
-    """A daemon that stops running for a while and wakes."""
+    """A daemon that is suspended and resumed."""
 
     @pytest.mark.parametrize('pause_ms', [3000, 10_000, 30_000])
-    def test_wakes_and_accuses_nobody(self, pause_ms: int) -> None:
-        """It comes back under a later incarnation, and nobody else fell."""
+    def test_resumed_daemon_suspects_no_member(self, pause_ms: int) -> None:
+        """A resumed daemon rejoins and causes no false suspicion."""
         network = a_network(9)
         network.run(5000)
         paused = network.nodes['vm-1']
         paused.is_paused = True
         network.run(pause_ms)
-        network.wake(paused)
-        network.run_until(lambda: _settled(network), _MINUTE_MS)
+        network.resume(paused)
+        network.run_until(lambda: _all_alive(network), _MINUTE_MS)
         assert paused.me.incarnation > 1024
-        others = [node for node in _up(network) if node is not paused]
+        others = [node for node in _running(network) if node is not paused]
         assert {node.me.incarnation for node in others} == {1024}
 
-    def test_short_pause_is_no_death(self) -> None:
-        """A pause below the suspicion time never shows it as dead."""
+    def test_short_pause_is_not_a_death(self) -> None:
+        """A pause below the suspicion timeout never leads to state dead."""
         network = a_network(9)
         network.run(5000)
         paused = network.nodes['vm-1']
         paused.is_paused = True
-        seen = set()
+        observed_states = set()
         for _ in range(30):
             network.run(100)
-            seen |= {node.get_state('vm-1') for node in _up(network)}
-        network.wake(paused)
+            observed_states |= {
+                node.get_state('vm-1') for node in _running(network)
+            }
+        network.resume(paused)
         network.run(5000)
-        seen |= {node.get_state('vm-1') for node in _up(network)}
-        assert _DEAD not in seen
-        assert _settled(network)
-
-    def test_old_run_does_not_displace_the_new_one(self) -> None:
-        """A daemon replaced while paused finds itself superseded."""
+        observed_states |= {
+            node.get_state('vm-1') for node in _running(network)
+        }
+        assert _DEAD not in observed_states
+        assert _all_alive(network)
+
+    def test_old_incarnation_is_superseded(self) -> None:
+        """A daemon that was replaced during a pause becomes superseded."""
         network = a_network(9)
         network.run(5000)
         old = network.nodes['vm-1']
@@ -236,67 +239,67 @@
         )
         new = network.start(successor, [network.nodes['vm-0'].me])
         network.run(5000)
-        network.wake(old)
+        network.resume(old)
         network.run(10_000)
         assert old.fleet.view.local_member.is_superseded
         assert not new.fleet.view.local_member.is_superseded
         assert {
-            node.table.get('vm-1').incarnation for node in _up(network)
+            node.table.get('vm-1').incarnation for node in _running(network)
         } == {9216}
 
 
-class TestCuts:
-    """Links that carry nothing."""
+class TestPartitions:
+    """Links that drop all messages."""
 
-    def test_one_way_between_two_suspects_nobody(self) -> None:
-        """What one cannot call but relays can is not suspected."""
+    def test_one_way_cut_of_a_link_suspects_no_member(self) -> None:
+        """A member that relays can reach is not suspected."""
         network = a_network(9)
         network.run(5000)
         network.is_cut = lambda start, end: (start, end) == ('vm-1', 'vm-2')
         network.run(2 * _MINUTE_MS)
-        assert _settled(network)
+        assert _all_alive(network)
         assert network.nodes['vm-2'].me.incarnation == 1024
 
-    def test_unreachable_from_outside_falls_once(self) -> None:
-        """One that calls but cannot be called does not flap."""
+    def test_unreachable_daemon_does_not_flap(self) -> None:
+        """A daemon with outbound connections alone stays dead until healed."""
         network = a_network(9)
         network.run(5000)
         network.is_cut = lambda _start, end: end == 'vm-1'
         network.run_until(
-            lambda: _all_believe(network, 'vm-1', _DEAD),
+            lambda: _all_have_state(network, 'vm-1', _DEAD),
             _MINUTE_MS,
         )
         network.run(_MINUTE_MS)
-        assert _all_believe(network, 'vm-1', _DEAD)
+        assert _all_have_state(network, 'vm-1', _DEAD)
         network.is_cut = lambda _start, _end: False
-        network.run_until(lambda: _settled(network), _MINUTE_MS)
+        network.run_until(lambda: _all_alive(network), _MINUTE_MS)
 
-    def test_cut_off_daemon_moves_nobody_else(self) -> None:
-        """One that hears nothing for a minute spoils no other's standing."""
+    def test_isolated_daemon_changes_no_other_state(self) -> None:
+        """A daemon that reconnects causes no suspicion of others."""
         network = a_network(9)
         network.run(5000)
         network.is_cut = lambda start, end: 'vm-1' in {start, end}
         network.run(_MINUTE_MS)
-        assert _all_believe(network, 'vm-1', _DEAD)
+        assert _all_have_state(network, 'vm-1', _DEAD)
         network.is_cut = lambda _start, _end: False
-        seen = set()
+        observed_states = set()
         for _ in range(300):
             network.run(100)
-            seen |= {
+            observed_states |= {
                 node.get_state(f'vm-{number}')
-                for node in _up(network)
+                for node in _running(network)
                 for number in (0, 2, 3, 4, 5, 6, 7, 8)
                 if node.name != 'vm-1'
             }
-        assert seen == {_ALIVE}
-        assert _settled(network)
+        assert observed_states == {_ALIVE}
+        assert _all_alive(network)
 
     @pytest.mark.parametrize('cut_ms', [4000, 12_000, 300_000, 1_200_000])
-    def test_regions_part_and_meet(self, cut_ms: int) -> None:
-        """Each region goes on alone; healed, all see all again.
+    def test_regions_separate_and_rejoin(self, cut_ms: int) -> None:
+        """All members see each other again after a partition between regions.
 
-        No member of a region loses its standing there at any time, whatever
-        the other region claims.
+        Members of one region never suspect each other because of claims from
+        the other region.
         """
         network = a_network(30)
         network.run(5000)
@@ -304,81 +307,87 @@
         network.is_cut = lambda start, end: regions[start] != regions[end]
         network.run(cut_ms)
         network.is_cut = lambda _start, _end: False
-        seen = set()
+        observed_states = set()
         for _ in range(1200):
             network.run(100)
-            seen |= {
+            observed_states |= {
                 node.get_state(other.name)
-                for node in _up(network)
-                for other in _up(network)
+                for node in _running(network)
+                for other in _running(network)
                 if regions[node.name] == regions[other.name]
             }
-        assert seen == {_ALIVE}
-        assert _settled(network)
+        assert observed_states == {_ALIVE}
+        assert _all_alive(network)
 
 
 class TestLeave:
-    """A planned stop."""
+    """Planned stop of a daemon."""
 
-    def test_all_are_told_in_person(self) -> None:
-        """Once the leave is told, every member knows of it."""
+    def test_leave_reaches_all_members(self) -> None:
+        """All members know of a leave once its announcement is complete."""
         network = a_network(60)
         network.run(5000)
-        leaver = network.nodes['vm-1']
-        announce_leave(leaver.fleet)
-        assert not leave_is_announced(leaver.fleet)
-        network.run_until(lambda: leave_is_announced(leaver.fleet), 5000)
-        assert _all_believe(network, 'vm-1', MemberStatus.LEAVING)
-
-    def test_suspects_are_told_too(self) -> None:
-        """One that is only slow may name the leaver in entry answers."""
+        leaving_daemon = network.nodes['vm-1']
+        announce_leave(leaving_daemon.fleet)
+        assert not leave_is_announced(leaving_daemon.fleet)
+        network.run_until(
+            lambda: leave_is_announced(leaving_daemon.fleet), 5000
+        )
+        assert _all_have_state(network, 'vm-1', MemberStatus.LEAVING)
+
+    def test_leave_reaches_suspects(self) -> None:
+        """A suspect member, which may list the daemon, receives the leave."""
         network = a_network(2)
         network.run(5000)
-        leaver = network.nodes['vm-1']
-        leaver.fleet.view.suspect_member('vm-0', 1024, network.now_ms)
-        announce_leave(leaver.fleet)
-        network.run_until(lambda: leave_is_announced(leaver.fleet), 5000)
+        leaving_daemon = network.nodes['vm-1']
+        leaving_daemon.fleet.view.suspect_member('vm-0', 1024, network.now_ms)
+        announce_leave(leaving_daemon.fleet)
+        network.run_until(
+            lambda: leave_is_announced(leaving_daemon.fleet), 5000
+        )
         assert network.nodes['vm-0'].get_state('vm-1') is MemberStatus.LEAVING
 
-    def test_end_is_told_without_suspicion(self) -> None:
-        """A daemon that says that it is gone is dead to all at once."""
+    def test_exit_is_announced_without_suspicion(self) -> None:
+        """All members declare a daemon dead after it announces its exit."""
         network = a_network(9)
         network.run(5000)
-        leaver = network.nodes['vm-1']
-        announce_leave(leaver.fleet)
+        leaving_daemon = network.nodes['vm-1']
+        announce_leave(leaving_daemon.fleet)
         network.run(5000)
-        network.send(leaver, announce_exit(leaver.fleet, network.now_ms))
+        network.send(
+            leaving_daemon, announce_exit(leaving_daemon.fleet, network.now_ms)
+        )
         network.run(10)
-        leaver.is_up = False
-        network.run_until(lambda: _all_believe(network, 'vm-1', _DEAD), 5000)
+        leaving_daemon.is_up = False
+        network.run_until(lambda: _all_have_state(network, 'vm-1', _DEAD), 5000)
 
-    def test_leaver_that_is_killed_is_dead_in_the_end(self) -> None:
-        """A leave does not shield from the timeout."""
+    def test_crashed_leaving_daemon_is_declared_dead(self) -> None:
+        """State leaving does not prevent the suspicion timeout."""
         network = a_network(9)
         network.run(5000)
-        leaver = network.nodes['vm-1']
-        announce_leave(leaver.fleet)
+        leaving_daemon = network.nodes['vm-1']
+        announce_leave(leaving_daemon.fleet)
         network.run(2000)
-        leaver.is_up = False
+        leaving_daemon.is_up = False
         network.run_until(
-            lambda: _all_believe(network, 'vm-1', _DEAD),
+            lambda: _all_have_state(network, 'vm-1', _DEAD),
             _MINUTE_MS,
         )
 
 
-class TestHint:
-    """What the data path noticed."""
+class TestUnreachableHint:
+    """Failed requests that other components report."""
 
-    def test_is_verified_before_it_is_believed(self) -> None:
-        """A hint about a daemon that answers changes nothing."""
+    def test_hint_is_verified(self) -> None:
+        """A hint about a responsive daemon has no effect."""
         network = a_network(9)
         network.run(5000)
         network.nodes['vm-0'].fleet.on_unreachable('vm-1')
         network.run(5000)
-        assert _settled(network)
+        assert _all_alive(network)
 
-    def test_brings_the_discovery_forward(self) -> None:
-        """A hint about a dead daemon makes it suspect at once."""
+    def test_hint_speeds_up_detection(self) -> None:
+        """A hint about a crashed daemon makes it suspect at once."""
         network = a_network(9)
         network.run(5000)
         network.nodes['vm-1'].is_up = False
--- a/packages/fennelfork/tests/test_membership_machine.py
+++ b/packages/fennelfork/tests/test_membership_machine.py
@@ -1,4 +1,4 @@
-"""Membership under any sequence of faults, then left in peace."""
+"""Convergence of membership after any sequence of faults."""
 
 import attrs
 from core_builders_network import Network, Node, a_network
@@ -16,30 +16,30 @@
 _NAMES = [f'vm-{number}' for number in range(6)]
 _NAME = st.sampled_from(_NAMES)
 _RUN_STEP = 1024
-_PEACE_MS = 180_000
+_CONVERGENCE_MS = 180_000
 
 
 def _rebuilt(table: MemberTable) -> MemberTable:
-    fresh = MemberTable()
+    rebuilt = MemberTable()
     for member in table:
-        fresh.put(member)
-    return fresh
+        rebuilt.put(member)
+    return rebuilt
 
 
-def _sees(node: Node, other: Node) -> bool:
-    believed = node.get_state(other.name)
+def _agrees(node: Node, other: Node) -> bool:
+    state = node.get_state(other.name)
     if other.is_up:
-        return believed is other.me.state
-    return believed in {MemberStatus.DEAD, None}
+        return state is other.me.state
+    return state in {MemberStatus.DEAD, None}
 
 
 class FleetFaults(RuleBasedStateMachine):
-    """Kills, restarts, pauses, cuts and leaves, in any order."""
+    """Crashes, restarts, pauses, partitions and leaves in any order."""
 
     network: Network
 
     @initialize(seed=st.integers(0, 999))
-    def begin(self, seed: int) -> None:
+    def start_fleet(self, seed: int) -> None:
         """Start six daemons in two regions."""
         self.network = a_network(len(_NAMES), seed)
         self.cut: set[tuple[str, str]] = set()
@@ -49,19 +49,19 @@
 
     @rule(seconds=st.integers(1, 15))
     def time_passes(self, seconds: int) -> None:
-        """Let some seconds pass."""
+        """Advance the time by some seconds."""
         self.network.run(seconds * 1000)
 
     @rule(name=_NAME, unresponsive=st.booleans())
-    def kill(self, name: str, *, unresponsive: bool) -> None:
-        """End a daemon without a word; its VM refuses or is silent too."""
+    def crash(self, name: str, *, unresponsive: bool) -> None:
+        """Crash a daemon whose address refuses or drops connections."""
         node = self.network.nodes[name]
         node.is_up = False
         node.is_unresponsive = unresponsive
 
     @rule(name=_NAME)
     def restart(self, name: str) -> None:
-        """Start a killed daemon again under a later incarnation."""
+        """Restart a crashed daemon with a later incarnation."""
         node = self.network.nodes[name]
         if node.is_up:
             return
@@ -79,22 +79,22 @@
 
     @rule(name=_NAME)
     def pause(self, name: str) -> None:
-        """Stop a daemon from running."""
+        """Suspend a daemon."""
         self.network.nodes[name].is_paused = True
 
     @rule(name=_NAME)
-    def wake(self, name: str) -> None:
-        """Let it run on."""
-        self.network.wake(self.network.nodes[name])
+    def resume_daemon(self, name: str) -> None:
+        """Resume a suspended daemon."""
+        self.network.resume(self.network.nodes[name])
 
     @rule(start=_NAME, end=_NAME)
     def cut_one_way(self, start: str, end: str) -> None:
-        """Let calls from one daemon to another vanish."""
+        """Drop messages from one daemon to another."""
         self.cut.add((start, end))
 
     @rule()
     def cut_regions(self) -> None:
-        """Let all calls between the regions vanish."""
+        """Drop all messages between regions."""
         nodes = self.network.nodes.values()
         self.cut |= {
             (start.name, end.name)
@@ -105,27 +105,27 @@
 
     @rule()
     def heal(self) -> None:
-        """Let all calls through again."""
+        """Restore all links."""
         self.cut.clear()
 
     @rule(name=_NAME)
     def leave(self, name: str) -> None:
-        """Have a daemon announce its stop."""
+        """Announce the leave of a daemon."""
         node = self.network.nodes[name]
         if node.is_up:
             announce_leave(node.fleet)
 
     @invariant()
-    def only_a_member_raises_its_incarnation(self) -> None:
-        """Nobody believes more of a member than it ever said itself."""
+    def only_the_member_raises_its_incarnation(self) -> None:
+        """No table has a higher incarnation than the member itself."""
         for node in self.network.nodes.values():
             for member in node.table:
                 named = self.network.nodes[member.name]
                 assert member.incarnation <= named.me.incarnation
 
     @invariant()
-    def incarnations_never_fall(self) -> None:
-        """What a daemon knows of a member is never replaced by older."""
+    def incarnations_never_decrease(self) -> None:
+        """No daemon replaces a known incarnation by an older one."""
         for node in self.network.nodes.values():
             for member in node.table:
                 key = (node.name, member.name)
@@ -133,31 +133,31 @@
                 self.highest[key] = member.incarnation
 
     @invariant()
-    def tables_add_up(self) -> None:
-        """Digests and counts kept along the way are the true ones."""
+    def digests_match_a_rebuilt_table(self) -> None:
+        """Incremental digests and counts equal those of a rebuilt table."""
         for node in self.network.nodes.values():
             table = node.table
-            fresh = _rebuilt(table)
-            assert table.digests == fresh.digests
-            assert table.live_count == fresh.live_count
+            rebuilt = _rebuilt(table)
+            assert table.digests == rebuilt.digests
+            assert table.live_count == rebuilt.live_count
             assert table.get(node.name) == node.me
 
     def teardown(self) -> None:
-        """Left in peace, all agree on who is there and who is not."""
+        """All daemons agree on all states after the faults end."""
         if not hasattr(self, 'network'):
             return
         self.cut.clear()
         for node in self.network.nodes.values():
-            self.network.wake(node)
-        self.network.run(_PEACE_MS)
+            self.network.resume(node)
+        self.network.run(_CONVERGENCE_MS)
         nodes = list(self.network.nodes.values())
-        wrong = [
+        disagreements = [
             (node.name, other.name, node.get_state(other.name))
             for node in nodes
             for other in nodes
-            if node.is_up and not _sees(node, other)
+            if node.is_up and not _agrees(node, other)
         ]
-        assert not wrong
+        assert not disagreements
 
     def _is_cut(self, start: str, end: str) -> bool:
         return (start, end) in self.cut
--- a/packages/fennelfork/tests/test_membership_member_table.py
+++ b/packages/fennelfork/tests/test_membership_member_table.py
@@ -1,4 +1,4 @@
-"""The table of members and its digests."""
+"""Member table and its digests."""
 
 import random
 
@@ -19,55 +19,55 @@
 
 
 class TestDigests:
-    """Finding out what two tables differ in."""
+    """Detection of differences between two tables."""
 
     @given(fleets(), fleets())
-    def test_differ_where_living_members_differ(self, first, second) -> None:
-        """Nothing is given just when the living members are the same."""
-        mine = _table(first)
-        theirs = _table(second)
+    def test_differ_with_the_live_members(self, first, second) -> None:
+        """Digests are equal exactly if the live members are equal."""
+        own = _table(first)
+        other = _table(second)
         living = [
             {
                 (member.name, member.incarnation, member.state)
                 for member in table
                 if member.state is not MemberStatus.DEAD
             }
-            for table in (mine, theirs)
+            for table in (own, other)
         ]
-        assert (mine.digests == theirs.digests) == (living[0] == living[1])
+        assert (own.digests == other.digests) == (living[0] == living[1])
 
     @given(fleets(), fleets())
-    def test_give_what_the_other_lacks(self, first, second) -> None:
-        """Each living member that only one has is among what it gives."""
-        mine = _table(first)
-        theirs = _table(second)
+    def test_missing_members_are_returned(self, first, second) -> None:
+        """Live members that the other table lacks are among those returned."""
+        own = _table(first)
+        other = _table(second)
         given_names = {
             member.name
-            for member in mine.members_to_sync(theirs.digests, 99, _RNG)
+            for member in own.members_to_sync(other.digests, 99, _RNG)
         }
         assert all(
             member.name in given_names
-            for member in mine
+            for member in own
             if member.state is not MemberStatus.DEAD
-            and theirs.get(member.name) is None
+            and other.get(member.name) is None
         )
 
-    def test_of_a_wrong_size_give_nothing(self) -> None:
-        """A daemon of another version, without digests, is told nothing."""
+    def test_wrong_size_returns_no_members(self) -> None:
+        """Digests of another size, such as empty ones, return no members."""
         table = _table([a_member('vm-1')])
         assert table.members_to_sync(b'', 9, _RNG) == ()
 
-    def test_give_no_more_than_the_limit(self) -> None:
-        """An empty table gets a part at a time."""
+    def test_limit_is_kept(self) -> None:
+        """A peer with an empty table receives a limited number of members."""
         table = _table([a_member(f'vm-{number}') for number in range(50)])
         empty = MemberTable()
         assert len(table.members_to_sync(empty.digests, 9, _RNG)) == 9
 
 
 class TestEpoch:
-    """What makes homes and entries be worked out anew."""
+    """Changes that invalidate homes and entry answers."""
 
-    def test_rises_with_state_and_not_with_configuration(self) -> None:
+    def test_rises_with_state_but_not_with_configuration(self) -> None:
         """A new configuration version of a member moves no home."""
         table = _table([a_member('vm-1')])
         epoch = table.epoch
--- a/packages/fennelfork/tests/test_once_caller.py
+++ b/packages/fennelfork/tests/test_once_caller.py
@@ -1,4 +1,4 @@
-"""What a caller may do after each answer."""
+"""Next steps of a caller after each event."""
 
 import pytest
 
@@ -12,12 +12,12 @@
     OnceCaller,
 )
 
-_DOUBT = AnswerReceived(verdict=Verdict.MAY_HAVE_RUN)
-_REFUSED = AnswerReceived(verdict=Verdict.NOT_RUN)
+_MAY_HAVE_RUN = AnswerReceived(verdict=Verdict.MAY_HAVE_RUN)
+_NOT_RUN = AnswerReceived(verdict=Verdict.NOT_RUN)
 
 
 class TestOnceCaller:
-    """The steps of a caller that wants one deed done once."""
+    """Steps of a caller that wants one operation executed at most once."""
 
     @pytest.mark.parametrize(
         ('event', 'step'),
@@ -27,34 +27,36 @@
                 CallerStep.STOP,
             ),
             (AnswerReceived(verdict=Verdict.RAN), CallerStep.LOOK_UP),
-            (_REFUSED, CallerStep.RENEW),
-            (_DOUBT, CallerStep.ASK_AGAIN),
+            (_NOT_RUN, CallerStep.RENEW),
+            (_MAY_HAVE_RUN, CallerStep.ASK_AGAIN),
             (AnswerLost(), CallerStep.ASK_AGAIN),
             (ConnectFailed(), CallerStep.RENEW),
         ],
     )
-    def test_first_attempt(self, event: CallerEvent, step: CallerStep) -> None:
-        """Only a true refusal, or nothing sent, allows a new ticket."""
+    def test_step_after_the_first_attempt(
+        self, event: CallerEvent, step: CallerStep
+    ) -> None:
+        """Only a `NOT_RUN` verdict or a failed connect allows a new ticket."""
         assert OnceCaller().next_step(event, 1000) is step
 
-    @pytest.mark.parametrize('doubt', [_DOUBT, AnswerLost()])
-    def test_doubt_outlives_a_refused_connection(
+    @pytest.mark.parametrize('event', [_MAY_HAVE_RUN, AnswerLost()])
+    def test_doubt_persists_after_a_failed_connect(
         self,
-        doubt: CallerEvent,
+        event: CallerEvent,
     ) -> None:
-        """That nothing was sent now says nothing of the attempt before."""
+        """A failed connect proves nothing about the attempt before."""
         caller = OnceCaller()
-        caller.next_step(doubt, 1000)
+        caller.next_step(event, 1000)
         assert caller.next_step(ConnectFailed(), 1000) is CallerStep.ASK_AGAIN
         assert caller.next_step(ConnectFailed(), 0) is CallerStep.LOOK_UP
 
-    def test_a_true_refusal_ends_the_doubt(self) -> None:
-        """The daemon of the ticket settles it, and a new ticket is clean."""
+    def test_not_run_verdict_ends_the_doubt(self) -> None:
+        """A `NOT_RUN` verdict ends the doubt, so a new ticket is safe."""
         caller = OnceCaller()
         caller.next_step(AnswerLost(), 1000)
-        assert caller.next_step(_REFUSED, 0) is CallerStep.RENEW
+        assert caller.next_step(_NOT_RUN, 0) is CallerStep.RENEW
         assert caller.next_step(ConnectFailed(), 1000) is CallerStep.RENEW
 
-    def test_looks_up_when_the_ticket_has_ended(self) -> None:
-        """In doubt past the ticket's end, a caller stops asking."""
-        assert OnceCaller().next_step(_DOUBT, 0) is CallerStep.LOOK_UP
+    def test_looks_up_after_the_ticket_expired(self) -> None:
+        """A caller in doubt stops sending after its ticket has expired."""
+        assert OnceCaller().next_step(_MAY_HAVE_RUN, 0) is CallerStep.LOOK_UP
--- a/packages/fennelfork/tests/test_once_machine.py
+++ b/packages/fennelfork/tests/test_once_machine.py
@@ -1,4 +1,4 @@
-"""At most once, under every order of losses, kills, pauses and repeats."""
+"""At-most-once execution under losses, crashes, pauses and duplicates."""
 
 import functools
 from collections.abc import Callable
@@ -7,11 +7,11 @@
 import pytest
 from core_builders_once import LIFETIME_MS, NAMES, Fleet, execute_request
 from core_builders_once_naive import (
-    DeadIsNotRunFleet,
-    EvictsOldest,
-    ForgetsDone,
-    SendsLate,
-    UnboundFleet,
+    EvictsBeforeExpiry,
+    IgnoresBindingFleet,
+    RemovesFinished,
+    SkipsExpiryAtSend,
+    UnreachableIsNotRunFleet,
 )
 from hypothesis import Phase, settings
 from hypothesis import strategies as st
@@ -35,12 +35,12 @@
     return bool(machine.fleet.jobs)
 
 
-def _has_wire(machine: 'OnceMachine') -> bool:
-    return bool(machine.fleet.wire)
+def _has_in_flight(machine: 'OnceMachine') -> bool:
+    return bool(machine.fleet.in_flight)
 
 
 class OnceMachine(RuleBasedStateMachine):
-    """Callers, two daemons and a backend server, in any order of steps."""
+    """Callers, two daemons and a backend server in any order of steps."""
 
     tickets = Bundle('tickets')
     requests = Bundle('requests')
@@ -53,8 +53,8 @@
             self.fleet.start(name)
 
     @rule(target=tickets, name=_NAMES)
-    def take_ticket(self, name: str) -> str:
-        """A caller takes a ticket."""
+    def issue_ticket(self, name: str) -> str:
+        """Issue a ticket to a caller."""
         return self.fleet.ticket(name)
 
     @rule(
@@ -62,86 +62,88 @@
         ticket=tickets,
         name=st.sampled_from(['a', 'b', 'c', 'd']),
     )
-    def write(self, ticket: str, name: str) -> ExecuteRequest:
-        """A caller writes a request of its own."""
+    def create_request(self, ticket: str, name: str) -> ExecuteRequest:
+        """Create a request of a caller."""
         return execute_request(ticket, name)
 
     @rule(target=requests, request=requests, ticket=tickets)
-    def renew(self, request: ExecuteRequest, ticket: str) -> ExecuteRequest:
-        """A caller asks again, under another ticket."""
+    def rebind(self, request: ExecuteRequest, ticket: str) -> ExecuteRequest:
+        """Send the request id under another ticket."""
         return attrs.evolve(request, ticket=ticket)
 
-    @rule(request=requests, name=_NAMES, cut=st.booleans())
-    def ask(self, request: ExecuteRequest, name: str, cut: bool) -> None:
-        """A copy of a request reaches a daemon: first, repeated or late."""
-        self.fleet.ask(name, request, cut)
+    @rule(request=requests, name=_NAMES, is_partitioned=st.booleans())
+    def ask(
+        self, request: ExecuteRequest, name: str, is_partitioned: bool
+    ) -> None:
+        """Submit a request to a daemon: new, duplicate or delayed."""
+        self.fleet.submit(name, request, is_partitioned)
 
     @rule(request=requests, name=_NAMES)
     def ask_and_run(self, request: ExecuteRequest, name: str) -> None:
-        """A copy of a request reaches a daemon, and all goes well."""
-        self.fleet.ask(name, request, cut=False)
+        """Submit a request and execute it without faults."""
+        self.fleet.submit(name, request, is_partitioned=False)
         if self.fleet.jobs:
             self.fleet.send(-1, 80)
-        if self.fleet.wire:
+        if self.fleet.in_flight:
             self.fleet.deliver(-1, reply_lost=False)
 
     @precondition(_has_jobs)
     @rule(position=_POSITIONS, wait_ms=_WAITS_MS)
     def send(self, position: int, wait_ms: int) -> None:
-        """A daemon, perhaps just woken, goes on with a request."""
+        """Continue a pending request, possibly after a pause."""
         self.fleet.send(position % len(self.fleet.jobs), wait_ms)
 
     @precondition(_has_jobs)
     @rule()
     def pause_and_send(self) -> None:
-        """A daemon is paused past the expiry with a request half-way."""
-        self.fleet.manual.advance(LIFETIME_MS)
+        """Pause a daemon with a pending request past the expiry."""
+        self.fleet.manual_time.advance(LIFETIME_MS)
         self.fleet.send(0, LIFETIME_MS)
 
-    @precondition(_has_wire)
+    @precondition(_has_in_flight)
     @rule(position=_POSITIONS, reply_lost=st.booleans())
     def deliver(self, position: int, reply_lost: bool) -> None:
-        """A backend server, perhaps just woken, reads a request."""
-        self.fleet.deliver(position % len(self.fleet.wire), reply_lost)
+        """Deliver a message to the backend server, possibly after a pause."""
+        self.fleet.deliver(position % len(self.fleet.in_flight), reply_lost)
 
-    @precondition(_has_wire)
+    @precondition(_has_in_flight)
     @rule(position=_POSITIONS)
-    def drop(self, position: int) -> None:
-        """A request is lost on its way."""
-        self.fleet.lose(
-            self.fleet.wire.pop(position % len(self.fleet.wire)),
+    def lose_message(self, position: int) -> None:
+        """Lose a message in flight."""
+        self.fleet.abandon_message(
+            self.fleet.in_flight.pop(position % len(self.fleet.in_flight)),
         )
 
     @rule(name=_NAMES)
-    def kill(self, name: str) -> None:
-        """A daemon is killed and started again; what it sent is out."""
+    def restart_daemon(self, name: str) -> None:
+        """Crash and restart a daemon; its messages stay in flight."""
         self.fleet.start(name)
 
     @rule(by_ms=st.sampled_from([1, 60, 100, 260]))
     def wait(self, by_ms: int) -> None:
-        """Time passes, also for who is paused."""
-        self.fleet.manual.advance(by_ms)
+        """Advance the time."""
+        self.fleet.manual_time.advance(by_ms)
 
     @invariant()
     def runs_at_most_once(self) -> None:
-        """No request id ran twice."""
+        """No request id runs twice."""
         assert max(self.fleet.backend.runs.values(), default=0) <= 1
 
     @invariant()
-    def refusals_are_true(self) -> None:
-        """No request id of which a caller was told NOT_RUN ever runs."""
-        assert not self.fleet.refused & self.fleet.backend.runs.keys()
+    def not_run_verdicts_are_true(self) -> None:
+        """No request id with a `NOT_RUN` answer ever runs."""
+        assert not self.fleet.not_run_ids & self.fleet.backend.runs.keys()
 
     @invariant()
-    def outcomes_are_of_runs(self) -> None:
-        """An outcome was told only of what ran, and is that of its run."""
+    def outcomes_belong_to_executions(self) -> None:
+        """Each outcome belongs to a single execution of its request id."""
         for request_id, outcome in self.fleet.outcomes.items():
             assert self.fleet.backend.runs[request_id] == 1
             assert outcome == f'outcome of {request_id}'
 
     @invariant()
     def nothing_starts_after_expiry(self) -> None:
-        """Nothing starts once its ticket has expired."""
+        """No execution starts after the ticket has expired."""
         for request_id, started_ms in self.fleet.backend.started_ms.items():
             serial = request_id.rpartition('@')[2]
             expires_ms = self.fleet.expires_ms.get(serial, started_ms + 1)
@@ -149,22 +151,22 @@
 
 
 class TestOnce(OnceMachine.TestCase):
-    """The decisions of the product keep the promise in every order."""
+    """The product keeps the invariants in every order."""
 
     settings = settings(max_examples=300, stateful_step_count=40)
 
 
-class TestNaive:
-    """The machine finds the fault of each naive version."""
+class TestFaultyVersions:
+    """The state machine detects each faulty version."""
 
     @pytest.mark.parametrize(
         'fleet',
         [
-            UnboundFleet,
-            DeadIsNotRunFleet,
-            lambda: Fleet(table_type=ForgetsDone),
-            lambda: Fleet(table_type=EvictsOldest),
-            lambda: Fleet(table_type=SendsLate),
+            IgnoresBindingFleet,
+            UnreachableIsNotRunFleet,
+            lambda: Fleet(table_type=RemovesFinished),
+            lambda: Fleet(table_type=EvictsBeforeExpiry),
+            lambda: Fleet(table_type=SkipsExpiryAtSend),
         ],
         ids=[
             'any ticket',
@@ -174,8 +176,8 @@
             'no check at the send',
         ],
     )
-    def test_is_found(self, fleet) -> None:
-        """A version with one fault breaks one of the invariants."""
+    def test_fault_is_detected(self, fleet) -> None:
+        """A version with one fault violates an invariant."""
         with pytest.raises(AssertionError):
             run_state_machine_as_test(
                 functools.partial(OnceMachine, fleet),
--- a/packages/fennelfork/tests/test_once_response.py
+++ b/packages/fennelfork/tests/test_once_response.py
@@ -1,4 +1,4 @@
-"""What replies prove about non-idempotent requests."""
+"""Classification of responses to execute requests."""
 
 import json
 from typing import Any
@@ -15,7 +15,7 @@
     key=7,
     action='issue',
 )
-_REPLY = {
+_RESPONSE = {
     'request_id': 'cert-1@s',
     'sub_query': 'x1',
     'key': 7,
@@ -30,32 +30,32 @@
 }
 
 
-def _judge(status: int, document: Any):
+def _classify(status: int, document: Any):
     return classify_execute_response(
         _CALL, status, json.dumps(document).encode()
     )
 
 
-class TestJudge:
-    """The reply of a backend server."""
+class TestClassifyExecuteResponse:
+    """Responses of a backend server."""
 
-    def test_gives_the_outcome(self) -> None:
-        """A reply to this attempt gives its outcome."""
-        assert _judge(200, _REPLY) == Success('certificate 5')
+    def test_returns_the_outcome(self) -> None:
+        """A response to this attempt returns its outcome."""
+        assert _classify(200, _RESPONSE) == Success('certificate 5')
 
-    def test_takes_the_servers_word(self) -> None:
-        """The server's word on this attempt is taken, with its code."""
-        failure = _judge(503, _SHED).failure()
+    def test_verdict_of_the_server_is_used(self) -> None:
+        """The verdict and code in a response to this attempt are used."""
+        failure = _classify(503, _SHED).failure()
         assert failure.verdict is Verdict.NOT_RUN
         assert failure.code is FailureCode.SHED
 
     @pytest.mark.parametrize(
         ('status', 'document'),
         [
-            (200, {**_REPLY, 'request_id': 'cert-2@s'}),
-            (200, {**_REPLY, 'sub_query': 'x2'}),
-            (200, {**_REPLY, 'key': 8}),
-            (200, {**_REPLY, 'outcome': None}),
+            (200, {**_RESPONSE, 'request_id': 'cert-2@s'}),
+            (200, {**_RESPONSE, 'sub_query': 'x2'}),
+            (200, {**_RESPONSE, 'key': 8}),
+            (200, {**_RESPONSE, 'outcome': None}),
             (200, []),
             (503, {**_SHED, 'request_id': 'cert-2@s'}),
             (503, {**_SHED, 'sub_query': 'x2'}),
@@ -63,16 +63,18 @@
             (503, {}),
         ],
     )
-    def test_doubts_what_is_crossed_or_unclear(
+    def test_mismatched_or_malformed_may_have_run(
         self,
         status: int,
         document: Any,
     ) -> None:
-        """A reply to anything else proves nothing, also when it says not."""
-        failure = _judge(status, document).failure()
+        """A mismatched or malformed response proves nothing."""
+        failure = _classify(status, document).failure()
         assert failure.verdict is Verdict.MAY_HAVE_RUN
 
-    def test_doubts_what_is_cut(self) -> None:
-        """Half a body proves nothing."""
-        judged = classify_execute_response(_CALL, 200, b'{"request_id": "ce')
-        assert judged.failure().verdict is Verdict.MAY_HAVE_RUN
+    def test_truncated_body_may_have_run(self) -> None:
+        """A truncated body proves nothing."""
+        classified = classify_execute_response(
+            _CALL, 200, b'{"request_id": "ce'
+        )
+        assert classified.failure().verdict is Verdict.MAY_HAVE_RUN
--- a/packages/fennelfork/tests/test_once_table.py
+++ b/packages/fennelfork/tests/test_once_table.py
@@ -1,4 +1,4 @@
-"""What an incarnation remembers of non-idempotent requests."""
+"""Request table and gate of an incarnation."""
 
 import attrs
 import pytest
@@ -9,7 +9,7 @@
     build_gate,
     execute_request,
 )
-from core_builders_once_naive import StaysOpen
+from core_builders_once_naive import KeepsTicketsOpen
 from returns.result import Failure as Failed
 from returns.result import Success
 
@@ -35,7 +35,7 @@
     return issued.text
 
 
-def _taken(gate: OnceGate) -> ExecuteRequest:
+def _admitted(gate: OnceGate) -> ExecuteRequest:
     request = execute_request(_ticket(gate))
     assert gate.admit(request) == Success(StartExecution())
     return request
@@ -52,22 +52,22 @@
     return [request.request_id for request in filling]
 
 
-class TestRepeat:
-    """A request id that comes again."""
+class TestDuplicate:
+    """Duplicates of a request id."""
 
-    def test_waits_for_the_first(self) -> None:
-        """A repeat of a running request is told to wait, sent or not."""
+    def test_waits_for_the_running_request(self) -> None:
+        """A duplicate of a running request waits, whether sent or not."""
         gate = build_gate(ManualTime())
-        request = _taken(gate)
+        request = _admitted(gate)
         assert gate.admit(request) == Success(AwaitRunning())
         gate.table.begin_send(request.request_id)
         assert gate.admit(request) == Success(AwaitRunning())
 
     def test_gets_the_same_outcome(self) -> None:
-        """A repeat of a finished request gets its outcome, after expiry too."""
+        """A duplicate gets the stored outcome, also after expiry."""
         manual = ManualTime()
         gate = build_gate(manual)
-        request = _taken(gate)
+        request = _admitted(gate)
         gate.table.begin_send(request.request_id)
         gate.table.record_outcome(request.request_id, 'certificate 5')
         manual.advance(LIFETIME_MS + 1)
@@ -76,9 +76,9 @@
 
     @pytest.mark.parametrize('sent', [False, True])
     def test_gets_the_same_failure(self, sent: bool) -> None:
-        """What was not sent ends as not run; what was sent, in doubt."""
+        """An unsent request ends as not run; a sent one may have run."""
         gate = build_gate(ManualTime())
-        request = _taken(gate)
+        request = _admitted(gate)
         if sent:
             gate.table.begin_send(request.request_id)
         failure = gate.table.abandon(request.request_id, _REASON)
@@ -87,10 +87,10 @@
         answer = ReplayAnswer(answer=Failed(failure))
         assert gate.admit(request) == Success(answer)
 
-    def test_for_something_else_is_a_conflict(self) -> None:
-        """An id does not stand for two contents."""
+    def test_other_content_is_a_conflict(self) -> None:
+        """An id cannot be reused with other content."""
         gate = build_gate(ManualTime())
-        request = _taken(gate)
+        request = _admitted(gate)
         gate.table.begin_send(request.request_id)
         gate.table.record_outcome(request.request_id, 'certificate 5')
         refused = gate.admit(attrs.evolve(request, action='revoke'))
@@ -98,39 +98,39 @@
         assert refused.failure().verdict is Verdict.RAN
 
     def test_is_never_sent_twice(self) -> None:
-        """A second send of a request is a defect."""
+        """A second send of a request raises an error."""
         gate = build_gate(ManualTime())
-        request = _taken(gate)
+        request = _admitted(gate)
         gate.table.begin_send(request.request_id)
         with pytest.raises(ValueError, match='sent already'):
             gate.table.begin_send(request.request_id)
 
-    def test_may_be_sent_after_the_server_refused(self) -> None:
-        """The server's own word that it did not run lets another try."""
+    def test_may_be_sent_after_a_refusal(self) -> None:
+        """A request that a server reports as not run may be sent again."""
         gate = build_gate(ManualTime())
-        request = _taken(gate)
+        request = _admitted(gate)
         gate.table.begin_send(request.request_id)
         gate.table.revert_send(request.request_id)
         assert gate.table.begin_send(request.request_id) == Success(LIFETIME_MS)
 
     @pytest.mark.parametrize('sent', [False, True])
-    def test_is_withdrawn_only_unsent(self, sent: bool) -> None:
-        """Past its deadline, only what was not sent ends as not run."""
+    def test_only_unsent_request_is_abandoned(self, sent: bool) -> None:
+        """Past its deadline, only an unsent request ends as not run."""
         gate = build_gate(ManualTime())
-        request = _taken(gate)
+        request = _admitted(gate)
         if sent:
             gate.table.begin_send(request.request_id)
         gate.table.abandon_unsent(request.request_id, _REASON)
         ended = isinstance(gate.table.state(request.request_id), Ended)
         assert ended is not sent
         if ended:
-            leave = gate.table.begin_send(request.request_id)
-            assert leave.failure().verdict is Verdict.NOT_RUN
+            permission = gate.table.begin_send(request.request_id)
+            assert permission.failure().verdict is Verdict.NOT_RUN
 
-    def test_outcome_too_long_is_still_known_to_have_run(self) -> None:
-        """A repeat learns that it ran when the outcome could not be kept."""
+    def test_too_long_outcome_has_verdict_ran(self) -> None:
+        """A duplicate learns that the request ran without a kept outcome."""
         gate = build_gate(ManualTime())
-        request = _taken(gate)
+        request = _admitted(gate)
         gate.table.begin_send(request.request_id)
         gate.table.record_outcome(request.request_id, 'x' * 65)
         state = gate.table.state(request.request_id)
@@ -139,19 +139,19 @@
 
 
 class TestExpiry:
-    """The end of a ticket."""
+    """Expiry of a ticket."""
 
-    def test_refuses_at_the_send(self) -> None:
-        """A daemon that wakes with an expired ticket does not send."""
+    def test_refuses_to_send(self) -> None:
+        """A daemon that resumes with an expired ticket does not send."""
         manual = ManualTime()
         gate = build_gate(manual)
-        request = _taken(gate)
+        request = _admitted(gate)
         manual.advance(LIFETIME_MS)
-        leave = gate.table.begin_send(request.request_id)
-        assert leave.failure().verdict is Verdict.NOT_RUN
+        permission = gate.table.begin_send(request.request_id)
+        assert permission.failure().verdict is Verdict.NOT_RUN
 
-    def test_an_unknown_id_did_not_run_while_ids_are_kept(self) -> None:
-        """Within the grace, an unknown id is proof that it never ran."""
+    def test_unknown_id_is_not_run_within_the_grace(self) -> None:
+        """An unknown id is proof of no execution only within the grace."""
         manual = ManualTime()
         gate = build_gate(manual)
         request = execute_request(_ticket(gate))
@@ -160,11 +160,11 @@
         manual.advance(1)
         assert gate.admit(request).failure().verdict is Verdict.MAY_HAVE_RUN
 
-    def test_forgets_after_the_grace_and_not_what_runs(self) -> None:
-        """Ended ids leave the memory; one that runs stays until it ends."""
+    def test_only_finished_ids_are_removed(self) -> None:
+        """A running id stays in the table until it ends."""
         manual = ManualTime()
         gate = build_gate(manual)
-        running, ended = _taken(gate), _taken(gate)
+        running, ended = _admitted(gate), _admitted(gate)
         gate.table.begin_send(running.request_id)
         gate.table.abandon(ended.request_id, _REASON)
         manual.advance(LIFETIME_MS + GRACE_MS)
@@ -177,18 +177,18 @@
 
 
 class TestFull:
-    """More ids than there is room for."""
+    """A full table."""
 
     @pytest.mark.parametrize(
         ('table_type', 'runs'),
-        [(OnceTable, False), (StaysOpen, True)],
+        [(OnceTable, False), (KeepsTicketsOpen, True)],
     )
-    def test_a_refused_id_stays_refused(
+    def test_refused_id_stays_refused(
         self,
         table_type: type[OnceTable],
         runs: bool,
     ) -> None:
-        """A late copy does not run when there is room again."""
+        """A delayed duplicate does not run after the table has room again."""
         manual = ManualTime()
         gate = build_gate(manual, table_type=table_type)
         for request_id in _fill(gate):
@@ -201,11 +201,11 @@
         manual.advance(GRACE_MS + 1)
         assert isinstance(gate.admit(request), Success) is runs
 
-    def test_known_ids_are_answered_and_new_tickets_taken(self) -> None:
-        """Being full ends no ticket of the future and forgets no id."""
+    def test_known_ids_and_new_tickets_work(self) -> None:
+        """A full table removes no id and does not close later tickets."""
         manual = ManualTime()
         gate = build_gate(manual)
-        known = _taken(gate)
+        known = _admitted(gate)
         _fill(gate)
         assert gate.admit(known) == Success(AwaitRunning())
         gate.table.abandon(known.request_id, _REASON)
@@ -215,19 +215,19 @@
 
 
 class TestGate:
-    """Where a request is decided."""
+    """Routing of requests."""
 
     def test_routes_by_the_ticket(self) -> None:
-        """Its own tickets stay, those of others go to their incarnation."""
+        """A request goes to the incarnation that issued its ticket."""
         manual = ManualTime()
         first = build_gate(manual)
         request = execute_request(_ticket(first))
         assert first.route(request) == Success(ExecuteLocally())
-        away = ForwardToPeer(daemon='vm-1', incarnation=1)
-        assert build_gate(manual, 'vm-2').route(request) == Success(away)
+        expected = ForwardToPeer(daemon='vm-1', incarnation=1)
+        assert build_gate(manual, 'vm-2').route(request) == Success(expected)
 
-    def test_a_restart_ends_the_tickets(self) -> None:
-        """The next incarnation neither runs nor denies what it never saw."""
+    def test_restart_invalidates_tickets(self) -> None:
+        """A request under a ticket of the last incarnation may have run."""
         manual = ManualTime()
         request = execute_request(_ticket(build_gate(manual)))
         restarted = build_gate(manual, incarnation=2)
@@ -235,18 +235,18 @@
             Verdict.MAY_HAVE_RUN
         )
 
-    def test_a_leaving_daemon_keeps_its_word(self) -> None:
-        """It issues no ticket, and takes requests of those it issued."""
+    def test_draining_daemon_accepts_issued_tickets(self) -> None:
+        """A draining daemon issues no ticket and accepts its issued ones."""
         gate = build_gate(ManualTime())
         ticket = _ticket(gate)
         gate.stop_issuing()
         assert gate.issue(LIFETIME_MS) is None
         assert gate.admit(execute_request(ticket)) == Success(StartExecution())
 
-    def test_an_exiting_daemon_refuses_what_is_new(self) -> None:
-        """Before it exits it says not run of new ids, and means it."""
+    def test_exiting_daemon_refuses_new_ids(self) -> None:
+        """An exiting daemon answers `NOT_RUN` to new ids."""
         gate = build_gate(ManualTime())
-        known = _taken(gate)
+        known = _admitted(gate)
         new = execute_request(_ticket(gate), 'cert-2')
         gate.refuse_new_requests()
         assert gate.admit(new).failure().verdict is Verdict.NOT_RUN
--- a/packages/fennelfork/tests/test_once_target.py
+++ b/packages/fennelfork/tests/test_once_target.py
@@ -1,4 +1,4 @@
-"""Which backend servers may run a non-idempotent request."""
+"""Selection of backend servers for a non-idempotent request."""
 
 import random
 
@@ -37,25 +37,27 @@
 
 
 def _names(key: int, *views: ShardView, seed: int = 1) -> list[str]:
-    found = servers_for_record(_FRONT, views, key, 'dc-2', random.Random(seed))
-    return [one.name for one in found]
+    servers = servers_for_record(
+        _FRONT, views, key, 'dc-2', random.Random(seed)
+    )
+    return [named_server.name for named_server in servers]
 
 
-class TestExecuteServers:
-    """The servers of a record, the best first."""
+class TestServersForRecord:
+    """Order of the backend servers of a record."""
 
-    def test_near_ones_first(self) -> None:
-        """Servers of the daemon's data centre come before others."""
+    def test_local_servers_first(self) -> None:
+        """Servers in the daemon's data centre come first."""
         view = _view('a', v1=(0, 50))
         for seed in range(5):
             assert _names(7, view, seed=seed) == ['a2', 'a1']
 
     def test_newest_snapshot_first(self) -> None:
-        """A record that moved is run by its new shard."""
+        """A moved record is executed by its new shard first."""
         old, new = _view('a', v1=(0, 50)), _view('b', v2=(0, 50))
         assert _names(7, old, new) == ['b1', 'a2', 'a1']
 
-    def test_none_without_a_holder(self) -> None:
+    def test_no_shard_holds_the_record(self) -> None:
         """A record that no configured shard holds has no server."""
         views = (_view('a', v1=(0, 50)), _view('gone', v1=(50, 100)))
         assert not _names(60, *views)
--- a/packages/fennelfork/tests/test_once_ticket.py
+++ b/packages/fennelfork/tests/test_once_ticket.py
@@ -1,4 +1,4 @@
-"""Tickets of an incarnation."""
+"""Issue, parsing and verification of tickets."""
 
 import random
 
@@ -32,10 +32,10 @@
 
 
 class TestCheckTicket:
-    """Which tickets an incarnation takes for its own."""
+    """Verification of the issuing incarnation."""
 
-    def test_takes_its_own(self) -> None:
-        """A ticket survives the way to the caller and back."""
+    def test_accepts_its_own_ticket(self) -> None:
+        """A ticket is valid after encoding and parsing."""
         ticket = _issue()
         parsed = parse_ticket(ticket.text)
         assert parsed == Success(ticket)
@@ -50,15 +50,15 @@
         ],
         ids=['another secret', 'another incarnation', 'another daemon'],
     )
-    def test_refuses_others(self, key: TicketKey) -> None:
-        """A ticket of any other key is refused, as one that may have run."""
+    def test_refuses_tickets_of_other_keys(self, key: TicketKey) -> None:
+        """A ticket of another key is refused with `MAY_HAVE_RUN`."""
         refused = check_ticket(_KEY, _issue(key))
         assert isinstance(refused, Failed)
         assert refused.failure().code is FailureCode.TICKET
         assert refused.failure().verdict is Verdict.MAY_HAVE_RUN
 
-    def test_refuses_each_change_of_a_character(self) -> None:
-        """No single character of a ticket can be changed."""
+    def test_refuses_each_changed_character(self) -> None:
+        """A change of any single character invalidates a ticket."""
         text = _issue().text
         for position, old in enumerate(text):
             new = 'B' if old == 'A' else 'A'
@@ -66,25 +66,25 @@
             checked = parse_ticket(forged).bind(_check)
             assert isinstance(checked, Failed), forged
 
-    def test_ends_by_the_clock_that_issued_it(self) -> None:
-        """A ticket is over at its expiry, not a millisecond later."""
+    def test_expires_by_the_issuing_clock(self) -> None:
+        """A ticket expires exactly at its expiry time."""
         ticket = _issue()
         assert ticket.terms.expires_ms == 150
         assert not ticket.has_expired(149.9)
         assert ticket.has_expired(150)
 
     def test_refuses_a_short_secret(self) -> None:
-        """A key that could be guessed is a defect."""
+        """A short secret raises an error."""
         with pytest.raises(ValueError, match='too short'):
             ticket_key('vm-1', 3, b'short')
 
-    def test_keeps_the_secret_out_of_logs(self) -> None:
-        """The text form of a key does not show its secret."""
+    def test_repr_hides_the_secret(self) -> None:
+        """The representation of a key does not show its secret."""
         assert 'kkk' not in repr(_KEY)
 
 
 class TestParseTicket:
-    """Text that is no ticket."""
+    """Malformed tickets."""
 
     @pytest.mark.parametrize(
         'text',
@@ -99,24 +99,24 @@
             'a' * 600,
         ],
     )
-    def test_refuses(self, text: str) -> None:
-        """Any other text fails as a value, not as an exception."""
+    def test_refuses_malformed_text(self, text: str) -> None:
+        """Malformed text fails as a result, not as an exception."""
         refused = parse_ticket(text)
         assert isinstance(refused, Failed)
         assert refused.failure().verdict is Verdict.MAY_HAVE_RUN
 
-    def test_refuses_what_cannot_be_encoded(self) -> None:
-        """A lone surrogate in a ticket fails as a value, too."""
+    def test_refuses_a_lone_surrogate(self) -> None:
+        """A lone surrogate fails as a result, not as an exception."""
         forged = f'{_issue().text[:-1]}\ud800'
         refused = parse_ticket(forged).bind(_check)
         assert isinstance(refused, Failed)
 
 
 class TestCheckBinding:
-    """Request ids and the ticket they belong to."""
+    """Binding of request ids to tickets."""
 
-    def test_takes_a_bound_id(self) -> None:
-        """An id made for the ticket passes, also with marks in its name."""
+    def test_accepts_a_bound_id(self) -> None:
+        """A bound id is accepted, also with separators in its name."""
         ticket = _issue()
         request_id = bind_request_id('paolo@trinacria/17', ticket.text)
         assert check_binding(request_id, ticket.text) == Success(ticket)
@@ -124,15 +124,15 @@
     @pytest.mark.parametrize(
         'request_id', ['', 'cert-1', '@x', 'x@', 'a' * 200]
     )
-    def test_an_unbound_id_never_ran(self, request_id: str) -> None:
-        """What no daemon would run is refused as not run."""
+    def test_unbound_id_is_not_run(self, request_id: str) -> None:
+        """An id without a binding is refused as not run."""
         refused = check_binding(request_id, _issue().text)
         assert isinstance(refused, Failed)
         assert refused.failure().code is FailureCode.BAD_REQUEST
         assert refused.failure().verdict is Verdict.NOT_RUN
 
-    def test_a_new_ticket_does_not_renew_an_id(self) -> None:
-        """An id under another ticket may have run, and runs no more."""
+    def test_id_is_refused_under_another_ticket(self) -> None:
+        """An id under another ticket is refused, as it may have run."""
         first = _issue(seed=1)
         second = _issue(seed=2)
         request_id = bind_request_id('cert-1', first.text)
@@ -140,8 +140,8 @@
         assert isinstance(refused, Failed)
         assert refused.failure().verdict is Verdict.MAY_HAVE_RUN
 
-    def test_the_serial_alone_is_no_ticket(self) -> None:
-        """The right serial before other terms still needs the code."""
+    def test_serial_alone_is_not_a_ticket(self) -> None:
+        """A correct serial with other terms fails the authentication code."""
         first = _issue(seed=1)
         forged = attrs.evolve(_issue(seed=2), signed=first.signed)
         request_id = bind_request_id('cert-1', first.text)
