--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
@@ -7,7 +7,7 @@
 from eventlet.greenthread import GreenThread
 
 from fennelfork import Blackboard, Clock, StopPolicy
-from fennelfork.membership import ListSchedule
+from fennelfork.membership import VmListSchedule
 from fennelfork_daemon._in_progress import (
     Application,
     CountedApplication,
@@ -104,7 +104,7 @@
             board,
             settings,
             members.fleet,
-            ListSchedule(rng=random.Random()),
+            VmListSchedule(rng=random.Random()),
         ),
         stop=stop,
     )
--- a/packages/fennelfork/tests/core_builders_fleet.py
+++ b/packages/fennelfork/tests/core_builders_fleet.py
@@ -7,7 +7,7 @@
 DATA_CENTRES = ('dc-1', 'dc-2', 'dc-3')
 
 
-def a_member(
+def build_member(
     name: str,
     data_centre: str = 'dc-1',
     state: MemberStatus = MemberStatus.ALIVE,
@@ -29,19 +29,19 @@
     )
 
 
-def a_data_centre(data_centre: str, size: int) -> list[Member]:
+def build_data_centre_members(data_centre: str, size: int) -> list[Member]:
     """Build `size` alive members of one data centre."""
     return [
-        a_member(f'{data_centre}-{number}', data_centre)
+        build_member(f'{data_centre}-{number}', data_centre)
         for number in range(size)
     ]
 
 
-def fleets(max_size: int = 12) -> st.SearchStrategy[list[Member]]:
+def fleet_strategy(max_size: int = 12) -> st.SearchStrategy[list[Member]]:
     """Return a strategy for fleets with distinct names and any states."""
     return st.lists(
         st.builds(
-            a_member,
+            build_member,
             st.integers(0, 40).map('vm-{0}'.format),
             st.sampled_from(DATA_CENTRES),
             st.sampled_from(MemberStatus),
--- a/packages/fennelfork/tests/core_builders_network.py
+++ b/packages/fennelfork/tests/core_builders_network.py
@@ -11,7 +11,7 @@
 from functools import partial
 
 import attrs
-from core_builders_fleet import a_member
+from core_builders_fleet import build_member
 
 from fennelfork.membership import (
     Member,
@@ -109,7 +109,7 @@
         assert condition(), f'not within {max_ms} ms'
         return self.now_ms - started_ms
 
-    def wake(self, node: Node) -> None:
+    def resume(self, node: Node) -> None:
         """Resume a paused daemon and handle the events in its inbox."""
         node.is_paused = False
         waiting = list(node.inbox)
@@ -211,7 +211,7 @@
     """Build a network of `size` daemons that know each other."""
     network = Network(rng=random.Random(seed))
     members = [
-        a_member(
+        build_member(
             f'vm-{number}',
             f'dc-{number % data_centres + 1}',
             region=f'region-{number % data_centres % 2 + 1}',
--- a/packages/fennelfork/tests/test_membership.py
+++ b/packages/fennelfork/tests/test_membership.py
@@ -4,7 +4,7 @@
 
 import attrs
 import pytest
-from core_builders_fleet import a_member
+from core_builders_fleet import build_member
 from core_builders_network import Network, Node, a_network
 
 from fennelfork.membership import (
@@ -77,7 +77,7 @@
         network = a_network(60)
         network.run(5000)
         seed = network.nodes['vm-0'].me
-        network.start(a_member('new', incarnation=1024), [seed])
+        network.start(build_member('new', incarnation=1024), [seed])
         network.run_until(lambda: _all_alive(network), 20_000)
         newcomer = network.nodes['new']
         assert len(newcomer.table) == 61
@@ -85,7 +85,7 @@
     def test_whole_fleet_starts_from_seeds(self) -> None:
         """Daemons that start together discover each other through the seeds."""
         network = Network(rng=random.Random(3))
-        members = [a_member(f'vm-{number}') for number in range(30)]
+        members = [build_member(f'vm-{number}') for number in range(30)]
         for member in members:
             network.start(member, members[:5])
         network.run_until(
@@ -163,7 +163,7 @@
         seeds = [network.nodes['vm-1'].me, network.nodes['vm-2'].me]
         for name in restarted:
             me = network.nodes[name].me
-            later = a_member(
+            later = build_member(
                 name,
                 me.data_centre,
                 region=me.region,
@@ -200,7 +200,7 @@
         paused = network.nodes['vm-1']
         paused.is_paused = True
         network.run(pause_ms)
-        network.wake(paused)
+        network.resume(paused)
         network.run_until(lambda: _all_alive(network), _MINUTE_MS)
         assert paused.me.incarnation > 1024
         others = [node for node in _running(network) if node is not paused]
@@ -218,7 +218,7 @@
             observed_states |= {
                 node.get_state('vm-1') for node in _running(network)
             }
-        network.wake(paused)
+        network.resume(paused)
         network.run(5000)
         observed_states |= {
             node.get_state('vm-1') for node in _running(network)
@@ -234,12 +234,12 @@
         old.is_paused = True
         network.run(20_000)
         successor = attrs.evolve(
-            a_member('vm-1', 'dc-2', region='region-1', incarnation=9216),
+            build_member('vm-1', 'dc-2', region='region-1', incarnation=9216),
             peer='elsewhere:3',
         )
         new = network.start(successor, [network.nodes['vm-0'].me])
         network.run(5000)
-        network.wake(old)
+        network.resume(old)
         network.run(10_000)
         assert old.fleet.view.local_member.is_superseded
         assert not new.fleet.view.local_member.is_superseded
--- a/packages/fennelfork/tests/test_membership_claims.py
+++ b/packages/fennelfork/tests/test_membership_claims.py
@@ -1,7 +1,7 @@
 """Decisions on claims about members."""
 
 import pytest
-from core_builders_fleet import a_member
+from core_builders_fleet import build_member
 
 from fennelfork.membership import MemberStatus
 from fennelfork.membership._claims import ClaimDecision, evaluate_claim
@@ -13,7 +13,7 @@
 
 
 def _known(state: MemberStatus, incarnation: int = 5):
-    return a_member('vm-1', state=state, incarnation=incarnation)
+    return build_member('vm-1', state=state, incarnation=incarnation)
 
 
 class TestEvaluateClaim:
--- a/packages/fennelfork/tests/test_membership_machine.py
+++ b/packages/fennelfork/tests/test_membership_machine.py
@@ -85,7 +85,7 @@
     @rule(name=_NAME)
     def resume_daemon(self, name: str) -> None:
         """Resume a suspended daemon."""
-        self.network.resume_daemon(self.network.nodes[name])
+        self.network.resume(self.network.nodes[name])
 
     @rule(start=_NAME, end=_NAME)
     def cut_one_way(self, start: str, end: str) -> None:
@@ -148,7 +148,7 @@
             return
         self.cut.clear()
         for node in self.network.nodes.values():
-            self.network.resume_daemon(node)
+            self.network.resume(node)
         self.network.run(_CONVERGENCE_MS)
         nodes = list(self.network.nodes.values())
         disagreements = [
--- a/packages/fennelfork/tests/test_membership_member_table.py
+++ b/packages/fennelfork/tests/test_membership_member_table.py
@@ -3,7 +3,7 @@
 import random
 
 import attrs
-from core_builders_fleet import a_member, fleets
+from core_builders_fleet import build_member, fleet_strategy
 from hypothesis import given
 
 from fennelfork.membership import MemberStatus, MemberTable
@@ -21,7 +21,7 @@
 class TestDigests:
     """Detection of differences between two tables."""
 
-    @given(fleets(), fleets())
+    @given(fleet_strategy(), fleet_strategy())
     def test_differ_with_the_live_members(self, first, second) -> None:
         """Digests are equal exactly if the live members are equal."""
         own = _table(first)
@@ -36,7 +36,7 @@
         ]
         assert (own.digests == other.digests) == (living[0] == living[1])
 
-    @given(fleets(), fleets())
+    @given(fleet_strategy(), fleet_strategy())
     def test_missing_members_are_returned(self, first, second) -> None:
         """Live members that the other table lacks are among those returned."""
         own = _table(first)
@@ -54,12 +54,12 @@
 
     def test_wrong_size_returns_no_members(self) -> None:
         """Digests of another size, such as empty ones, return no members."""
-        table = _table([a_member('vm-1')])
+        table = _table([build_member('vm-1')])
         assert table.members_to_sync(b'', 9, _RNG) == ()
 
     def test_limit_is_kept(self) -> None:
         """A peer with an empty table receives a limited number of members."""
-        table = _table([a_member(f'vm-{number}') for number in range(50)])
+        table = _table([build_member(f'vm-{number}') for number in range(50)])
         empty = MemberTable()
         assert len(table.members_to_sync(empty.digests, 9, _RNG)) == 9
 
@@ -69,13 +69,13 @@
 
     def test_rises_with_state_but_not_with_configuration(self) -> None:
         """A new configuration version of a member moves no home."""
-        table = _table([a_member('vm-1')])
+        table = _table([build_member('vm-1')])
         epoch = table.epoch
-        table.put(a_member('vm-1'))
-        newer = attrs.evolve(a_member('vm-1'), config_version=7)
+        table.put(build_member('vm-1'))
+        newer = attrs.evolve(build_member('vm-1'), config_version=7)
         table.put(newer)
         assert table.epoch == epoch
         assert table.take_reconfigured() == (newer,)
         assert table.take_reconfigured() == ()
-        table.put(a_member('vm-1', state=MemberStatus.SUSPECT))
+        table.put(build_member('vm-1', state=MemberStatus.SUSPECT))
         assert table.epoch > epoch
--- a/packages/fennelfork/tests/test_membership_parts.py
+++ b/packages/fennelfork/tests/test_membership_parts.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from core_builders_fleet import a_member
+from core_builders_fleet import build_member
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -83,7 +83,7 @@
         """No member is probed twice in one pass."""
         table = MemberTable()
         for number in range(size):
-            table.put(a_member(f'vm-{number}'))
+            table.put(build_member(f'vm-{number}'))
         order = ProbeOrder(own_name='vm-0', rng=random.Random(seed))
         others = {f'vm-{number}' for number in range(1, size)}
         for _ in range(3):
@@ -93,7 +93,7 @@
     def test_dead_members_are_skipped(self) -> None:
         """Without a live member there is no target."""
         table = MemberTable()
-        table.put(a_member('vm-1', state=MemberStatus.DEAD))
+        table.put(build_member('vm-1', state=MemberStatus.DEAD))
         order = ProbeOrder(own_name='vm-0', rng=random.Random(0))
         assert order.take_next(table) is None
 
@@ -110,7 +110,7 @@
         """Extra probes do not exceed the burst plus the rate over time."""
         extra_probes = ExtraProbes(policy=_POLICY)
         for number in range(claims):
-            extra_probes.add_claim(a_member(f'vm-{number}'))
+            extra_probes.add_claim(build_member(f'vm-{number}'))
         taken = 0
         for now_ms in range(0, seconds * 1000, 100):
             while extra_probes.take_claim(now_ms) is not None:
@@ -125,8 +125,8 @@
         """Repeated claims about one member lead to one probe."""
         extra_probes = ExtraProbes(policy=_POLICY)
         for _ in range(5):
-            extra_probes.add_claim(a_member('vm-1'))
-        assert extra_probes.take_claim(0) == a_member('vm-1')
+            extra_probes.add_claim(build_member('vm-1'))
+        assert extra_probes.take_claim(0) == build_member('vm-1')
         assert extra_probes.take_claim(0) is None
 
 
@@ -135,8 +135,8 @@
 
     def test_exceeds_the_incarnation_of_its_earlier_process(self) -> None:
         """A daemon raises its incarnation after the wall clock was set back."""
-        local_member = LocalMember(record=a_member('vm-1'), policy=_POLICY)
-        claim = a_member('vm-1', state=MemberStatus.DEAD, incarnation=50)
+        local_member = LocalMember(record=build_member('vm-1'), policy=_POLICY)
+        claim = build_member('vm-1', state=MemberStatus.DEAD, incarnation=50)
         assert local_member.apply_claim(claim, 0)
         assert local_member.record.incarnation == 51
         assert not local_member.is_superseded
@@ -151,9 +151,9 @@
         refutes: bool,
     ) -> None:
         """A daemon refutes a suspicion only after a recent probe."""
-        local_member = LocalMember(record=a_member('vm-1'), policy=_POLICY)
+        local_member = LocalMember(record=build_member('vm-1'), policy=_POLICY)
         local_member.record_probe(0)
-        claim = a_member('vm-1', state=MemberStatus.SUSPECT)
+        claim = build_member('vm-1', state=MemberStatus.SUSPECT)
         assert local_member.apply_claim(claim, since_ms) is refutes
         assert local_member.refutations == int(refutes)
 
--- a/packages/fennelfork/tests/test_placement_config_follow.py
+++ b/packages/fennelfork/tests/test_placement_config_follow.py
@@ -4,7 +4,11 @@
 from collections import Counter
 
 import attrs
-from core_builders_fleet import DATA_CENTRES, a_data_centre, a_member
+from core_builders_fleet import (
+    DATA_CENTRES,
+    build_data_centre_members,
+    build_member,
+)
 
 from fennelfork import ManualTime, manual_clock
 from fennelfork.membership import Member, MemberStatus
@@ -19,7 +23,7 @@
     return {
         member.name: member
         for data_centre in DATA_CENTRES
-        for member in a_data_centre(data_centre, size)
+        for member in build_data_centre_members(data_centre, size)
     }
 
 
@@ -125,10 +129,10 @@
 
     def test_dead_and_suspect_members_are_not_contacted(self) -> None:
         """Only alive and leaving members are polled or notified."""
-        local = _with_version(a_member('vm-1'), 2)
+        local = _with_version(build_member('vm-1'), 2)
         members = [
-            a_member('vm-2', state=MemberStatus.DEAD),
-            a_member('vm-3', state=MemberStatus.SUSPECT),
+            build_member('vm-2', state=MemberStatus.DEAD),
+            build_member('vm-3', state=MemberStatus.SUSPECT),
             local,
         ]
         follower = _follower(ManualTime())
@@ -138,7 +142,8 @@
     def test_new_version_reaches_a_large_fleet(self) -> None:
         """Notifications from three daemons and two polls reach 460 daemons."""
         fleet = [
-            _with_version(member, 0) for member in a_data_centre('dc-1', 460)
+            _with_version(member, 0)
+            for member in build_data_centre_members('dc-1', 460)
         ]
         follower = _follower(ManualTime(), seed=3)
         informed = {member.name for member in fleet[:3]}
--- a/packages/fennelfork/tests/test_placement_home_index.py
+++ b/packages/fennelfork/tests/test_placement_home_index.py
@@ -1,6 +1,11 @@
 """Tests of the index of home daemons."""
 
-from core_builders_fleet import DATA_CENTRES, a_data_centre, a_member, fleets
+from core_builders_fleet import (
+    DATA_CENTRES,
+    build_data_centre_members,
+    build_member,
+    fleet_strategy,
+)
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -17,7 +22,7 @@
 class TestHomeIndex:
     """Look-ups in one index."""
 
-    @given(fleets(), _NAMES)
+    @given(fleet_strategy(), _NAMES)
     def test_avoided_members_are_excluded(self, fleet, avoid) -> None:
         """An avoided member is the home only if no other member is usable."""
         index = home_index(fleet)
@@ -27,7 +32,7 @@
         for _ in range(2):
             assert index.home('f', 's', DATA_CENTRES, avoid) == expected
 
-    @given(fleets())
+    @given(fleet_strategy())
     def test_cache_distinguishes_fronts_and_data_centres(self, fleet) -> None:
         """Guards against a cached home of another front or data centre list."""
         index = home_index(fleet)
@@ -46,7 +51,7 @@
 
     def test_homes_change_with_the_members(self) -> None:
         """Guards against homes of outdated members."""
-        members = a_data_centre('dc-1', 5)
+        members = build_data_centre_members('dc-1', 5)
         board = blackboard(members[0])
         assert board.homes.home('f', 's', ('dc-1',)) == members[0]
         board.members = {member.name: member for member in members}
@@ -56,5 +61,5 @@
             member.name: member.with_state(MemberStatus.DEAD)
             for member in members
         }
-        board.members = dead | {'new': a_member('new')}
-        assert board.homes.home('f', 's', ('dc-1',)) == a_member('new')
+        board.members = dead | {'new': build_member('new')}
+        assert board.homes.home('f', 's', ('dc-1',)) == build_member('new')
--- a/packages/fennelfork/tests/test_placement_rendezvous.py
+++ b/packages/fennelfork/tests/test_placement_rendezvous.py
@@ -4,9 +4,9 @@
 
 from core_builders_fleet import (
     DATA_CENTRES,
-    a_data_centre,
-    a_member,
-    fleets,
+    build_data_centre_members,
+    build_member,
+    fleet_strategy,
 )
 from hypothesis import given
 from hypothesis import strategies as st
@@ -33,7 +33,7 @@
         self, size: int, position: int
     ) -> None:
         """Only the shards of a removed member get another home."""
-        members = a_data_centre('dc-1', size)
+        members = build_data_centre_members('dc-1', size)
         removed = members[position % size]
         before = _homes(members)
         after = _homes([member for member in members if member != removed])
@@ -44,15 +44,15 @@
     @given(st.integers(1, 12))
     def test_added_member_receives_all_moved_shards(self, size: int) -> None:
         """After a member joins, a shard keeps its home or moves to the member."""
-        members = a_data_centre('dc-1', size)
-        joiner = a_member('joiner')
+        members = build_data_centre_members('dc-1', size)
+        joiner = build_member('joiner')
         before = _homes(members)
         after = _homes([*members, joiner])
         assert all(
             after[shard] in {before[shard], joiner.name} for shard in _SHARDS
         )
 
-    @given(fleets(), st.randoms(use_true_random=False))
+    @given(fleet_strategy(), st.randoms(use_true_random=False))
     def test_home_does_not_depend_on_the_member_order(
         self, fleet, random
     ) -> None:
@@ -61,7 +61,7 @@
         random.shuffle(shuffled)
         assert _homes(fleet) == _homes(shuffled)
 
-    @given(fleets())
+    @given(fleet_strategy())
     def test_home_is_in_the_first_data_centre_with_an_alive_member(
         self, fleet
     ) -> None:
@@ -77,7 +77,7 @@
             assert home.state is MemberStatus.ALIVE
             assert home.data_centre == min(alive, key=DATA_CENTRES.index)
 
-    @given(fleets())
+    @given(fleet_strategy())
     def test_home_is_never_dead(self, fleet) -> None:
         """There is no home if and only if all members are dead."""
         home = find_home('front', 'shard', DATA_CENTRES, fleet)
@@ -86,14 +86,14 @@
 
     def test_leaving_member_is_preferred_to_suspect_member(self) -> None:
         """A leaving member still responds; a suspect member may not."""
-        leaving = a_member('vm-1', 'dc-2', MemberStatus.LEAVING)
-        suspect = a_member('vm-2', 'dc-1', MemberStatus.SUSPECT)
+        leaving = build_member('vm-1', 'dc-2', MemberStatus.LEAVING)
+        suspect = build_member('vm-2', 'dc-1', MemberStatus.SUSPECT)
         assert find_home('f', 's', DATA_CENTRES, [suspect, leaving]) == leaving
 
     def test_member_with_a_configuration_is_preferred(self) -> None:
         """A member without a configuration is the home only as a last resort."""
-        without_config = a_member('vm-1', 'dc-1', config_version=0)
-        far = a_member('vm-2', 'dc-9')
+        without_config = build_member('vm-1', 'dc-1', config_version=0)
+        far = build_member('vm-2', 'dc-9')
         assert find_home('f', 's', DATA_CENTRES, [without_config, far]) == far
         assert (
             find_home('f', 's', DATA_CENTRES, [without_config])
@@ -102,12 +102,12 @@
 
     def test_home_may_be_outside_the_listed_data_centres(self) -> None:
         """A shard without a daemon in its data centres still has a home."""
-        far = a_member('vm-1', 'dc-9')
+        far = build_member('vm-1', 'dc-9')
         assert find_home('f', 's', DATA_CENTRES, [far]) == far
 
     def test_homes_are_balanced(self) -> None:
         """9 members get 9,000 shards with less than 15% deviation each."""
-        members = a_data_centre('dc-1', 9)
+        members = build_data_centre_members('dc-1', 9)
         counts = Counter(
             home.name
             for number in range(9000)
@@ -120,7 +120,7 @@
 class TestChooseWatchers:
     """The members that watch the platform for a data centre."""
 
-    @given(fleets(), st.sampled_from(DATA_CENTRES), st.integers(1, 4))
+    @given(fleet_strategy(), st.sampled_from(DATA_CENTRES), st.integers(1, 4))
     def test_alive_members_of_the_data_centre_are_preferred(
         self,
         fleet,
@@ -144,7 +144,7 @@
 
     def test_loss_of_one_watcher_keeps_the_other(self) -> None:
         """The second watcher remains after the removal of the first."""
-        members = a_data_centre('dc-1', 9)
+        members = build_data_centre_members('dc-1', 9)
         first, second = choose_watchers('dc-1', members)
         remaining = [member for member in members if member != first]
         assert choose_watchers('dc-1', remaining)[0] == second
--- a/packages/fennelfork/tests/test_placement_routing_mode.py
+++ b/packages/fennelfork/tests/test_placement_routing_mode.py
@@ -1,7 +1,7 @@
 """Tests of the routing modes."""
 
 import pytest
-from core_builders_fleet import a_member
+from core_builders_fleet import build_member
 
 from fennelfork import blackboard
 from fennelfork._blackboard import Blackboard
@@ -20,8 +20,8 @@
 
 
 def _board(mode: RoutingMode) -> Blackboard:
-    board = blackboard(a_member('vm-1', data_centre='dc-2'))
-    board.members['vm-2'] = a_member('vm-2', data_centre='dc-1')
+    board = blackboard(build_member('vm-1', data_centre='dc-2'))
+    board.members['vm-2'] = build_member('vm-2', data_centre='dc-1')
     shards = {name: Shard(servers={'raft-a': _SERVER}) for name in ('s0', 's1')}
     board.document = Document(fronts={'front': Front(keys=9, shards=shards)})
     board.routing = mode
