--- a/packages/fennelfork/src/fennelfork/home/_admission.py
+++ b/packages/fennelfork/src/fennelfork/home/_admission.py
@@ -49,8 +49,8 @@
         """Return the recent number of events per millisecond."""
         self._decay(now_ms)
         age_ms = max(_MIN_RATE_AGE_MS, now_ms - self._since_ms)
-        shard_latencies = 1 - math.exp(-age_ms / _WINDOW_MS)
-        return self._count / (_WINDOW_MS * shard_latencies)
+        observed_fraction = 1 - math.exp(-age_ms / _WINDOW_MS)
+        return self._count / (_WINDOW_MS * observed_fraction)
 
     def _decay(self, now_ms: float) -> None:
         elapsed_ms = max(0, now_ms - self._at_ms)
--- a/packages/fennelfork/src/fennelfork/servers/_connection.py
+++ b/packages/fennelfork/src/fennelfork/servers/_connection.py
@@ -97,12 +97,8 @@
         Returns:
             Whether to keep the connection open.
         """
-        has_enough_samples = connection in self._opened_ms
-        if (
-            has_enough_samples
-            and usable
-            and connection not in self._invalidated
-        ):
+        is_open = connection in self._opened_ms
+        if is_open and usable and connection not in self._invalidated:
             self._idle_since_ms[connection] = now_ms
             return True
         self._remove(connection)
