--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_records.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_records.py
@@ -66,4 +66,4 @@
 def _wanted_keys(held: KeyRange, query: Query) -> Iterable[int]:
     if query.keys is None:
         return range(held.lo, held.hi)
-    return sorted({key for key in query.keys if held.holds(key)})
+    return sorted({key for key in query.keys if held.contains(key)})
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_coverage.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_coverage.py
@@ -52,4 +52,4 @@
 
 
 def _is_missing(key: int, answer: QueryAnswered) -> bool:
-    return any(part.holds(key) for part in answer.missing)
+    return any(part.contains(key) for part in answer.missing)
--- a/packages/fennelfork/src/fennelfork/gather/_range.py
+++ b/packages/fennelfork/src/fennelfork/gather/_range.py
@@ -17,7 +17,7 @@
         """Number of keys in the range."""
         return self.hi - self.lo
 
-    def holds(self, key: int) -> bool:
+    def contains(self, key: int) -> bool:
         """Return whether the range contains `key`."""
         return self.lo <= key < self.hi
 
--- a/packages/fennelfork/src/fennelfork/once/_target.py
+++ b/packages/fennelfork/src/fennelfork/once/_target.py
@@ -61,7 +61,7 @@
     versions = (
         snapshot.version
         for snapshot in view.snapshots
-        if any(part.holds(key) for part in snapshot.ranges)
+        if any(part.contains(key) for part in snapshot.ranges)
     )
     return max(versions, default=None)
 
--- a/packages/fennelfork/tests/test_gather_range.py
+++ b/packages/fennelfork/tests/test_gather_range.py
@@ -34,7 +34,7 @@
         expected = {
             key
             for key in range(whole.lo, whole.hi)
-            if not any(part.holds(key) for part in held)
+            if not any(part.contains(key) for part in held)
         }
         found = [key for gap in gaps for key in range(gap.lo, gap.hi)]
         assert sorted(expected) == found
