--- a/packages/fennelfork-bench/tests/test_modules.py
+++ b/packages/fennelfork-bench/tests/test_modules.py
@@ -24,5 +24,5 @@
         assert found.startswith('a\n<!-- modules -->\n### fennelfork\n')
         assert found.endswith('<!-- end of modules -->\nb\n')
         assert 'list of before' not in found
-        assert '| `_verdict` | What is known of whether' in found
-        assert '| `gather/` | One answer out of the replies' in found
+        assert '| `_verdict` | Failure of a request and' in found
+        assert '| `gather/` | Partitioning, coverage and' in found
