--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
@@ -5,7 +5,6 @@
 from fennelfork.routes import store_polling
 from fennelfork_daemon._in_progress import InProgress
 from fennelfork_daemon.logs._budget import LogOutput
-from fennelfork_daemon.routes._apply import FactTaker
 from fennelfork_daemon.routes._build_face import call_parts, route_face
 from fennelfork_daemon.routes._build_guard import request_watch
 from fennelfork_daemon.routes._contact import StoreContact, store_contact
@@ -21,6 +20,7 @@
 from fennelfork_daemon.routes._settings import RouteSettings
 from fennelfork_daemon.routes._stop import route_stop
 from fennelfork_daemon.routes._store_reporter import StoreReporter
+from fennelfork_daemon.routes._update_applier import FactTaker
 
 
 def route_service(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
@@ -13,11 +13,11 @@
 from fennelfork import Failure
 from fennelfork.config import Backoff
 from fennelfork.routes import STORE_RETRY_DELAY_MS, StorePolling
-from fennelfork_daemon.routes._apply import FactTaker
 from fennelfork_daemon.routes._contact import StoreCall, StoreContact
 from fennelfork_daemon.routes._facts import Fact
 from fennelfork_daemon.routes._pending_call import PendingCall
 from fennelfork_daemon.routes._ports import Changes, HistoryGone, Listing, Store
+from fennelfork_daemon.routes._update_applier import FactTaker
 
 _MS_PER_SECOND: Final = 1000
 # The store is back within seconds, and every refused call costs.
--- a/packages/fennelfork-daemon/tests/daemon_builders_routes.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_routes.py
@@ -37,7 +37,6 @@
     Listing,
     RouteSettings,
 )
-from fennelfork_daemon.routes._apply import FactTaker
 from fennelfork_daemon.routes._board import route_board
 from fennelfork_daemon.routes._contact import StoreContact, store_contact
 from fennelfork_daemon.routes._follower import StoreFollower, store_follower
@@ -45,6 +44,7 @@
 from fennelfork_daemon.routes._pools import ServerPools
 from fennelfork_daemon.routes._registration import Registration
 from fennelfork_daemon.routes._store_reporter import StoreReporter
+from fennelfork_daemon.routes._update_applier import FactTaker
 from fennelfork_daemon.settings._tables import LogSettings
 
 AWAY = not_run(FailureCode.PLATFORM, 'the store answered 503')
