--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_board.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_board.py
@@ -21,11 +21,11 @@
 
 # Daemons renew their leases each 0.7 s. One that died meanwhile costs its
 # callers a second each while it is named.
-_MEMBER_LAPSE_MS: Final = 1200.0
+_MEMBER_GRACE_MS: Final = 1200.0
 # Until the limits of the first configuration are known.
-HEADER_BYTES: Final = 16_384
-READ_MS: Final = 3000
-IDLE_MS: Final = 15_000
+INITIAL_HEADER_BYTES: Final = 16_384
+INITIAL_READ_MS: Final = 3000
+INITIAL_IDLE_MS: Final = 15_000
 
 
 @attrs.define(kw_only=True)
@@ -54,34 +54,34 @@
     limits: ConnectionLimits
     quarantine: Quarantine
     table: RouteTable | None = None
-    leaving: bool = False
+    is_leaving: bool = False
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether callers should come here."""
-        return self.table is not None and not self.leaving
+        return self.table is not None and not self.is_leaving
 
 
-def route_board(settings: RouteSettings, clock: Clock) -> RouteBoard:
+def route_blackboard(settings: RouteSettings, clock: Clock) -> RouteBoard:
     """Build the board of a daemon that knows nothing yet."""
     fleet = FleetSize(clock=clock, window_ms=settings.repeats.window_ms)
     return RouteBoard(
-        local=_local(settings),
-        members=Registry(clock=clock, grace_ms=_MEMBER_LAPSE_MS),
+        local=_local_member(settings),
+        members=Registry(clock=clock, grace_ms=_MEMBER_GRACE_MS),
         fleet=fleet,
         directory=ServerDirectory(registry=Registry(clock=clock)),
         states=ServerStates(),
         shares=ConnectionShares(fleet=fleet),
         limits=ConnectionLimits(
-            header_bytes=HEADER_BYTES,
-            request_read_ms=READ_MS,
-            idle_ms=IDLE_MS,
+            header_bytes=INITIAL_HEADER_BYTES,
+            request_read_ms=INITIAL_READ_MS,
+            idle_ms=INITIAL_IDLE_MS,
         ),
         quarantine=quarantine(clock, wall_clock()),
     )
 
 
-def _local(settings: RouteSettings) -> Member:
+def _local_member(settings: RouteSettings) -> Member:
     return Member(
         name=settings.name,
         incarnation=int(wall_clock().now_ms()),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
@@ -7,7 +7,7 @@
 from fennelfork_daemon.logs._budget import LogOutput
 from fennelfork_daemon.routes._build_face import call_parts, route_face
 from fennelfork_daemon.routes._build_guard import request_watch
-from fennelfork_daemon.routes._contact import StoreContact, store_contact
+from fennelfork_daemon.routes._contact import StoreContact, store_availability
 from fennelfork_daemon.routes._entries import RouteEntries
 from fennelfork_daemon.routes._follower import StoreFollower, store_follower
 from fennelfork_daemon.routes._foundation import Foundation, foundation
@@ -20,7 +20,7 @@
 from fennelfork_daemon.routes._settings import RouteSettings
 from fennelfork_daemon.routes._stop import route_stop
 from fennelfork_daemon.routes._store_reporter import StoreReporter
-from fennelfork_daemon.routes._update_applier import FactTaker
+from fennelfork_daemon.routes._update_applier import UpdateApplier
 
 
 def route_service(
@@ -39,25 +39,25 @@
     """
     base = foundation(settings, ports, log_output)
     reporter = StoreReporter(log=base.log, metrics=base.metrics)
-    contact = store_contact(base.board, base.clock, reporter)
-    base.metrics.follow_store(lambda: contact.told_age_ms)
+    contact = store_availability(base.board, base.clock, reporter)
+    base.metrics.follow_store(lambda: contact.data_age_ms)
     base.metrics.follow_quarantine(base.board.quarantine)
     registration = Registration(
         store=ports.store,
         board=base.board,
-        least_lease_ms=settings.least_lease_ms,
+        min_lease_ms=settings.least_lease_ms,
         contact=contact,
         clock=base.clock,
         reporter=reporter,
     )
     in_progress = InProgress()
     follower = _follower(base, reporter, contact)
-    watch = request_watch(base, registration, reporter, follower.pace)
+    watch = request_watch(base, registration, reporter, follower.polling)
     calls = call_parts(base, watch)
     reload = SettingsReload(
         settings=settings,
         retry_budgets=base.retry_budgets,
-        read=read_settings,
+        read_settings=read_settings,
         log=base.log,
     )
     return RouteService(
@@ -71,7 +71,7 @@
             watch.guard,
         ),
         follower=follower,
-        upkeep=(
+        background_tasks=(
             follower.run,
             registration.run,
             reload.run,
@@ -101,7 +101,7 @@
     return store_follower(
         base.ports.store,
         contact,
-        FactTaker(board=base.board, reporter=reporter, pools=base.pools),
+        UpdateApplier(board=base.board, reporter=reporter, pools=base.pools),
         store_polling(base.board.fleet, base.settings.in_force_ms),
         random.Random(),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_contact.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_contact.py
@@ -12,7 +12,7 @@
 
 # Two renewals missed: registrations may have lapsed meanwhile. A watch whose
 # connection broke alone is no absence.
-_ABSENCE_MS: Final = 1500.0
+_MIN_OUTAGE_MS: Final = 1500.0
 
 
 class StoreCall(enum.StrEnum):
@@ -30,58 +30,58 @@
     _board: RouteBoard
     _clock: Clock
     _reporter: StoreReporter
-    _reached_ms: float
-    _told_ms: float
-    _lost: bool = False
-    _pending: bool = True
-    _on_return: list[Callable[[], None]] = attrs.field(factory=list)
+    _responded_ms: float
+    _updated_ms: float
+    _is_unavailable: bool = False
+    _is_first_call_pending: bool = True
+    _listeners: list[Callable[[], None]] = attrs.field(factory=list)
 
     @property
-    def pending(self) -> bool:
+    def is_first_call_pending(self) -> bool:
         """Whether the first call is under way: nothing tells how it ends."""
-        return self._pending
+        return self._is_first_call_pending
 
     @property
-    def told_age_ms(self) -> float:
+    def data_age_ms(self) -> float:
         """How old what is known is: since the store last told what it holds.
 
         Renewals of a lease are answered without telling anything.
         """
-        return self._clock.now_ms() - self._told_ms
+        return self._clock.now_ms() - self._updated_ms
 
-    def listen(self, on_return: Callable[[], None]) -> None:
+    def add_listener(self, on_available: Callable[[], None]) -> None:
         """Call a function whenever the store is reached after an absence."""
-        self._on_return.append(on_return)
+        self._listeners.append(on_available)
 
-    def missed(self, call: StoreCall, failure: Failure) -> None:
+    def record_failure(self, call: StoreCall, failure: Failure) -> None:
         """Note a call that did not reach the store, or was turned away."""
-        self._pending = False
-        if not self._lost:
-            self._lost = True
-            self._reporter.lost(call, failure)
+        self._is_first_call_pending = False
+        if not self._is_unavailable:
+            self._is_unavailable = True
+            self._reporter.store_unavailable(call, failure)
 
-    def told(self) -> None:
+    def record_update(self) -> None:
         """Note that an answer brought what is known up to date."""
-        self._told_ms = self._clock.now_ms()
+        self._updated_ms = self._clock.now_ms()
 
-    def reached(self) -> None:
+    def record_response(self) -> None:
         """Note a call that was answered."""
         now_ms = self._clock.now_ms()
-        away_ms = now_ms - self._reached_ms
-        self._reached_ms = now_ms
-        self._pending = False
-        if not self._lost:
+        unavailable_ms = now_ms - self._responded_ms
+        self._responded_ms = now_ms
+        self._is_first_call_pending = False
+        if not self._is_unavailable:
             return
-        self._lost = False
-        self._reporter.regained(away_ms, self.told_age_ms)
-        if away_ms >= _ABSENCE_MS:
+        self._is_unavailable = False
+        self._reporter.store_available(unavailable_ms, self.data_age_ms)
+        if unavailable_ms >= _MIN_OUTAGE_MS:
             self._board.directory.registry.start_grace_period()
             self._board.members.start_grace_period()
-        for on_return in self._on_return:
-            on_return()
+        for on_available in self._listeners:
+            on_available()
 
 
-def store_contact(
+def store_availability(
     board: RouteBoard,
     clock: Clock,
     reporter: StoreReporter,
@@ -92,6 +92,6 @@
         board=board,
         clock=clock,
         reporter=reporter,
-        reached_ms=now_ms,
-        told_ms=now_ms,
+        responded_ms=now_ms,
+        updated_ms=now_ms,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_entries.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_entries.py
@@ -9,7 +9,7 @@
 from fennelfork_daemon.routes._board import RouteBoard
 
 # The most addresses of one answer that callers look at.
-_MOST: Final = 64
+_MAX_ADDRESSES: Final = 64
 # Callers keep an answer this long and some three times as long: a stopping
 # daemon serves until then, and has to be done within its stop.
 ENTRY_TTL_MS: Final = 1000
@@ -38,17 +38,17 @@
     _board: RouteBoard
     _rng: random.Random
 
-    def answer(self, ask: EntryAsk) -> EntryAnswer | None:
+    def answer(self, query: EntryAsk) -> EntryAnswer | None:
         """Name the nearest daemons; none if no daemon is known as ready."""
         members = dict(self._board.members.entries)
         members.pop(self._board.local.name, None)
-        if self._board.ready:
+        if self._board.is_ready:
             members[self._board.local.name] = self._board.local
         chosen = nearest_entries(
-            ask.region,
-            ask.data_centre,
+            query.region,
+            query.data_centre,
             members.values(),
-            _MOST,
+            _MAX_ADDRESSES,
             self._rng,
         )
         if not chosen:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_first_routes.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_first_routes.py
@@ -12,22 +12,22 @@
     RouteTable,
 )
 from fennelfork_daemon.routes._board import (
-    HEADER_BYTES,
-    IDLE_MS,
-    READ_MS,
+    INITIAL_HEADER_BYTES,
+    INITIAL_IDLE_MS,
+    INITIAL_READ_MS,
     RouteBoard,
 )
 from fennelfork_daemon.routes._contact import StoreContact
 
 _MS_PER_SECOND: Final = 1000
 # Far less than the wait, which is 25 to 100 ms.
-_LOOK_MS: Final = 4.0
+_POLL_INTERVAL_MS: Final = 4.0
 # What is read of a request while no configuration says how much.
 FIRST_LIMITS: Final = CallerLimits(
-    header_bytes=HEADER_BYTES,
-    body_bytes=HEADER_BYTES,
-    header_ms=READ_MS,
-    idle_ms=IDLE_MS,
+    header_bytes=INITIAL_HEADER_BYTES,
+    body_bytes=INITIAL_HEADER_BYTES,
+    header_ms=INITIAL_READ_MS,
+    idle_ms=INITIAL_IDLE_MS,
 )
 
 
@@ -55,11 +55,15 @@
         Waits only while the first read of the store is under way: once that
         has failed or told of no configuration, the answer is there.
         """
-        until_ms = self._clock.now_ms() + INITIAL_LISTING_TIMEOUT_MS
-        while self._is_to_come(until_ms):
-            eventlet.sleep(_LOOK_MS / _MS_PER_SECOND)
+        deadline_ms = self._clock.now_ms() + INITIAL_LISTING_TIMEOUT_MS
+        while self._is_initial_listing_pending(deadline_ms):
+            eventlet.sleep(_POLL_INTERVAL_MS / _MS_PER_SECOND)
         return self._board.table
 
-    def _is_to_come(self, until_ms: float) -> bool:
-        in_time = self._clock.now_ms() < until_ms
-        return self._board.table is None and self._contact.pending and in_time
+    def _is_initial_listing_pending(self, deadline_ms: float) -> bool:
+        is_before_deadline = self._clock.now_ms() < deadline_ms
+        return (
+            self._board.table is None
+            and self._contact.is_first_call_pending
+            and is_before_deadline
+        )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
@@ -17,18 +17,18 @@
 from fennelfork_daemon.routes._facts import Fact
 from fennelfork_daemon.routes._pending_call import PendingCall
 from fennelfork_daemon.routes._ports import Changes, HistoryGone, Listing, Store
-from fennelfork_daemon.routes._update_applier import FactTaker
+from fennelfork_daemon.routes._update_applier import UpdateApplier
 
 _MS_PER_SECOND: Final = 1000
 # The store is back within seconds, and every refused call costs.
-_BACKOFF_CAP_MS: Final = 800.0
+_MAX_DELAY_MS: Final = 800.0
 _BACKOFF: Final = Backoff(
     base_ms=STORE_RETRY_DELAY_MS,
-    cap_ms=_BACKOFF_CAP_MS,
+    cap_ms=_MAX_DELAY_MS,
 )
 # All daemons hear of a change at once. Their watches that find nothing end
 # spread over a tenth of their time, not in one wave after another.
-_LEAST_WAIT: Final = 0.9
+_MIN_WAIT_RATIO: Final = 0.9
 
 
 @attrs.define(kw_only=True)
@@ -37,17 +37,17 @@
 
     _store: Store
     _contact: StoreContact
-    _taker: FactTaker
-    _pace: StorePolling
+    _applier: UpdateApplier
+    _polling: StorePolling
     _rng: random.Random
-    _pending: PendingCall[Any] = attrs.field(factory=PendingCall)
+    _pending_call: PendingCall[Any] = attrs.field(factory=PendingCall)
     _revision: int | None = None
     _failures: int = 0
 
     @property
-    def pace(self) -> StorePolling:
+    def polling(self) -> StorePolling:
         """How often, and how patiently, the store is asked."""
-        return self._pace
+        return self._polling
 
     def run(self) -> None:
         """Follow the store until the process ends."""
@@ -61,40 +61,40 @@
         Returns:
             How long to wait before the next.
         """
-        called = self._pending.wait_for(self._call)
-        if called is None:
+        result = self._pending_call.wait_for(self._call_store)
+        if result is None:
             return 0
-        if not is_successful(called):
+        if not is_successful(result):
             self._failures += 1
-            self._contact.missed(self._asks, called.failure())
+            self._contact.record_failure(self._next_call, result.failure())
             return _BACKOFF.delay_ms(self._failures, self._rng)
         self._failures = 0
-        self._contact.reached()
-        return _taken(called.unwrap(), self)
+        self._contact.record_response()
+        return _apply_response(result.unwrap(), self)
 
-    def ask_again(self) -> None:
+    def abandon_call(self) -> None:
         """Give up the call that waits: the store was away meanwhile.
 
         What it forgot then is never answered. The pace bounds how long that is
         waited for; this saves the rest of that time.
         """
-        self._pending.give_up()
+        self._pending_call.give_up()
 
-    def take_facts(self, facts: Iterable[Fact]) -> None:
+    def apply_updates(self, updates: Iterable[Fact]) -> None:
         """Take facts that are new."""
-        self._taker.take(facts)
+        self._applier.apply(updates)
 
-    def take_all(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take a whole listing in place of what was known."""
-        told_age_ms = self._contact.told_age_ms
-        self._contact.told()
-        self._taker.take_all(listing.facts, told_age_ms)
+        data_age_ms = self._contact.data_age_ms
+        self._contact.record_update()
+        self._applier.apply_listing(listing.updates, data_age_ms)
         self._revision = listing.revision
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take changes."""
-        self._contact.told()
-        self.take_facts(changes.facts)
+        self._contact.record_update()
+        self.apply_updates(changes.updates)
         self._revision = changes.revision
 
     def forget_history(self) -> None:
@@ -102,63 +102,63 @@
         self._revision = None
 
     @property
-    def _asks(self) -> StoreCall:
+    def _next_call(self) -> StoreCall:
         """What the next call asks."""
         if self._revision is None:
             return StoreCall.LISTING
         return StoreCall.CHANGES
 
-    def _call(self) -> Result[Listing | Changes | HistoryGone, Failure]:
+    def _call_store(self) -> Result[Listing | Changes | HistoryGone, Failure]:
         if self._revision is None:
-            return self._store.read_all(
-                self._pace.listing_timeout_ms(self._failures)
+            return self._store.list_all(
+                self._polling.listing_timeout_ms(self._failures)
             )
-        times = self._pace.watch_timeouts(
-            self._contact.told_age_ms, self._failures
+        timeouts = self._polling.watch_timeouts(
+            self._contact.data_age_ms, self._failures
         )
-        wait_ms = times.wait_ms * self._rng.uniform(_LEAST_WAIT, 1)
-        spread = attrs.evolve(times, wait_ms=wait_ms)
-        return self._store.changes(self._revision, spread)
+        wait_ms = timeouts.wait_ms * self._rng.uniform(_MIN_WAIT_RATIO, 1)
+        jittered = attrs.evolve(timeouts, wait_ms=wait_ms)
+        return self._store.watch(self._revision, jittered)
 
 
 def store_follower(
     store: Store,
     contact: StoreContact,
-    taker: FactTaker,
-    pace: StorePolling,
+    applier: UpdateApplier,
+    polling: StorePolling,
     rng: random.Random,
 ) -> StoreFollower:
     """Build a follower that asks again whenever the store comes back."""
     follower = StoreFollower(
         store=store,
         contact=contact,
-        taker=taker,
-        pace=pace,
+        applier=applier,
+        polling=polling,
         rng=rng,
     )
-    contact.listen(follower.ask_again)
+    contact.add_listener(follower.abandon_call)
     return follower
 
 
 @functools.singledispatch
-def _taken(found: Any, follower: StoreFollower) -> float:
+def _apply_response(response: Any, follower: StoreFollower) -> float:
     """Take what the store answered and tell how long to wait."""
-    raise TypeError(f'not an answer of the store: {found!r}')
+    raise TypeError(f'not an answer of the store: {response!r}')
 
 
-@_taken.register
-def _take_listing(found: Listing, follower: StoreFollower) -> float:
-    follower.take_all(found)
+@_apply_response.register
+def _apply_listing(response: Listing, follower: StoreFollower) -> float:
+    follower.apply_listing(response)
     return 0
 
 
-@_taken.register
-def _take_changes(found: Changes, follower: StoreFollower) -> float:
-    follower.take_changes(found)
-    return follower.pace.batch_delay_ms if found.facts else 0
+@_apply_response.register
+def _apply_changes(response: Changes, follower: StoreFollower) -> float:
+    follower.apply_changes(response)
+    return follower.polling.batch_delay_ms if response.updates else 0
 
 
-@_taken.register
-def _take_gap(found: HistoryGone, follower: StoreFollower) -> float:
+@_apply_response.register
+def _discard_history(response: HistoryGone, follower: StoreFollower) -> float:
     follower.forget_history()
     return 0
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_foundation.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_foundation.py
@@ -5,7 +5,7 @@
 from fennelfork import Clock, system_clock
 from fennelfork.routes import ConcurrencyLimits, RetryBudgets, retry_budgets
 from fennelfork_daemon.logs._budget import DecisionLog, LogOutput, decision_log
-from fennelfork_daemon.routes._board import RouteBoard, route_board
+from fennelfork_daemon.routes._board import RouteBoard, route_blackboard
 from fennelfork_daemon.routes._metrics import RouteMetrics, route_metrics
 from fennelfork_daemon.routes._pools import ServerPools
 from fennelfork_daemon.routes._ports import Ports
@@ -34,7 +34,7 @@
 ) -> Foundation:
     """Build it for a daemon that knows nothing yet."""
     clock = system_clock()
-    board = route_board(settings, clock)
+    board = route_blackboard(settings, clock)
     metrics = route_metrics()
     return Foundation(
         settings=settings,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
@@ -29,7 +29,7 @@
         revision: from which on changes have to be asked for.
     """
 
-    facts: tuple[Fact, ...]
+    updates: tuple[Fact, ...]
     revision: int
 
 
@@ -37,7 +37,7 @@
 class Changes:
     """What changed in the store, in order; arguments as in `Listing`."""
 
-    facts: tuple[Fact, ...]
+    updates: tuple[Fact, ...]
     revision: int
 
 
@@ -49,13 +49,13 @@
 class Store(Protocol):
     """The platform's store, as far as this daemon uses it."""
 
-    def read_all(self, timeout_ms: float) -> Result[Listing, Failure]:
+    def list_all(self, timeout_ms: float) -> Result[Listing, Failure]:
         """Read everything, linearizably; each page within a time."""
 
-    def changes(
+    def watch(
         self,
         after: int,
-        times: WatchTimeouts,
+        timeouts: WatchTimeouts,
     ) -> Result[Changes | HistoryGone, Failure]:
         """Ask for changes after a revision; none may come in time."""
 
@@ -68,7 +68,9 @@
     def register(self, member: Member, lease: int) -> Result[bool, Failure]:
         """Register this daemon under a lease; false if that has ended."""
 
-    def tell(self, news: SuspicionUpdates, lease: int) -> Result[bool, Failure]:
+    def publish(
+        self, updates: SuspicionUpdates, lease: int
+    ) -> Result[bool, Failure]:
         """Tell of requests that ended servers; false if the lease has ended.
 
         What does not last is told under the lease.
@@ -106,7 +108,7 @@
         self,
         ask: Ask,
         server: BackendServer,
-        left_ms: float,
+        remaining_ms: float,
     ) -> ForwardCall:
         """Write the call that passes a request on."""
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
@@ -16,13 +16,13 @@
 _MS_PER_SECOND: Final = 1000
 # A daemon that died is named to callers for at most this long; they try it
 # in vain once and take another.
-_LEASE_MS: Final = 2500.0
+_LEASE_TTL_MS: Final = 2500.0
 # A lost renewal or two do not end the lease.
-_RENEW_MS: Final = 700.0
+_RENEWAL_INTERVAL_MS: Final = 700.0
 # A daemon that has just become ready is named to callers by others soon.
-_LOOK_MS: Final = 50.0
+_POLL_INTERVAL_MS: Final = 50.0
 
-_Got = TypeVar('_Got')
+_ResultT = TypeVar('_ResultT')
 
 
 @attrs.define(kw_only=True)
@@ -31,13 +31,13 @@
 
     _store: Store
     _board: RouteBoard
-    _least_lease_ms: float
+    _min_lease_ms: float
     _contact: StoreContact
     _clock: Clock
     _reporter: StoreReporter
     _renewed_ms: float = 0
     _lease: int | None = None
-    _ended: bool = False
+    _has_ended: bool = False
 
     @property
     def lease(self) -> int | None:
@@ -47,75 +47,79 @@
     @property
     def leave_is_told(self) -> bool:
         """Whether the store knows that this daemon leaves."""
-        return self._ended
+        return self._has_ended
 
     @property
-    def wait_ms(self) -> float:
+    def delay_ms(self) -> float:
         """How long until the next step."""
-        if self._board.ready or self._board.leaving:
-            return _RENEW_MS
-        return _LOOK_MS
+        if self._board.is_ready or self._board.is_leaving:
+            return _RENEWAL_INTERVAL_MS
+        return _POLL_INTERVAL_MS
 
     def run(self) -> None:
         """Stay registered until the daemon leaves."""
-        while not self._ended:
+        while not self._has_ended:
             self.step()
-            eventlet.sleep(self.wait_ms / _MS_PER_SECOND)
+            eventlet.sleep(self.delay_ms / _MS_PER_SECOND)
 
     def step(self) -> None:
         """Renew the registration, or make it."""
-        if not self._board.ready:
+        if not self._board.is_ready:
             return
         if self._lease is None:
             self._register()
-        elif not self._still_runs(self._lease):
-            self._lapsed(self._lease)
+        elif not self._renew(self._lease):
+            self._discard_lease(self._lease)
             self._register()
 
     def leave(self) -> None:
         """End the registration; asked again, do nothing."""
-        if self._board.leaving:
+        if self._board.is_leaving:
             return
-        self._board.leaving = True
-        eventlet.spawn_n(self._end)
+        self._board.is_leaving = True
+        eventlet.spawn_n(self._end_lease)
 
     def say_goodbye(self) -> None:
         """Do nothing more: the store has been told."""
 
     def _register(self) -> None:
-        ttl_ms = max(self._least_lease_ms, _LEASE_MS)
-        opened = self._noted(self._store.open_lease(ttl_ms))
+        ttl_ms = max(self._min_lease_ms, _LEASE_TTL_MS)
+        opened = self._record_result(self._store.open_lease(ttl_ms))
         if not is_successful(opened):
             return
         lease = opened.unwrap()
-        made = self._noted(self._store.register(self._board.local, lease))
-        if is_successful(made) and made.unwrap():
+        registered = self._record_result(
+            self._store.register(self._board.local, lease)
+        )
+        if is_successful(registered) and registered.unwrap():
             self._lease = lease
             self._renewed_ms = self._clock.now_ms()
-            self._reporter.registered(lease, ttl_ms)
+            self._reporter.lease_granted(lease, ttl_ms)
 
-    def _still_runs(self, lease: int) -> bool:
+    def _renew(self, lease: int) -> bool:
         """Renew a lease; tell whether it may still run."""
-        renewed = self._noted(self._store.renew(lease))
+        renewed = self._record_result(self._store.renew(lease))
         if not is_successful(renewed):
             return True
         if renewed.unwrap():
             self._renewed_ms = self._clock.now_ms()
         return renewed.unwrap()
 
-    def _lapsed(self, lease: int) -> None:
+    def _discard_lease(self, lease: int) -> None:
         self._lease = None
         age_ms = self._clock.now_ms() - self._renewed_ms
-        self._reporter.lapsed(lease, age_ms)
+        self._reporter.lease_expired(lease, age_ms)
 
-    def _noted(self, called: Result[_Got, Failure]) -> Result[_Got, Failure]:
-        if is_successful(called):
-            self._contact.reached()
+    def _record_result(
+        self, result: Result[_ResultT, Failure]
+    ) -> Result[_ResultT, Failure]:
+        if is_successful(result):
+            self._contact.record_response()
         else:
-            self._contact.missed(StoreCall.LEASE, called.failure())
-        return called
+            self._contact.record_failure(StoreCall.LEASE, result.failure())
+        return result
 
-    def _end(self) -> None:
+    def _end_lease(self) -> None:
         if self._lease is not None:
             self._store.end_lease(self._lease)
-        self._ended = True
+        self._has_ended = True
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_reload.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_reload.py
@@ -14,7 +14,7 @@
 from fennelfork_daemon.routes._settings import RouteSettings
 
 # How soon after the signal the file is read.
-_LOOK_S = 0.5
+_POLL_INTERVAL_S = 0.5
 
 _Problems = tuple[str, ...]
 ReadSettings = Callable[[], Result[RouteSettings, _Problems]]
@@ -30,9 +30,9 @@
 
     _settings: RouteSettings
     _retry_budgets: RetryBudgets
-    _read: ReadSettings
+    _read_settings: ReadSettings
     _log: DecisionLog
-    _asked: bool = False
+    _is_requested: bool = False
 
     def listen_to_signal(self) -> None:
         """Read the file again after each SIGHUP."""
@@ -41,27 +41,28 @@
     def run(self) -> None:
         """Wait for signals until the process ends."""
         while True:  # noqa: WPS457  # as long as the daemon runs
-            eventlet.sleep(_LOOK_S)
-            if self._asked:
-                self._asked = False
+            eventlet.sleep(_POLL_INTERVAL_S)
+            if self._is_requested:
+                self._is_requested = False
                 self.reload()
 
     def reload(self) -> None:
         """Read the file and take what may change while running."""
-        read = self._read()
-        if not isinstance(read, Success):
-            self._log.tell(ReloadRefused(reason=read.failure()))
+        result = self._read_settings()
+        if not isinstance(result, Success):
+            self._log.tell(ReloadRefused(reason=result.failure()))
             return
-        found = read.unwrap()
+        new_settings = result.unwrap()
         changed = [
             field.name
             for field in attrs.fields(RouteSettings)
-            if getattr(found, field.name) != getattr(self._settings, field.name)
+            if getattr(new_settings, field.name)
+            != getattr(self._settings, field.name)
         ]
-        self._retry_budgets.policy = found.repeats
-        self._settings = found
+        self._retry_budgets.policy = new_settings.repeats
+        self._settings = new_settings
         self._log.tell(Reloaded(changed=changed))
 
     def _on_signal(self, number: int, frame: Any) -> None:
         # The file is read by the green thread: nothing else is safe here.
-        self._asked = True
+        self._is_requested = True
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
@@ -23,9 +23,9 @@
 from fennelfork_daemon.routes._settings import RouteSettings
 
 _MS_PER_SECOND: Final = 1000
-_RETIRE_MS: Final = 5000.0
+_POOL_EXPIRY_INTERVAL_MS: Final = 5000.0
 # Of 4,100 descriptors 200 are kept for files; a third of the rest for callers.
-_CONNECTIONS: Final = 1300
+_MAX_CONNECTIONS: Final = 1300
 
 
 @attrs.frozen(kw_only=True)
@@ -53,14 +53,14 @@
     follower: StoreFollower
     _settings: RouteSettings
     _operator_face: Router
-    _upkeep: tuple[Callable[[], None], ...]
+    _background_tasks: tuple[Callable[[], None], ...]
     _pools: ServerPools
     _stop: StopService
     _reload: SettingsReload
     _in_progress: InProgress
     _log: DecisionLog
 
-    def serve(self, faces: FaceApplications) -> int:
+    def serve(self, applications: FaceApplications) -> int:
         """Serve until the process is told to stop.
 
         Args:
@@ -74,38 +74,42 @@
         self._log.tell(
             Started(version=VERSION, settings=attrs.asdict(self._settings)),
         )
-        self._follow()
-        self._listen(self._settings.readiness, faces.readiness)
-        self._listen(self._settings.entries, faces.entries)
+        self._start_background_tasks()
+        self._spawn_listener(self._settings.readiness, applications.readiness)
+        self._spawn_listener(self._settings.entries, applications.entries)
         if self._settings.operator is not None:
-            self._listen(self._settings.operator, self._operator_face)
-        callers = self._listen(self._settings.caller, self._counted())
-        status = self._stop.see_through(callers)
+            self._spawn_listener(self._settings.operator, self._operator_face)
+        caller_listener = self._spawn_listener(
+            self._settings.caller, self._counted_application()
+        )
+        status = self._stop.see_through(caller_listener)
         self._log.tell(Stopped(status=status, cut=self._stop.cut))
         return status
 
-    def _follow(self) -> None:
+    def _start_background_tasks(self) -> None:
         """Start what keeps the daemon up to date."""
-        for run in (*self._upkeep, self._retire):
-            eventlet.spawn_n(run)
+        for task in (*self._background_tasks, self._retire_pools):
+            eventlet.spawn_n(task)
 
-    def _listen(self, at: Address, application: Callable[..., Any]) -> Any:
+    def _spawn_listener(
+        self, address: Address, application: Callable[..., Any]
+    ) -> Any:
         return eventlet.spawn(
             serve_face,
-            open_listener(at),
+            open_listener(address),
             application,
             self.board.limits,
-            _CONNECTIONS,
+            _MAX_CONNECTIONS,
         )
 
-    def _counted(self) -> CountedApplication:
+    def _counted_application(self) -> CountedApplication:
         return CountedApplication(
             application=self.face,
             in_progress=self._in_progress,
             is_leaving=self._stop.is_leaving,
         )
 
-    def _retire(self) -> None:
+    def _retire_pools(self) -> None:
         while True:  # noqa: WPS457  # as long as the daemon runs
-            eventlet.sleep(_RETIRE_MS / _MS_PER_SECOND)
+            eventlet.sleep(_POOL_EXPIRY_INTERVAL_MS / _MS_PER_SECOND)
             self._pools.retire()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
@@ -15,9 +15,9 @@
 from fennelfork_daemon.routes._settings import RouteSettings
 
 # Some callers keep an entry answer three times as long as it says.
-_TTL_FACTOR: Final = 3
+_MAX_TTL_FACTOR: Final = 3
 # Telling the store takes some ms; while it is away, others notice by the lease.
-_ANNOUNCE_MS: Final = 700.0
+_ANNOUNCEMENT_TIMEOUT_MS: Final = 700.0
 # Before the process would be killed, so that it ends by itself.
 _STOP_MARGIN_MS: Final = 500.0
 
@@ -57,13 +57,13 @@
 ) -> StopService:
     """Build the stop: leave the store, serve on for a while, then end."""
     policy = StopPolicy(
-        entry_ttl_ms=_TTL_FACTOR * ENTRY_TTL_MS,
+        entry_ttl_ms=_MAX_TTL_FACTOR * ENTRY_TTL_MS,
         stop_ms=settings.stop_ms - _STOP_MARGIN_MS,
-        announce_ms=_ANNOUNCE_MS,
+        announce_ms=_ANNOUNCEMENT_TIMEOUT_MS,
         # A supervisor may repeat its signal, and kills in the end by itself.
         repeat_forces_end=False,
         # Others name this daemon until they have asked for changes.
-        propagation_ms=lambda: follower.pace.extra_batch_delay_ms,
+        propagation_ms=lambda: follower.polling.extra_batch_delay_ms,
     )
-    steps = StopLog(log=log)
-    return stop_service(policy, clock, registration, in_progress, steps)
+    step_log = StopLog(log=log)
+    return stop_service(policy, clock, registration, in_progress, step_log)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
@@ -25,11 +25,11 @@
     _log: DecisionLog
     _metrics: RouteMetrics
 
-    def lost(self, call: str, failure: Failure) -> None:
+    def store_unavailable(self, call: str, failure: Failure) -> None:
         """The store is not reached: a call of it failed."""
         self._log.tell(store.StoreLost(call=call, reason=failure.detail))
 
-    def regained(self, away_ms: float, told_ms: float) -> None:
+    def store_available(self, away_ms: float, told_ms: float) -> None:
         """The store is reached again."""
         self._log.tell(
             store.StoreRegained(
@@ -38,11 +38,11 @@
             ),
         )
 
-    def registered(self, lease: int, ttl_ms: float) -> None:
+    def lease_granted(self, lease: int, ttl_ms: float) -> None:
         """This daemon is registered."""
         self._log.tell(store.LeaseGranted(lease=lease, ttl_ms=round(ttl_ms)))
 
-    def lapsed(self, lease: int, renewed_ms_ago: float) -> None:
+    def lease_expired(self, lease: int, renewed_ms_ago: float) -> None:
         """The store ended this daemon's registration."""
         self._log.tell(
             store.LeaseLapsed(
@@ -51,27 +51,27 @@
             ),
         )
 
-    def config_taken(self, table: RouteTable, before: int) -> None:
+    def config_applied(self, table: RouteTable, previous: int) -> None:
         """A version is in force from now on."""
         self._metrics.follow(table)
         self._log.tell(
             store.ConfigTaken(
                 version=table.version,
-                before=before,
+                before=previous,
                 routes=len(table.routes),
             ),
         )
 
-    def server_seen(
+    def server_registered(
         self,
         server: BackendServer,
-        before: BackendServer | None,
+        previous: BackendServer | None,
     ) -> None:
         """A backend server is new, or changed what it says of itself."""
-        same_run = (
-            before is not None and before.incarnation == server.incarnation
+        is_same_incarnation = (
+            previous is not None and previous.incarnation == server.incarnation
         )
-        if same_run and before.draining == server.draining:
+        if is_same_incarnation and previous.draining == server.draining:
             return
         self._log.tell(
             servers.ServerSeen(
@@ -83,15 +83,15 @@
             ),
         )
 
-    def server_gone(self, instance: str) -> None:
+    def server_removed(self, instance: str) -> None:
         """A backend server is not used any more."""
         self._log.tell(servers.ServerGone(server=instance))
 
-    def member_seen(self, member: Member) -> None:
+    def daemon_registered(self, member: Member) -> None:
         """Another daemon registered itself."""
         self._log.tell(store.DaemonSeen(peer=member.name, at=member.caller))
 
-    def member_gone(self, name: str) -> None:
+    def daemon_removed(self, name: str) -> None:
         """A daemon is no longer registered."""
         self._log.tell(store.DaemonGone(peer=name))
 
@@ -113,6 +113,6 @@
             ),
         )
 
-    def unreadable(self, fact: UnreadableFact) -> None:
+    def entry_rejected(self, update: UnreadableFact) -> None:
         """An item of the store could not be read; it names nobody to use."""
-        self._log.tell(store.ItemRefused(key=fact.key, reason=fact.problem))
+        self._log.tell(store.ItemRefused(key=update.key, reason=update.problem))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_teller.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_teller.py
@@ -17,15 +17,15 @@
 
 _MS_PER_SECOND: Final = 1000
 # How often what is too old is looked for.
-_SWEEP_MS: Final = 60_000.0
+_MAX_IDLE_MS: Final = 60_000.0
 # Of requests that met ends at one moment, told by all daemons together. When
 # many servers crash, thousands were under way in a large fleet, and each that is
 # told goes to every daemon; of one that ends servers by itself, more follow.
-_WEAK_OF_ALL: Final = 64
+_MAX_TRANSIENT_IN_FLEET: Final = 64
 # After calls that the store did not take: it is away, and each call costs.
-_PAUSE_MS: Final = 500.0
-_LONGEST_PAUSE_MS: Final = 5000.0
-_BACKOFF: Final = Backoff(base_ms=_PAUSE_MS, cap_ms=_LONGEST_PAUSE_MS)
+_INITIAL_DELAY_MS: Final = 500.0
+_MAX_DELAY_MS: Final = 5000.0
+_BACKOFF: Final = Backoff(base_ms=_INITIAL_DELAY_MS, cap_ms=_MAX_DELAY_MS)
 
 
 @attrs.define(kw_only=True)
@@ -45,50 +45,52 @@
     _clock: Clock
     _rng: random.Random
     _failures: int = 0
-    _bell: LightQueue = attrs.field(factory=lambda: LightQueue(maxsize=1))
+    _wake_ups: LightQueue = attrs.field(factory=lambda: LightQueue(maxsize=1))
 
     def wake(self) -> None:
         """Look soon whether there is something to tell."""
         with contextlib.suppress(Full):
-            self._bell.put_nowait(True)
+            self._wake_ups.put_nowait(True)
 
     def run(self) -> None:
         """Tell until the process ends."""
         while True:  # noqa: WPS457  # as long as the daemon runs
-            self._wait(self._rng.uniform(_SWEEP_MS / 2, _SWEEP_MS))
-            self._gather()
+            self._wait_for_wake_up(
+                self._rng.uniform(_MAX_IDLE_MS / 2, _MAX_IDLE_MS)
+            )
+            self._wait_for_batch()
             self._failures = 0 if self.step() else self._failures + 1
             if self._failures:
-                pause_ms = _BACKOFF.delay_ms(self._failures, self._rng)
-                eventlet.sleep(pause_ms / _MS_PER_SECOND)
+                delay_ms = _BACKOFF.delay_ms(self._failures, self._rng)
+                eventlet.sleep(delay_ms / _MS_PER_SECOND)
 
     def step(self) -> bool:
         """Tell what is new; tell whether the store took it."""
         lease = self._lease()
-        news = self._exchange.take_updates(self._most_weak())
-        if not news:
+        updates = self._exchange.take_updates(self._draw_max_transient())
+        if not updates:
             return True
         if lease is not None:
-            told = self._store.tell(news, lease)
-            if is_successful(told) and told.unwrap():
+            published = self._store.publish(updates, lease)
+            if is_successful(published) and published.unwrap():
                 return True
-        self._exchange.requeue(news)
+        self._exchange.requeue(updates)
         self.wake()
         return False
 
-    def _most_weak(self) -> int:
+    def _draw_max_transient(self) -> int:
         """Draw this daemon's part of what all may tell of one moment."""
-        part = _WEAK_OF_ALL / self._fleet.max_size
-        return int(part + self._rng.random())
+        share = _MAX_TRANSIENT_IN_FLEET / self._fleet.max_size
+        return int(share + self._rng.random())
 
-    def _gather(self) -> None:
+    def _wait_for_batch(self) -> None:
         """Let more come, unless something is urgent."""
         now_ms = self._clock.now_ms()
-        until_ms = now_ms + self._rng.uniform(0, self._pace.spread_ms)
-        while now_ms < until_ms and not self._exchange.has_durable_changes:
-            self._wait(until_ms - now_ms)
+        deadline_ms = now_ms + self._rng.uniform(0, self._pace.spread_ms)
+        while now_ms < deadline_ms and not self._exchange.has_durable_changes:
+            self._wait_for_wake_up(deadline_ms - now_ms)
             now_ms = self._clock.now_ms()
 
-    def _wait(self, wait_ms: float) -> None:
+    def _wait_for_wake_up(self, wait_ms: float) -> None:
         with contextlib.suppress(Empty):
-            self._bell.get(timeout=wait_ms / _MS_PER_SECOND)
+            self._wake_ups.get(timeout=wait_ms / _MS_PER_SECOND)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
@@ -23,123 +23,129 @@
 
 
 @attrs.frozen(kw_only=True)
-class FactTaker:
+class UpdateApplier:
     """Writes what the store tells onto the board."""
 
     board: RouteBoard
     reporter: StoreReporter
     _pools: ServerPools
 
-    def take_all(self, facts: Iterable[Fact], told_age_ms: float) -> None:
+    def apply_listing(
+        self, updates: Iterable[Fact], data_age_ms: float
+    ) -> None:
         """Take all facts there are; what is not among them is gone.
 
         Args:
             facts: all of them.
             told_age_ms: since the store last told anything.
         """
-        known = tuple(facts)
+        listed = tuple(updates)
         self.board.quarantine.exchange.reconcile(
             (
-                fact.record.fingerprint
-                for fact in known
-                if isinstance(fact, SuspicionFact)
+                update.record.fingerprint
+                for update in listed
+                if isinstance(update, SuspicionFact)
             ),
-            told_age_ms,
+            data_age_ms,
         )
         servers = [
-            fact.server.instance
-            for fact in known
-            if isinstance(fact, ServerFact)
+            update.server.instance
+            for update in listed
+            if isinstance(update, ServerFact)
         ]
         members = [
-            fact.member.name for fact in known if isinstance(fact, MemberFact)
+            update.member.name
+            for update in listed
+            if isinstance(update, MemberFact)
         ]
         for instance in self.board.directory.retain(servers):
-            self.reporter.server_gone(instance)
+            self.reporter.server_removed(instance)
         for name in self.board.members.retain(members):
-            self.reporter.member_gone(name)
-        self.take(known)
+            self.reporter.daemon_removed(name)
+        self.apply(listed)
 
-    def take(self, facts: Iterable[Fact]) -> None:
+    def apply(self, updates: Iterable[Fact]) -> None:
         """Take facts in their order."""
-        for fact in facts:
-            _take(fact, self)
+        for update in updates:
+            _apply_update(update, self)
         self.board.fleet.record_size(len(self.board.members.entries))
-        runs = self.board.directory.incarnations
-        self.board.states.keep(runs)
-        self._pools.keep(runs)
+        incarnations = self.board.directory.incarnations
+        self.board.states.keep(incarnations)
+        self._pools.keep(incarnations)
 
 
 @functools.singledispatch
-def _take(fact: Any, taker: FactTaker) -> None:
+def _apply_update(update: Any, applier: UpdateApplier) -> None:
     """Take one fact.
 
     Raises:
         TypeError: for a fact of another type.
     """
-    raise TypeError(f'not a fact: {fact!r}')
+    raise TypeError(f'not a fact: {update!r}')
 
 
-@_take.register
-def _take_config(fact: ConfigFact, taker: FactTaker) -> None:
-    board = taker.board
-    before = 0 if board.table is None else board.table.version
-    if fact.table.version <= before:
+@_apply_update.register
+def _apply_config(update: ConfigFact, applier: UpdateApplier) -> None:
+    board = applier.board
+    previous = 0 if board.table is None else board.table.version
+    if update.table.version <= previous:
         # Versions only rise: an older one may come late from the store.
         return
-    board.table = fact.table
-    board.shares.services = fact.table.services
-    limits = fact.table.limits
+    board.table = update.table
+    board.shares.services = update.table.services
+    limits = update.table.limits
     board.limits.header_bytes = limits.header_bytes
     board.limits.request_read_ms = limits.header_ms
     board.limits.idle_ms = limits.idle_ms
-    taker.reporter.config_taken(fact.table, before)
+    applier.reporter.config_applied(update.table, previous)
 
 
-@_take.register
-def _take_server(fact: ServerFact, taker: FactTaker) -> None:
-    if taker.board.directory.is_outdated(fact.server):
+@_apply_update.register
+def _apply_server(update: ServerFact, applier: UpdateApplier) -> None:
+    if applier.board.directory.is_outdated(update.server):
         return
-    before = taker.board.directory.put(fact.server)
-    taker.reporter.server_seen(fact.server, before)
+    previous = applier.board.directory.put(update.server)
+    applier.reporter.server_registered(update.server, previous)
 
 
-@_take.register
-def _take_server_gone(fact: ServerGoneFact, taker: FactTaker) -> None:
-    if taker.board.directory.remove(fact.instance):
-        taker.reporter.server_gone(fact.instance)
+@_apply_update.register
+def _remove_server(update: ServerGoneFact, applier: UpdateApplier) -> None:
+    if applier.board.directory.remove(update.instance):
+        applier.reporter.server_removed(update.instance)
 
 
-@_take.register
-def _take_member(fact: MemberFact, taker: FactTaker) -> None:
-    name = fact.member.name
-    if taker.board.members.put(name, fact.member) is None:
-        taker.reporter.member_seen(fact.member)
+@_apply_update.register
+def _apply_member(update: MemberFact, applier: UpdateApplier) -> None:
+    name = update.member.name
+    if applier.board.members.put(name, update.member) is None:
+        applier.reporter.daemon_registered(update.member)
 
 
-@_take.register
-def _take_member_gone(fact: MemberGoneFact, taker: FactTaker) -> None:
-    if taker.board.members.remove(fact.name):
-        taker.reporter.member_gone(fact.name)
+@_apply_update.register
+def _remove_member(update: MemberGoneFact, applier: UpdateApplier) -> None:
+    if applier.board.members.remove(update.name):
+        applier.reporter.daemon_removed(update.name)
 
 
-@_take.register
-def _take_suspicion(fact: SuspicionFact, taker: FactTaker) -> None:
-    exchange = taker.board.quarantine.exchange
-    status = exchange.apply_record(fact.record, fact.revision)
+@_apply_update.register
+def _apply_suspicion(update: SuspicionFact, applier: UpdateApplier) -> None:
+    exchange = applier.board.quarantine.exchange
+    status = exchange.apply_record(update.record, update.revision)
     if status is not None:
-        taker.reporter.request_judged(fact.record, status)
+        applier.reporter.request_judged(update.record, status)
 
 
-@_take.register
-def _take_suspicion_gone(fact: SuspicionGoneFact, taker: FactTaker) -> None:
-    taker.board.quarantine.exchange.discard(fact.fingerprint)
+@_apply_update.register
+def _remove_suspicion(
+    update: SuspicionGoneFact, applier: UpdateApplier
+) -> None:
+    applier.board.quarantine.exchange.discard(update.fingerprint)
 
 
-@_take.register
-def _take_unreadable(fact: UnreadableFact, taker: FactTaker) -> None:
-    taker.reporter.unreadable(fact)
-    if taker.board.directory.discard(fact.instance):
-        taker.reporter.server_gone(fact.instance)
-    if taker.board.members.discard(fact.member):
-        taker.reporter.member_gone(fact.member)
+@_apply_update.register
+def _reject_entry(update: UnreadableFact, applier: UpdateApplier) -> None:
+    applier.reporter.entry_rejected(update)
+    if applier.board.directory.discard(update.instance):
+        applier.reporter.server_removed(update.instance)
+    if applier.board.members.discard(update.member):
+        applier.reporter.daemon_removed(update.member)
--- a/packages/fennelfork-daemon/tests/daemon_builders_routes.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_routes.py
@@ -37,14 +37,14 @@
     Listing,
     RouteSettings,
 )
-from fennelfork_daemon.routes._board import route_board
-from fennelfork_daemon.routes._contact import StoreContact, store_contact
+from fennelfork_daemon.routes._board import route_blackboard
+from fennelfork_daemon.routes._contact import StoreContact, store_availability
 from fennelfork_daemon.routes._follower import StoreFollower, store_follower
 from fennelfork_daemon.routes._metrics import route_metrics
 from fennelfork_daemon.routes._pools import ServerPools
 from fennelfork_daemon.routes._registration import Registration
 from fennelfork_daemon.routes._store_reporter import StoreReporter
-from fennelfork_daemon.routes._update_applier import FactTaker
+from fennelfork_daemon.routes._update_applier import UpdateApplier
 from fennelfork_daemon.settings._tables import LogSettings
 
 AWAY = not_run(FailureCode.PLATFORM, 'the store answered 503')
@@ -156,31 +156,31 @@
     calls: list[tuple[Any, ...]] = attrs.field(factory=list)
     leases: int = 0
 
-    def read_all(self, timeout_ms: float) -> Result[Listing, Failure]:
+    def list_all(self, timeout_ms: float) -> Result[Listing, Failure]:
         """Give the next listing, a failure if there is none."""
         self.calls.append(('read_all', timeout_ms))
         if not self.listed:
             return Bad(AWAY)
-        facts = self.listed.pop(0)
-        if facts is SILENCE:
+        updates = self.listed.pop(0)
+        if updates is SILENCE:
             eventlet.sleep(_FOREVER_S)
-        return Success(Listing(facts=tuple(facts), revision=5))
+        return Success(Listing(updates=tuple(updates), revision=5))
 
-    def changes(
+    def watch(
         self,
         after: int,
-        times: WatchTimeouts,
+        timeouts: WatchTimeouts,
     ) -> Result[Changes | HistoryGone, Failure]:
         """Give the next changes, a failure if there are none."""
-        self.calls.append(('changes', after, times))
+        self.calls.append(('changes', after, timeouts))
         if not self.changed:
             return Bad(AWAY)
-        facts = self.changed.pop(0)
-        if facts is SILENCE:
+        updates = self.changed.pop(0)
+        if updates is SILENCE:
             eventlet.sleep(_FOREVER_S)
-        if isinstance(facts, HistoryGone):
-            return Success(facts)
-        return Success(Changes(facts=tuple(facts), revision=after + 1))
+        if isinstance(updates, HistoryGone):
+            return Success(updates)
+        return Success(Changes(updates=tuple(updates), revision=after + 1))
 
     def open_lease(self, ttl_ms: float) -> Result[int, Failure]:
         """Open a lease."""
@@ -198,9 +198,11 @@
         self.calls.append(('register', member.name, lease))
         return Success(True)
 
-    def tell(self, news: SuspicionUpdates, lease: int) -> Result[bool, Failure]:
+    def publish(
+        self, updates: SuspicionUpdates, lease: int
+    ) -> Result[bool, Failure]:
         """Take news of requests, if a test says so."""
-        self.calls.append(('tell', news, lease))
+        self.calls.append(('tell', updates, lease))
         return self.told.pop(0) if self.told else Success(True)
 
     def claim(
@@ -243,7 +245,7 @@
         """Put the parts together."""
         clock = manual_clock(self.time)
         configure_logs(LogSettings(), self.log)
-        self.board = route_board(settings(), clock)
+        self.board = route_blackboard(settings(), clock)
         metrics = route_metrics()
         self.decisions = decision_log(
             clock,
@@ -253,19 +255,19 @@
         )
         reporter = StoreReporter(log=self.decisions, metrics=metrics)
         self.reporter = reporter
-        self.contact = store_contact(self.board, clock, reporter)
+        self.contact = store_availability(self.board, clock, reporter)
         pools = ServerPools(clock=clock, shares=self.board.shares)
         self.follower = store_follower(
             self.store,
             self.contact,
-            FactTaker(board=self.board, reporter=reporter, pools=pools),
+            UpdateApplier(board=self.board, reporter=reporter, pools=pools),
             store_polling(self.board.fleet, settings().in_force_ms),
             random.Random(1),
         )
         self.registration = Registration(
             store=self.store,
             board=self.board,
-            least_lease_ms=1000,
+            min_lease_ms=1000,
             contact=self.contact,
             clock=clock,
             reporter=reporter,
@@ -276,14 +278,14 @@
         """How often the store was asked for changes."""
         return sum(call[0] == 'changes' for call in self.store.calls)
 
-    def take_list(self, *facts: Fact) -> None:
+    def take_list(self, *updates: Fact) -> None:
         """Have the store list facts, and take them."""
-        self.store.listed.append(facts)
+        self.store.listed.append(updates)
         self.follower.step()
 
-    def change(self, *facts: Fact) -> float:
+    def change(self, *updates: Fact) -> float:
         """Have the store tell changes, and take them."""
-        self.store.changed.append(facts)
+        self.store.changed.append(updates)
         return self.follower.step()
 
     def events(self) -> list[str]:
--- a/packages/fennelfork-daemon/tests/test_routes_first.py
+++ b/packages/fennelfork-daemon/tests/test_routes_first.py
@@ -44,7 +44,7 @@
 
     def test_store_is_away(self, starting: Following) -> None:
         """Once the read has failed, there is nothing to wait for."""
-        starting.contact.missed(StoreCall.LISTING, AWAY)
+        starting.contact.record_failure(StoreCall.LISTING, AWAY)
         assert _wait_ms(starting) < _AT_ONCE_MS
 
     def test_no_configuration(self, starting: Following) -> None:
--- a/packages/fennelfork-daemon/tests/test_routes_store.py
+++ b/packages/fennelfork-daemon/tests/test_routes_store.py
@@ -217,8 +217,8 @@
         built.store.listed = [SILENCE, (ConfigFact(table=table(8)),)]
         watch = eventlet.spawn(_two_steps, built)
         eventlet.sleep(_LET_RUN_S)
-        built.contact.missed(StoreCall.CHANGES, AWAY)
-        built.contact.reached()
+        built.contact.record_failure(StoreCall.CHANGES, AWAY)
+        built.contact.record_response()
         with eventlet.Timeout(1):
             watch.wait()
         assert built.board.table.version == 8
@@ -229,12 +229,12 @@
         following.store.changed = [SILENCE, SILENCE]
         watch = eventlet.spawn(_two_steps, following)
         eventlet.sleep(_LET_RUN_S)
-        following.contact.reached()
+        following.contact.record_response()
         eventlet.sleep(_LET_RUN_S)
         assert following.watches == 1
-        following.contact.missed(StoreCall.CHANGES, AWAY)
+        following.contact.record_failure(StoreCall.CHANGES, AWAY)
         for _ in range(5):
-            following.contact.reached()
+            following.contact.record_response()
             eventlet.sleep(_LET_RUN_S)
         assert following.watches == 2
         watch.kill()
@@ -267,8 +267,8 @@
         following.change(*(MemberFact(member=one) for one in members))
         following.change(MemberFact(member=member('vm-1')))
         assert following.change(ServerGoneFact(instance='i-1')) == gather_ms
-        pace = following.follower.pace
-        assert pace.extra_batch_delay_ms == gather_ms - 300
+        polling = following.follower.polling
+        assert polling.extra_batch_delay_ms == gather_ms - 300
 
     def test_first_read_is_not_waited_for(self) -> None:
         """A read that began while the store was silent is soon given up."""
@@ -302,18 +302,18 @@
         lost, regained = following.lines('store_lost', 'store_regained')
         assert lost['call'] == 'changes'
         assert (regained['away_ms'], regained['told_ms']) == (1400, 1400)
-        assert following.contact.told_age_ms == 1400
+        assert following.contact.data_age_ms == 1400
         following.change()
-        assert following.contact.told_age_ms == 0
+        assert following.contact.data_age_ms == 0
 
     def test_gap_tells_nothing(self, following: Following) -> None:
         """Nor does an answer that the history is gone."""
         following.time.advance(700)
         following.store.changed.append(HistoryGone())
         following.follower.step()
-        assert following.contact.told_age_ms == 700
+        assert following.contact.data_age_ms == 700
         following.take_list(ConfigFact(table=table(3)))
-        assert following.contact.told_age_ms == 0
+        assert following.contact.data_age_ms == 0
 
 
 class TestRegistration:
@@ -324,9 +324,9 @@
         built = Following()
         built.registration.step()
         assert not built.store.calls
-        assert built.registration.wait_ms < 100
+        assert built.registration.delay_ms < 100
         built.take_list(ConfigFact(table=table(3)))
-        assert built.registration.wait_ms == 700
+        assert built.registration.delay_ms == 700
         structlog.reset_defaults()
 
     def test_lapsed(self, following: Following) -> None:
@@ -352,7 +352,7 @@
         """A daemon that leaves is not ready and does not register again."""
         following.registration.leave()
         following.registration.step()
-        assert not following.board.ready
+        assert not following.board.is_ready
         assert following.store.calls == [('read_all', 400)]
 
 
@@ -380,7 +380,7 @@
             MemberFact(member=member('vm-1')),
             MemberFact(member=member('vm-22')),
         )
-        following.board.leaving = True
+        following.board.is_leaving = True
         assert _addresses(following) == ('10.0.0.1:5',)
 
     def test_gone(self, following: Following) -> None:
--- a/tests/test_platform_face.py
+++ b/tests/test_platform_face.py
@@ -78,7 +78,7 @@
         return [json.loads(line) for line in self.log.getvalue().splitlines()]
 
     def _take(self, fact: Any) -> None:
-        self.service.follower.take_facts((fact,))
+        self.service.follower.apply_updates((fact,))
 
     def _start_response(self, status: str, headers: Any) -> None:
         self.replies.append((status, headers))
--- a/tests/test_platform_suspicions.py
+++ b/tests/test_platform_suspicions.py
@@ -131,7 +131,7 @@
     def test_what_lasts_has_no_lease(self) -> None:
         """What rests on one moment goes with its daemon."""
         news = SuspicionUpdates(records=(_WEAK, _LASTING), removed=('e' * 32,))
-        assert self.store.tell(news, 7).unwrap()
+        assert self.store.publish(news, 7).unwrap()
         order = self.calls.orders[0]
         assert [put['LeaseId'] for put in order['Puts']] == [7, 0]
         assert order['Deletes'] == [f'fennelfork/requests/{"e" * 32}']
@@ -140,7 +140,7 @@
         """No change has more entries than the store takes."""
         names = [f'{number:032x}' for number in range(70)]
         records = [attrs.evolve(_WEAK, fingerprint=name) for name in names]
-        assert self.store.tell(
+        assert self.store.publish(
             SuspicionUpdates(records=tuple(records)), 7
         ).unwrap()
         sizes = [len(order['Puts']) for order in self.calls.orders]
@@ -149,7 +149,7 @@
     def test_lease_has_ended(self) -> None:
         """Then nothing was written."""
         self.calls.status = 404
-        assert not self.store.tell(
+        assert not self.store.publish(
             SuspicionUpdates(records=(_WEAK,)), 7
         ).unwrap()
 
