--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_board.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_board.py
@@ -1,4 +1,4 @@
-"""The facts that the parts of a daemon that serves routes share."""
+"""Blackboard of a daemon that serves routes."""
 
 from typing import Final
 
@@ -19,10 +19,10 @@
 from fennelfork_daemon.http._wsgi_protocol import ConnectionLimits
 from fennelfork_daemon.routes._settings import RouteSettings
 
-# Daemons renew their leases each 0.7 s. One that died meanwhile costs its
-# callers a second each while it is named.
+# Grace period of daemons after a store outage. Daemons renew their leases more
+# often, and callers lose time on a daemon that has crashed.
 _MEMBER_GRACE_MS: Final = 1200.0
-# Until the limits of the first configuration are known.
+# Limits that apply until the first configuration is known.
 INITIAL_HEADER_BYTES: Final = 16_384
 INITIAL_READ_MS: Final = 3000
 INITIAL_IDLE_MS: Final = 15_000
@@ -30,19 +30,19 @@
 
 @attrs.define(kw_only=True)
 class RouteBoard:
-    """What one daemon knows, read and written by its parts.
+    """State that the components of one daemon share.
 
     Attributes:
-        local: this daemon, as it registers itself.
-        members: the daemons that are registered, by name.
-        fleet: how many daemons to share limits with.
-        roster: the backend servers.
-        states: what was seen of each of them.
-        shares: connections to each of them.
-        limits: what connections of callers may cost.
-        quarantine: requests under which backend servers ended.
-        table: the routes in force, once there are any.
-        leaving: whether this daemon is stopping.
+        local: entry under which this daemon registers.
+        members: registered daemons by name.
+        fleet: number of daemons that share the limits.
+        directory: registered backend servers.
+        states: observed state of each backend server.
+        shares: limits on the connections to each backend server.
+        limits: limits on the connections of callers.
+        quarantine: requests that are suspected of crashing backend servers.
+        table: active configuration, or None before the first listing.
+        is_leaving: whether this daemon is stopping.
     """
 
     local: Member
@@ -58,12 +58,12 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers should come here."""
+        """Whether this daemon accepts requests of callers."""
         return self.table is not None and not self.is_leaving
 
 
 def route_blackboard(settings: RouteSettings, clock: Clock) -> RouteBoard:
-    """Build the board of a daemon that knows nothing yet."""
+    """Create the blackboard of a daemon that has not read the store yet."""
     fleet = FleetSize(clock=clock, window_ms=settings.repeats.window_ms)
     return RouteBoard(
         local=_local_member(settings),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
@@ -1,4 +1,4 @@
-"""Puts a daemon together that serves routes."""
+"""Assembly of a daemon that serves routes."""
 
 import random
 
@@ -29,13 +29,13 @@
     read_settings: ReadSettings,
     log_output: LogOutput,
 ) -> RouteService:
-    """Build a daemon that serves routes on a platform.
+    """Create a daemon that serves routes on a platform.
 
     Args:
-        settings: of the daemon.
-        ports: the adapter to the platform.
-        read_settings: reads them again when they have changed.
-        log_output: where log lines go.
+        settings: settings of the daemon.
+        ports: adapter to the platform.
+        read_settings: function that reads the settings again on a reload.
+        log_output: destination of log lines.
     """
     base = foundation(settings, ports, log_output)
     reporter = StoreReporter(log=base.log, metrics=base.metrics)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_contact.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_contact.py
@@ -1,4 +1,4 @@
-"""Whether the store is reached, by all calls of this daemon together."""
+"""Availability of the store, derived from all calls of this daemon."""
 
 import enum
 from collections.abc import Callable
@@ -10,13 +10,13 @@
 from fennelfork_daemon.routes._board import RouteBoard
 from fennelfork_daemon.routes._store_reporter import StoreReporter
 
-# Two renewals missed: registrations may have lapsed meanwhile. A watch whose
-# connection broke alone is no absence.
+# Shortest outage after which registrations may have expired: two missed
+# renewals. A watch that fails while renewals succeed is not an outage.
 _MIN_OUTAGE_MS: Final = 1500.0
 
 
 class StoreCall(enum.StrEnum):
-    """What the store is asked, as log lines name it."""
+    """Kind of a call of the store, as logged."""
 
     LISTING = 'listing'
     CHANGES = 'changes'
@@ -25,7 +25,7 @@
 
 @attrs.define(kw_only=True)
 class StoreContact:
-    """Notes calls that reached the store, and those that did not."""
+    """Tracks whether the store responds and how old its data is."""
 
     _board: RouteBoard
     _clock: Clock
@@ -38,34 +38,34 @@
 
     @property
     def is_first_call_pending(self) -> bool:
-        """Whether the first call is under way: nothing tells how it ends."""
+        """Whether the first call of the store has no result yet."""
         return self._is_first_call_pending
 
     @property
     def data_age_ms(self) -> float:
-        """How old what is known is: since the store last told what it holds.
+        """Time since the last listing or update from the store.
 
-        Renewals of a lease are answered without telling anything.
+        Renewals of a lease do not count because they return no data.
         """
         return self._clock.now_ms() - self._updated_ms
 
     def add_listener(self, on_available: Callable[[], None]) -> None:
-        """Call a function whenever the store is reached after an absence."""
+        """Add a function to call when the store is available again."""
         self._listeners.append(on_available)
 
     def record_failure(self, call: StoreCall, failure: Failure) -> None:
-        """Note a call that did not reach the store, or was turned away."""
+        """Record a call that got no response or was rejected."""
         self._is_first_call_pending = False
         if not self._is_unavailable:
             self._is_unavailable = True
             self._reporter.store_unavailable(call, failure)
 
     def record_update(self) -> None:
-        """Note that an answer brought what is known up to date."""
+        """Record a response that contains current data."""
         self._updated_ms = self._clock.now_ms()
 
     def record_response(self) -> None:
-        """Note a call that was answered."""
+        """Record a successful call."""
         now_ms = self._clock.now_ms()
         unavailable_ms = now_ms - self._responded_ms
         self._responded_ms = now_ms
@@ -86,7 +86,7 @@
     clock: Clock,
     reporter: StoreReporter,
 ) -> StoreContact:
-    """Build the contact of a daemon that starts now."""
+    """Create the availability tracker of a daemon that starts now."""
     now_ms = clock.now_ms()
     return StoreContact(
         board=board,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_entries.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_entries.py
@@ -1,4 +1,4 @@
-"""Which daemons a caller is told to use."""
+"""Selection of the daemons that a caller connects to."""
 
 import random
 from typing import Final
@@ -8,16 +8,16 @@
 from fennelfork import nearest_entries
 from fennelfork_daemon.routes._board import RouteBoard
 
-# The most addresses of one answer that callers look at.
+# Maximum number of addresses that callers read from an answer.
 _MAX_ADDRESSES: Final = 64
-# Callers keep an answer this long and some three times as long: a stopping
-# daemon serves until then, and has to be done within its stop.
+# Validity of an answer. A stopping daemon serves until the answers that name
+# it have expired.
 ENTRY_TTL_MS: Final = 1000
 
 
 @attrs.frozen(kw_only=True)
 class EntryAsk:
-    """Where the caller is; empty where it did not say."""
+    """Location of a caller; unknown parts are empty."""
 
     region: str
     data_centre: str
@@ -25,7 +25,7 @@
 
 @attrs.frozen(kw_only=True)
 class EntryAnswer:
-    """Addresses to use, in no order, and for how long."""
+    """Addresses of daemons in random order, and their validity."""
 
     addresses: tuple[str, ...]
     ttl_ms: int
@@ -33,13 +33,13 @@
 
 @attrs.frozen(kw_only=True)
 class RouteEntries:
-    """Answers callers that ask where to connect."""
+    """Selects the daemons that a caller connects to."""
 
     _board: RouteBoard
     _rng: random.Random
 
     def answer(self, query: EntryAsk) -> EntryAnswer | None:
-        """Name the nearest daemons; none if no daemon is known as ready."""
+        """Return the nearest daemons, or None if no daemon is ready."""
         members = dict(self._board.members.entries)
         members.pop(self._board.local.name, None)
         if self._board.is_ready:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_facts.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_facts.py
@@ -1,4 +1,4 @@
-"""What the store tells, one fact an item."""
+"""Updates from the store, one for each entry."""
 
 import attrs
 
@@ -8,46 +8,46 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigFact:
-    """The newest configuration."""
+    """The latest configuration."""
 
     table: RouteTable
 
 
 @attrs.frozen(kw_only=True)
 class ServerFact:
-    """A backend server registered itself, or changed what it registered."""
+    """A backend server registered or changed its registration."""
 
     server: BackendServer
 
 
 @attrs.frozen(kw_only=True)
 class ServerGoneFact:
-    """The registration of a backend server is gone."""
+    """The registration of a backend server was removed."""
 
     instance: str
 
 
 @attrs.frozen(kw_only=True)
 class MemberFact:
-    """A daemon registered itself."""
+    """A daemon registered or changed its registration."""
 
     member: Member
 
 
 @attrs.frozen(kw_only=True)
 class MemberGoneFact:
-    """The registration of a daemon is gone."""
+    """The registration of a daemon was removed."""
 
     name: str
 
 
 @attrs.frozen(kw_only=True)
 class SuspicionFact:
-    """A daemon told of a request under which backend servers ended.
+    """A daemon published the suspicion of a request.
 
     Attributes:
-        record: what it told.
-        revision: of the store, by which it was written.
+        record: published record of the suspicion.
+        revision: revision of the store at which the record was written.
     """
 
     record: SuspicionRecord
@@ -56,20 +56,20 @@
 
 @attrs.frozen(kw_only=True)
 class SuspicionGoneFact:
-    """Nothing is remembered of a request any more."""
+    """The entry of a suspected request was removed."""
 
     fingerprint: str
 
 
 @attrs.frozen(kw_only=True)
 class UnreadableFact:
-    """An item that could not be read; it may have been readable before.
+    """An entry has invalid content and replaces a possibly valid one.
 
     Attributes:
-        key: of the item.
-        problem: what is wrong with it.
-        instance: the backend server that it is to name, empty if none.
-        member: the daemon that it is to name, empty if none.
+        key: key of the entry.
+        problem: description of the error.
+        instance: backend server to which the key belongs, or empty.
+        member: daemon to which the key belongs, or empty.
     """
 
     key: str
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_first_routes.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_first_routes.py
@@ -1,4 +1,4 @@
-"""Requests that come before a daemon knows its first configuration."""
+"""Handling of requests that arrive before the initial configuration."""
 
 from typing import Final
 
@@ -20,9 +20,9 @@
 from fennelfork_daemon.routes._contact import StoreContact
 
 _MS_PER_SECOND: Final = 1000
-# Far less than the wait, which is 25 to 100 ms.
+# Short compared with the duration of the initial listing.
 _POLL_INTERVAL_MS: Final = 4.0
-# What is read of a request while no configuration says how much.
+# Limits on requests that arrive before the initial configuration.
 FIRST_LIMITS: Final = CallerLimits(
     header_bytes=INITIAL_HEADER_BYTES,
     body_bytes=INITIAL_HEADER_BYTES,
@@ -33,11 +33,10 @@
 
 @attrs.frozen(kw_only=True)
 class FirstRoutes:
-    """Gives the routes in force, and waits for the very first.
+    """Provides the active routes and delays callers until they are known.
 
-    A daemon that starts beside eight others knows them after 25 to 100 ms.
-    Refused meanwhile, a caller that a loss of all power cut off has used up its
-    one further try: 25 requests of one such loss, of 240 in those two seconds.
+    After a power outage callers reconnect before the initial listing has
+    arrived, and a rejected request would use up their only retry.
     """
 
     _board: RouteBoard
@@ -46,14 +45,14 @@
 
     @property
     def version(self) -> int:
-        """The version in force, zero if there is none yet."""
+        """The active version, or zero before the initial configuration."""
         return 0 if self._board.table is None else self._board.table.version
 
     def wait(self) -> RouteTable | None:
-        """Give the routes; none if the store has told of none.
+        """Return the active routes, or None if there is no configuration.
 
-        Waits only while the first read of the store is under way: once that
-        has failed or told of no configuration, the answer is there.
+        Waits only while the initial listing is in flight, not after it has
+        failed or has returned no configuration.
         """
         deadline_ms = self._clock.now_ms() + INITIAL_LISTING_TIMEOUT_MS
         while self._is_initial_listing_pending(deadline_ms):
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
@@ -1,4 +1,4 @@
-"""Keeps what a daemon knows up to date with the store."""
+"""Synchronises the blackboard of a daemon with the store."""
 
 import functools
 import random
@@ -20,20 +20,20 @@
 from fennelfork_daemon.routes._update_applier import UpdateApplier
 
 _MS_PER_SECOND: Final = 1000
-# The store is back within seconds, and every refused call costs.
+# Outages of the store are short, and rejected calls add load.
 _MAX_DELAY_MS: Final = 800.0
 _BACKOFF: Final = Backoff(
     base_ms=STORE_RETRY_DELAY_MS,
     cap_ms=_MAX_DELAY_MS,
 )
-# All daemons hear of a change at once. Their watches that find nothing end
-# spread over a tenth of their time, not in one wave after another.
+# Jitter of the watch duration. Every daemon receives an update at the same
+# time, and without jitter their next watches would expire together.
 _MIN_WAIT_RATIO: Final = 0.9
 
 
 @attrs.define(kw_only=True)
 class StoreFollower:
-    """Reads the store once, then waits for its changes."""
+    """Lists the store once, then watches for updates."""
 
     _store: Store
     _contact: StoreContact
@@ -46,11 +46,11 @@
 
     @property
     def polling(self) -> StorePolling:
-        """How often, and how patiently, the store is asked."""
+        """The timeouts and delays of the calls of the store."""
         return self._polling
 
     def run(self) -> None:
-        """Follow the store until the process ends."""
+        """Synchronise with the store until the process exits."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             wait_ms = self.step()
             eventlet.sleep(wait_ms / _MS_PER_SECOND)
@@ -59,7 +59,7 @@
         """Make one call of the store.
 
         Returns:
-            How long to wait before the next.
+            Delay in ms before the next call.
         """
         result = self._pending_call.wait_for(self._call_store)
         if result is None:
@@ -73,37 +73,36 @@
         return _apply_response(result.unwrap(), self)
 
     def abandon_call(self) -> None:
-        """Give up the call that waits: the store was away meanwhile.
+        """Abandon the pending call after an outage of the store.
 
-        What it forgot then is never answered. The pace bounds how long that is
-        waited for; this saves the rest of that time.
+        The store may have lost the call, in which case no response arrives.
         """
         self._pending_call.give_up()
 
     def apply_updates(self, updates: Iterable[Fact]) -> None:
-        """Take facts that are new."""
+        """Apply updates from the store."""
         self._applier.apply(updates)
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take a whole listing in place of what was known."""
+        """Replace the known entries by a listing."""
         data_age_ms = self._contact.data_age_ms
         self._contact.record_update()
         self._applier.apply_listing(listing.updates, data_age_ms)
         self._revision = listing.revision
 
     def apply_changes(self, changes: Changes) -> None:
-        """Take changes."""
+        """Apply the response of a watch."""
         self._contact.record_update()
         self.apply_updates(changes.updates)
         self._revision = changes.revision
 
     def forget_history(self) -> None:
-        """Read everything again at the next step."""
+        """Discard the revision, so that the next step lists the store."""
         self._revision = None
 
     @property
     def _next_call(self) -> StoreCall:
-        """What the next call asks."""
+        """The kind of the next call."""
         if self._revision is None:
             return StoreCall.LISTING
         return StoreCall.CHANGES
@@ -128,7 +127,7 @@
     polling: StorePolling,
     rng: random.Random,
 ) -> StoreFollower:
-    """Build a follower that asks again whenever the store comes back."""
+    """Create a follower that calls again when the store is available."""
     follower = StoreFollower(
         store=store,
         contact=contact,
@@ -142,8 +141,8 @@
 
 @functools.singledispatch
 def _apply_response(response: Any, follower: StoreFollower) -> float:
-    """Take what the store answered and tell how long to wait."""
-    raise TypeError(f'not an answer of the store: {response!r}')
+    """Apply a response and return the delay in ms before the next call."""
+    raise TypeError(f'unknown type of store response: {response!r}')
 
 
 @_apply_response.register
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_foundation.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_foundation.py
@@ -1,4 +1,4 @@
-"""What the parts of a daemon that serves routes are built on."""
+"""Components that all parts of a daemon that serves routes use."""
 
 import attrs
 
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class Foundation:
-    """What the parts of one daemon are built on."""
+    """Components that all parts of one daemon use."""
 
     settings: RouteSettings
     ports: Ports
@@ -32,7 +32,7 @@
     ports: Ports,
     log_output: LogOutput,
 ) -> Foundation:
-    """Build it for a daemon that knows nothing yet."""
+    """Create the shared components of a daemon."""
     clock = system_clock()
     board = route_blackboard(settings, clock)
     metrics = route_metrics()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
@@ -1,4 +1,4 @@
-"""What the daemon needs of an adapter to a platform."""
+"""Interfaces that an adapter to a platform implements."""
 
 from typing import Any, Protocol
 
@@ -22,11 +22,11 @@
 
 @attrs.frozen(kw_only=True)
 class Listing:
-    """All that the store holds.
+    """All entries of the store.
 
     Attributes:
-        facts: one for each item.
-        revision: from which on changes have to be asked for.
+        updates: one update for each entry.
+        revision: revision after which the store is watched.
     """
 
     updates: tuple[Fact, ...]
@@ -35,7 +35,7 @@
 
 @attrs.frozen(kw_only=True)
 class Changes:
-    """What changed in the store, in order; arguments as in `Listing`."""
+    """Updates of the store in order; attributes as in `Listing`."""
 
     updates: tuple[Fact, ...]
     revision: int
@@ -43,37 +43,37 @@
 
 @attrs.frozen(kw_only=True)
 class HistoryGone:
-    """The store no longer knows what changed: all has to be read again."""
+    """The store has compacted its history, so a new listing is needed."""
 
 
 class Store(Protocol):
-    """The platform's store, as far as this daemon uses it."""
+    """The operations of the platform's store that a daemon uses."""
 
     def list_all(self, timeout_ms: float) -> Result[Listing, Failure]:
-        """Read everything, linearizably; each page within a time."""
+        """Read all entries linearizably, each page within the timeout."""
 
     def watch(
         self,
         after: int,
         timeouts: WatchTimeouts,
     ) -> Result[Changes | HistoryGone, Failure]:
-        """Ask for changes after a revision; none may come in time."""
+        """Wait for updates after a revision; none may arrive in time."""
 
     def open_lease(self, ttl_ms: float) -> Result[int, Failure]:
-        """Open a lease and give its number."""
+        """Open a lease and return its number."""
 
     def renew(self, lease: int) -> Result[bool, Failure]:
-        """Renew a lease; false if it has ended."""
+        """Renew a lease; return false if it has expired."""
 
     def register(self, member: Member, lease: int) -> Result[bool, Failure]:
-        """Register this daemon under a lease; false if that has ended."""
+        """Register a daemon; return false if the lease has expired."""
 
     def publish(
         self, updates: SuspicionUpdates, lease: int
     ) -> Result[bool, Failure]:
-        """Tell of requests that ended servers; false if the lease has ended.
+        """Publish suspicions; return false if the lease has expired.
 
-        What does not last is told under the lease.
+        Entries that are not durable are attached to the lease.
         """
 
     def claim(
@@ -81,28 +81,31 @@
         record: SuspicionRecord,
         revision: int,
     ) -> Result[bool, Failure]:
-        """Tell that a request is tried; false if another told of it since."""
+        """Reserve the trial of a request for this daemon.
+
+        Returns false if the entry has changed since the revision.
+        """
 
     def end_lease(self, lease: int) -> Result[bool, Failure]:
-        """End a lease, and with it the registration."""
+        """End a lease, which removes the registration."""
 
 
 class CallerCodec(Protocol):
-    """How requests and answers look to callers."""
+    """Codec for the requests of callers and the answers to callers."""
 
     def read_ask(
         self,
         environ: dict[str, Any],
         body: bytes | None,
     ) -> Result[Ask, Failure]:
-        """Read a request."""
+        """Decode a request."""
 
     def write_answer(self, answer: Answer) -> HttpReply:
-        """Write an answer."""
+        """Encode an answer."""
 
 
 class BackendCodec(Protocol):
-    """How requests and answers look to backend servers."""
+    """Codec for the requests to backend servers and their responses."""
 
     def write_call(
         self,
@@ -110,18 +113,18 @@
         server: BackendServer,
         remaining_ms: float,
     ) -> ForwardCall:
-        """Write the call that passes a request on."""
+        """Encode the attempt that forwards a request to a server."""
 
     def read_answer(
         self,
         response: BackendResponse,
     ) -> Result[BackendAnswer, Failure]:
-        """Read the answer, or why it is none."""
+        """Decode a response; return a failure if it is invalid."""
 
 
 @attrs.frozen(kw_only=True)
 class Ports:
-    """The adapter to one platform."""
+    """Adapter to one platform."""
 
     store: Store
     callers: CallerCodec
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
@@ -1,4 +1,4 @@
-"""Keeps this daemon registered in the store while it is ready."""
+"""Registration of this daemon in the store while it is ready."""
 
 from typing import Final, TypeVar
 
@@ -14,12 +14,11 @@
 from fennelfork_daemon.routes._store_reporter import StoreReporter
 
 _MS_PER_SECOND: Final = 1000
-# A daemon that died is named to callers for at most this long; they try it
-# in vain once and take another.
+# Bounds how long callers are directed to a daemon that has crashed.
 _LEASE_TTL_MS: Final = 2500.0
-# A lost renewal or two do not end the lease.
+# Two renewals may fail before the lease expires.
 _RENEWAL_INTERVAL_MS: Final = 700.0
-# A daemon that has just become ready is named to callers by others soon.
+# Bounds the delay between readiness and registration.
 _POLL_INTERVAL_MS: Final = 50.0
 
 _ResultT = TypeVar('_ResultT')
@@ -27,7 +26,7 @@
 
 @attrs.define(kw_only=True)
 class Registration:
-    """This daemon's entry in the store."""
+    """Maintains the entry of this daemon in the store."""
 
     _store: Store
     _board: RouteBoard
@@ -41,29 +40,29 @@
 
     @property
     def lease(self) -> int | None:
-        """The lease that this daemon is registered under, if it is."""
+        """The lease of the registration, or None if not registered."""
         return self._lease
 
     @property
     def leave_is_told(self) -> bool:
-        """Whether the store knows that this daemon leaves."""
+        """Whether the registration has been removed from the store."""
         return self._has_ended
 
     @property
     def delay_ms(self) -> float:
-        """How long until the next step."""
+        """Delay in ms before the next step."""
         if self._board.is_ready or self._board.is_leaving:
             return _RENEWAL_INTERVAL_MS
         return _POLL_INTERVAL_MS
 
     def run(self) -> None:
-        """Stay registered until the daemon leaves."""
+        """Maintain the registration until the daemon leaves."""
         while not self._has_ended:
             self.step()
             eventlet.sleep(self.delay_ms / _MS_PER_SECOND)
 
     def step(self) -> None:
-        """Renew the registration, or make it."""
+        """Renew the registration, or create a missing one."""
         if not self._board.is_ready:
             return
         if self._lease is None:
@@ -73,14 +72,14 @@
             self._register()
 
     def leave(self) -> None:
-        """End the registration; asked again, do nothing."""
+        """Remove the registration; further calls have no effect."""
         if self._board.is_leaving:
             return
         self._board.is_leaving = True
         eventlet.spawn_n(self._end_lease)
 
     def say_goodbye(self) -> None:
-        """Do nothing more: the store has been told."""
+        """Do nothing, because the registration is already removed."""
 
     def _register(self) -> None:
         ttl_ms = max(self._min_lease_ms, _LEASE_TTL_MS)
@@ -97,7 +96,7 @@
             self._reporter.lease_granted(lease, ttl_ms)
 
     def _renew(self, lease: int) -> bool:
-        """Renew a lease; tell whether it may still run."""
+        """Renew a lease and return whether it may still be valid."""
         renewed = self._record_result(self._store.renew(lease))
         if not is_successful(renewed):
             return True
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_reload.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_reload.py
@@ -1,4 +1,4 @@
-"""Takes changed settings while the daemon runs."""
+"""Reload of the settings while the daemon runs."""
 
 import signal
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from fennelfork_daemon.routes._events_process import Reloaded, ReloadRefused
 from fennelfork_daemon.routes._settings import RouteSettings
 
-# How soon after the signal the file is read.
+# Maximum delay between the signal and the reload.
 _POLL_INTERVAL_S = 0.5
 
 _Problems = tuple[str, ...]
@@ -22,10 +22,10 @@
 
 @attrs.define(kw_only=True)
 class SettingsReload:
-    """Reads the settings file again when it is told to.
+    """Reads the settings file again on SIGHUP.
 
-    The budget of repeats changes at once. Addresses and places of a running
-    daemon stay as they are until it starts again, which the log says.
+    A new retry budget applies at once. Addresses and locations change only
+    with a restart of the daemon.
     """
 
     _settings: RouteSettings
@@ -35,11 +35,11 @@
     _is_requested: bool = False
 
     def listen_to_signal(self) -> None:
-        """Read the file again after each SIGHUP."""
+        """Install the handler of SIGHUP."""
         signal.signal(signal.SIGHUP, self._on_signal)
 
     def run(self) -> None:
-        """Wait for signals until the process ends."""
+        """Reload after each signal until the process exits."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             eventlet.sleep(_POLL_INTERVAL_S)
             if self._is_requested:
@@ -47,7 +47,7 @@
                 self.reload()
 
     def reload(self) -> None:
-        """Read the file and take what may change while running."""
+        """Read the file and apply the settings that can change at run time."""
         result = self._read_settings()
         if not isinstance(result, Success):
             self._log.tell(ReloadRefused(reason=result.failure()))
@@ -64,5 +64,5 @@
         self._log.tell(Reloaded(changed=changed))
 
     def _on_signal(self, number: int, frame: Any) -> None:
-        # The file is read by the green thread: nothing else is safe here.
+        # A signal handler must not do I/O, so a green thread reads the file.
         self._is_requested = True
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
@@ -24,13 +24,19 @@
 
 _MS_PER_SECOND: Final = 1000
 _POOL_EXPIRY_INTERVAL_MS: Final = 5000.0
-# Of 4,100 descriptors 200 are kept for files; a third of the rest for callers.
+# Maximum number of connections for each listener. The remaining file
+# descriptors are left for connections to backend servers.
 _MAX_CONNECTIONS: Final = 1300
 
 
 @attrs.frozen(kw_only=True)
 class FaceApplications:
-    """The WSGI applications that an adapter to a platform builds."""
+    """WSGI applications that the adapter to a platform provides.
+
+    Attributes:
+        readiness: application that reports whether the daemon is ready.
+        entries: application that returns the daemons to connect to.
+    """
 
     readiness: Callable[..., Any]
     entries: Callable[..., Any]
@@ -38,13 +44,13 @@
 
 @attrs.define(kw_only=True)
 class RouteService:
-    """Everything that one process runs.
+    """All components of one daemon process.
 
     Attributes:
-        board: what it knows.
-        entries: answers callers that ask where to connect.
-        face: answers the requests of callers.
-        follower: keeps what it knows up to date.
+        board: blackboard of the daemon.
+        entries: selection of the daemons that a caller connects to.
+        face: caller API.
+        follower: synchronisation of the blackboard with the store.
     """
 
     board: RouteBoard
@@ -61,13 +67,13 @@
     _log: DecisionLog
 
     def serve(self, applications: FaceApplications) -> int:
-        """Serve until the process is told to stop.
+        """Serve until a signal stops the process.
 
         Args:
-            faces: what else is answered beside the requests of callers.
+            applications: applications that are served besides the caller API.
 
         Returns:
-            The exit status.
+            Exit status of the process.
         """
         self._stop.listen_to_signals()
         self._reload.listen_to_signal()
@@ -87,7 +93,7 @@
         return status
 
     def _start_background_tasks(self) -> None:
-        """Start what keeps the daemon up to date."""
+        """Start a green thread for each background task."""
         for task in (*self._background_tasks, self._retire_pools):
             eventlet.spawn_n(task)
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_settings.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_settings.py
@@ -1,4 +1,4 @@
-"""What a daemon that serves routes is told at its start."""
+"""Settings of a daemon that serves routes."""
 
 from collections.abc import Mapping
 
@@ -13,20 +13,20 @@
     """Settings of one daemon that serves routes.
 
     Attributes:
-        name: of this daemon, unique in the fleet.
-        region: where it runs.
-        data_centre: where it runs, within the region.
-        region_of: the region of each data centre.
-        caller: where it listens for callers.
-        readiness: where it tells whether it is ready.
-        entries: where it tells callers which daemons to use.
-        operator: where it serves its metrics.
-        store: where the platform's store listens.
-        repeats: what all daemons together may repeat.
-        stop_ms: how long a stop may take until the process is killed.
-        least_lease_ms: the shortest lease that the store grants.
-        in_force_ms: how soon after the store took a change, of routes or of a
-            server that leaves, every daemon has to go by it.
+        name: name of this daemon, unique in the fleet.
+        region: region of this daemon.
+        data_centre: data centre of this daemon.
+        region_of: region of each data centre.
+        caller: address of the caller API.
+        readiness: address of the readiness endpoint.
+        entries: address of the endpoint that returns the daemons to use.
+        operator: address of the operator API, or None to disable it.
+        store: address of the platform's store.
+        repeats: retry budget of the whole fleet.
+        stop_ms: time from the start of a stop until the process is killed.
+        least_lease_ms: minimum lease duration that the store grants.
+        in_force_ms: maximum time between a write to the store and its
+            application by every daemon.
     """
 
     name: str
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
@@ -1,4 +1,4 @@
-"""The graceful stop of a daemon that serves routes."""
+"""Graceful stop of a daemon that serves routes."""
 
 from typing import Final
 
@@ -14,17 +14,17 @@
 from fennelfork_daemon.routes._registration import Registration
 from fennelfork_daemon.routes._settings import RouteSettings
 
-# Some callers keep an entry answer three times as long as it says.
+# Some callers use an entry answer for longer than its validity.
 _MAX_TTL_FACTOR: Final = 3
-# Telling the store takes some ms; while it is away, others notice by the lease.
+# During a store outage the lease expires instead.
 _ANNOUNCEMENT_TIMEOUT_MS: Final = 700.0
-# Before the process would be killed, so that it ends by itself.
+# Lets the process exit before the supervisor kills it.
 _STOP_MARGIN_MS: Final = 500.0
 
 
 @attrs.frozen(kw_only=True)
 class StopLog:
-    """Tells each step of the stop as one of this daemon's decisions."""
+    """Logs each step of the stop as a decision of this daemon."""
 
     _log: DecisionLog
 
@@ -36,7 +36,7 @@
         running: int,
         cut: int,
     ) -> bool:
-        """Tell a step; see `StateChanged`."""
+        """Log a step; see `StateChanged`."""
         return self._log.tell(
             StateChanged(
                 subject=subject,
@@ -55,14 +55,18 @@
     in_progress: InProgress,
     log: DecisionLog,
 ) -> StopService:
-    """Build the stop: leave the store, serve on for a while, then end."""
+    """Create the stop service.
+
+    A stop removes the registration, serves requests until the entry answers
+    have expired, and then ends the process.
+    """
     policy = StopPolicy(
         entry_ttl_ms=_MAX_TTL_FACTOR * ENTRY_TTL_MS,
         stop_ms=settings.stop_ms - _STOP_MARGIN_MS,
         announce_ms=_ANNOUNCEMENT_TIMEOUT_MS,
-        # A supervisor may repeat its signal, and kills in the end by itself.
+        # A supervisor may send its signal again and kills the process itself.
         repeat_forces_end=False,
-        # Others name this daemon until they have asked for changes.
+        # Other daemons return this daemon to callers until their next watch.
         propagation_ms=lambda: follower.polling.extra_batch_delay_ms,
     )
     step_log = StopLog(log=log)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
@@ -1,4 +1,4 @@
-"""What a daemon that serves routes logs of the store and what it tells."""
+"""Log lines and metrics for the store and its updates."""
 
 import attrs
 
@@ -20,17 +20,17 @@
 
 @attrs.define(kw_only=True)
 class StoreReporter:
-    """Logs what changes in what the daemon believes."""
+    """Logs updates from the store and changes of its availability."""
 
     _log: DecisionLog
     _metrics: RouteMetrics
 
     def store_unavailable(self, call: str, failure: Failure) -> None:
-        """The store is not reached: a call of it failed."""
+        """Log that the store is unavailable because a call failed."""
         self._log.tell(store.StoreLost(call=call, reason=failure.detail))
 
     def store_available(self, away_ms: float, told_ms: float) -> None:
-        """The store is reached again."""
+        """Log that the store is available again."""
         self._log.tell(
             store.StoreRegained(
                 away_ms=round(away_ms),
@@ -39,11 +39,11 @@
         )
 
     def lease_granted(self, lease: int, ttl_ms: float) -> None:
-        """This daemon is registered."""
+        """Log that this daemon is registered under a lease."""
         self._log.tell(store.LeaseGranted(lease=lease, ttl_ms=round(ttl_ms)))
 
     def lease_expired(self, lease: int, renewed_ms_ago: float) -> None:
-        """The store ended this daemon's registration."""
+        """Log that the lease of this daemon has expired."""
         self._log.tell(
             store.LeaseLapsed(
                 lease=lease,
@@ -52,7 +52,7 @@
         )
 
     def config_applied(self, table: RouteTable, previous: int) -> None:
-        """A version is in force from now on."""
+        """Log a new active version and update its metrics."""
         self._metrics.follow(table)
         self._log.tell(
             store.ConfigTaken(
@@ -67,7 +67,7 @@
         server: BackendServer,
         previous: BackendServer | None,
     ) -> None:
-        """A backend server is new, or changed what it says of itself."""
+        """Log a new incarnation or a change of the draining state."""
         is_same_incarnation = (
             previous is not None and previous.incarnation == server.incarnation
         )
@@ -84,15 +84,15 @@
         )
 
     def server_removed(self, instance: str) -> None:
-        """A backend server is not used any more."""
+        """Log that a backend server was removed."""
         self._log.tell(servers.ServerGone(server=instance))
 
     def daemon_registered(self, member: Member) -> None:
-        """Another daemon registered itself."""
+        """Log the registration of another daemon."""
         self._log.tell(store.DaemonSeen(peer=member.name, at=member.caller))
 
     def daemon_removed(self, name: str) -> None:
-        """A daemon is no longer registered."""
+        """Log that the registration of a daemon was removed."""
         self._log.tell(store.DaemonGone(peer=name))
 
     def request_judged(
@@ -101,7 +101,7 @@
         status: RequestStatus,
         by: str = 'another',
     ) -> None:
-        """A request that ended servers is treated in another way now."""
+        """Log a change of the status of a suspected request."""
         self._log.tell(
             requests.RequestJudged(
                 fingerprint=record.fingerprint,
@@ -114,5 +114,5 @@
         )
 
     def entry_rejected(self, update: UnreadableFact) -> None:
-        """An item of the store could not be read; it names nobody to use."""
+        """Log an entry of the store with invalid content."""
         self._log.tell(store.ItemRefused(key=update.key, reason=update.problem))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_teller.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_teller.py
@@ -1,4 +1,4 @@
-"""Tells the store of requests under which backend servers ended."""
+"""Publication of suspected requests to the store."""
 
 import contextlib
 import random
@@ -16,13 +16,13 @@
 from fennelfork_daemon.routes._ports import Store
 
 _MS_PER_SECOND: Final = 1000
-# How often what is too old is looked for.
+# Maximum time between checks for expired suspicions.
 _MAX_IDLE_MS: Final = 60_000.0
-# Of requests that met ends at one moment, told by all daemons together. When
-# many servers crash, thousands were under way in a large fleet, and each that is
-# told goes to every daemon; of one that ends servers by itself, more follow.
+# Maximum number of transient suspicions that the whole fleet publishes at once.
+# When many servers crash together, all requests in flight become suspected, and
+# every daemon receives each entry. A poison request causes further crashes.
 _MAX_TRANSIENT_IN_FLEET: Final = 64
-# After calls that the store did not take: it is away, and each call costs.
+# Backoff after failed calls, which limits the load on the store.
 _INITIAL_DELAY_MS: Final = 500.0
 _MAX_DELAY_MS: Final = 5000.0
 _BACKOFF: Final = Backoff(base_ms=_INITIAL_DELAY_MS, cap_ms=_MAX_DELAY_MS)
@@ -30,11 +30,11 @@
 
 @attrs.define(kw_only=True)
 class SuspicionTeller:
-    """Tells what is new, together where it comes together.
+    """Publishes changes of suspicions to the store in batches.
 
-    What lasts is told at once. When many servers crash together, all daemons
-    have something to tell of the requests that were under way; that is spread
-    over a time that grows with the fleet, so that they do not all write at once.
+    Durable changes are published at once. Transient changes are delayed by a
+    random time that grows with the fleet, so that the daemons do not write at
+    the same time when many servers crash together.
     """
 
     _exchange: SuspicionExchange
@@ -48,12 +48,12 @@
     _wake_ups: LightQueue = attrs.field(factory=lambda: LightQueue(maxsize=1))
 
     def wake(self) -> None:
-        """Look soon whether there is something to tell."""
+        """Request publication of the pending changes."""
         with contextlib.suppress(Full):
             self._wake_ups.put_nowait(True)
 
     def run(self) -> None:
-        """Tell until the process ends."""
+        """Publish changes until the process exits."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             self._wait_for_wake_up(
                 self._rng.uniform(_MAX_IDLE_MS / 2, _MAX_IDLE_MS)
@@ -65,7 +65,7 @@
                 eventlet.sleep(delay_ms / _MS_PER_SECOND)
 
     def step(self) -> bool:
-        """Tell what is new; tell whether the store took it."""
+        """Publish the pending changes; return false if this failed."""
         lease = self._lease()
         updates = self._exchange.take_updates(self._draw_max_transient())
         if not updates:
@@ -79,12 +79,12 @@
         return False
 
     def _draw_max_transient(self) -> int:
-        """Draw this daemon's part of what all may tell of one moment."""
+        """Return the share of this daemon, rounded up or down at random."""
         share = _MAX_TRANSIENT_IN_FLEET / self._fleet.max_size
         return int(share + self._rng.random())
 
     def _wait_for_batch(self) -> None:
-        """Let more come, unless something is urgent."""
+        """Wait for further changes unless a durable change is pending."""
         now_ms = self._clock.now_ms()
         deadline_ms = now_ms + self._rng.uniform(0, self._pace.spread_ms)
         while now_ms < deadline_ms and not self._exchange.has_durable_changes:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
@@ -1,4 +1,4 @@
-"""Takes facts from the store to the board."""
+"""Applies updates from the store to the blackboard of the daemon."""
 
 import functools
 from collections.abc import Iterable
@@ -24,7 +24,12 @@
 
 @attrs.frozen(kw_only=True)
 class UpdateApplier:
-    """Writes what the store tells onto the board."""
+    """Applies updates from the store to the blackboard.
+
+    Attributes:
+        board: blackboard of the daemon.
+        reporter: log of the applied updates.
+    """
 
     board: RouteBoard
     reporter: StoreReporter
@@ -33,11 +38,11 @@
     def apply_listing(
         self, updates: Iterable[Fact], data_age_ms: float
     ) -> None:
-        """Take all facts there are; what is not among them is gone.
+        """Apply a complete listing and remove every entry that it lacks.
 
         Args:
-            facts: all of them.
-            told_age_ms: since the store last told anything.
+            updates: one update for each entry of the store.
+            data_age_ms: time since the last update from the store.
         """
         listed = tuple(updates)
         self.board.quarantine.exchange.reconcile(
@@ -65,7 +70,7 @@
         self.apply(listed)
 
     def apply(self, updates: Iterable[Fact]) -> None:
-        """Take facts in their order."""
+        """Apply updates in the given order."""
         for update in updates:
             _apply_update(update, self)
         self.board.fleet.record_size(len(self.board.members.entries))
@@ -76,12 +81,12 @@
 
 @functools.singledispatch
 def _apply_update(update: Any, applier: UpdateApplier) -> None:
-    """Take one fact.
+    """Apply one update.
 
     Raises:
-        TypeError: for a fact of another type.
+        TypeError: if the update has an unknown type.
     """
-    raise TypeError(f'not a fact: {update!r}')
+    raise TypeError(f'unknown type of store update: {update!r}')
 
 
 @_apply_update.register
@@ -89,7 +94,7 @@
     board = applier.board
     previous = 0 if board.table is None else board.table.version
     if update.table.version <= previous:
-        # Versions only rise: an older one may come late from the store.
+        # An update with an older version was delayed and is outdated.
         return
     board.table = update.table
     board.shares.services = update.table.services
--- a/packages/fennelfork-daemon/tests/daemon_builders_routes.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_routes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the parts of a daemon that serves routes, for tests."""
+"""Builders and stand-ins for tests of a daemon that serves routes."""
 
 import io
 import json
@@ -48,25 +48,25 @@
 from fennelfork_daemon.settings._tables import LogSettings
 
 AWAY = not_run(FailureCode.PLATFORM, 'the store answered 503')
-# A watch that is never answered, as its connection carries nothing any more.
-SILENCE = 'silence'
-# Longer than any test waits.
-_FOREVER_S = 60
-_ANYWHERE = Address(host='127.0.0.1', port=0)
+# Marks a call of the store that gets no response.
+NO_RESPONSE = 'silence'
+# Duration of a call without a response, longer than any test.
+_HANG_S = 60
+_ANY_PORT = Address(host='127.0.0.1', port=0)
 
 
 def settings(**changes: Any) -> RouteSettings:
-    """Build the settings of a daemon on loopback."""
+    """Create the settings of a daemon on loopback."""
     fields: dict[str, Any] = {
         'name': 'vm-1',
         'region': 'east',
         'data_centre': 'here',
         'region_of': {'here': 'east', 'far': 'west'},
-        'caller': _ANYWHERE,
-        'readiness': _ANYWHERE,
-        'entries': _ANYWHERE,
+        'caller': _ANY_PORT,
+        'readiness': _ANY_PORT,
+        'entries': _ANY_PORT,
         'operator': None,
-        'store': _ANYWHERE,
+        'store': _ANY_PORT,
         'repeats': RetryPolicy(ratio=0.2, fixed=58, window_ms=10_000),
         'stop_ms': 6000,
         'least_lease_ms': 1000,
@@ -76,7 +76,7 @@
 
 
 def server(instance: str, **changes: Any) -> BackendServer:
-    """Build a backend server."""
+    """Create a backend server."""
     fields: dict[str, Any] = {
         'instance': instance,
         'service': 'archive',
@@ -88,7 +88,7 @@
 
 
 def member(name: str, data_centre: str = 'here') -> Member:
-    """Build another daemon."""
+    """Create the entry of another daemon."""
     return Member(
         name=name,
         incarnation=1,
@@ -103,8 +103,10 @@
 
 
 def table(version: int, *routes: Route) -> RouteTable:
-    """Build the routes of one version, by default one to one service."""
-    known = routes or (route('/rafts/', SingleService(service='archive')),)
+    """Create a route table, by default with one route to one service."""
+    routes_or_default = routes or (
+        route('/rafts/', SingleService(service='archive')),
+    )
     limits = CallerLimits(
         header_bytes=16_384,
         body_bytes=1000,
@@ -112,11 +114,11 @@
         idle_ms=9000,
     )
     services = [Service(name='archive', connections=41)]
-    return route_table(version, known, services, limits)
+    return route_table(version, routes_or_default, services, limits)
 
 
 def route(prefix: str, target: Any, **changes: Any) -> Route:
-    """Build an idempotent route."""
+    """Create an idempotent route."""
     fields: dict[str, Any] = {
         'name': f'r{prefix}',
         'host': 'rafts.example',
@@ -131,7 +133,7 @@
 
 
 def ask(**changes: Any) -> Ask:
-    """Build a request of a caller."""
+    """Create a request of a caller."""
     fields: dict[str, Any] = {
         'method': 'GET',
         'target': '/rafts/7',
@@ -146,24 +148,24 @@
 
 @attrs.define(kw_only=True)
 class FakeStore:
-    """A store that answers what a test says, and notes what it was asked."""
+    """Stand-in of the store that records calls and returns set results."""
 
-    listed: list[Any] = attrs.field(factory=list)
+    listings: list[Any] = attrs.field(factory=list)
     told: list[Any] = attrs.field(factory=list)
     claims: list[Any] = attrs.field(factory=list)
-    changed: list[Any] = attrs.field(factory=list)
+    watch_results: list[Any] = attrs.field(factory=list)
     renewals: list[Any] = attrs.field(factory=list)
     calls: list[tuple[Any, ...]] = attrs.field(factory=list)
     leases: int = 0
 
     def list_all(self, timeout_ms: float) -> Result[Listing, Failure]:
-        """Give the next listing, a failure if there is none."""
-        self.calls.append(('read_all', timeout_ms))
-        if not self.listed:
+        """Return the next listing, or a failure if none is left."""
+        self.calls.append(('list_all', timeout_ms))
+        if not self.listings:
             return Bad(AWAY)
-        updates = self.listed.pop(0)
-        if updates is SILENCE:
-            eventlet.sleep(_FOREVER_S)
+        updates = self.listings.pop(0)
+        if updates is NO_RESPONSE:
+            eventlet.sleep(_HANG_S)
         return Success(Listing(updates=tuple(updates), revision=5))
 
     def watch(
@@ -171,37 +173,37 @@
         after: int,
         timeouts: WatchTimeouts,
     ) -> Result[Changes | HistoryGone, Failure]:
-        """Give the next changes, a failure if there are none."""
-        self.calls.append(('changes', after, timeouts))
-        if not self.changed:
+        """Return the next watch result, or a failure if none is left."""
+        self.calls.append(('watch', after, timeouts))
+        if not self.watch_results:
             return Bad(AWAY)
-        updates = self.changed.pop(0)
-        if updates is SILENCE:
-            eventlet.sleep(_FOREVER_S)
+        updates = self.watch_results.pop(0)
+        if updates is NO_RESPONSE:
+            eventlet.sleep(_HANG_S)
         if isinstance(updates, HistoryGone):
             return Success(updates)
         return Success(Changes(updates=tuple(updates), revision=after + 1))
 
     def open_lease(self, ttl_ms: float) -> Result[int, Failure]:
-        """Open a lease."""
+        """Record a new lease and return its number."""
         self.calls.append(('open_lease', ttl_ms))
         self.leases += 1
         return Success(self.leases)
 
     def renew(self, lease: int) -> Result[bool, Failure]:
-        """Give the next answer to a renewal."""
+        """Return the next result of a renewal."""
         self.calls.append(('renew', lease))
         return self.renewals.pop(0)
 
     def register(self, member: Member, lease: int) -> Result[bool, Failure]:
-        """Take a registration."""
+        """Record a registration and return success."""
         self.calls.append(('register', member.name, lease))
         return Success(True)
 
     def publish(
         self, updates: SuspicionUpdates, lease: int
     ) -> Result[bool, Failure]:
-        """Take news of requests, if a test says so."""
+        """Record updates of suspicions and return the next set result."""
         self.calls.append(('tell', updates, lease))
         return self.told.pop(0) if self.told else Success(True)
 
@@ -210,26 +212,26 @@
         record: SuspicionRecord,
         revision: int,
     ) -> Result[bool, Failure]:
-        """Give the next answer to a claim."""
+        """Return the next result of a claim."""
         self.calls.append(('claim', record, revision))
         return self.claims.pop(0)
 
     def end_lease(self, lease: int) -> Result[bool, Failure]:
-        """End a lease."""
+        """Record the end of a lease and return success."""
         self.calls.append(('end_lease', lease))
         return Success(True)
 
 
 @attrs.define(kw_only=True)
 class EndlessOutput:
-    """Somewhere log lines go that always has room."""
+    """Stand-in of a log output that never drops lines."""
 
     dropped: int = 0
 
 
 @attrs.define(kw_only=True)
 class Following:
-    """A daemon that follows a stand-in of the store, in manual time."""
+    """Daemon that synchronises with a stand-in of the store in manual time."""
 
     time: ManualTime = attrs.field(factory=ManualTime)
     store: FakeStore = attrs.field(factory=FakeStore)
@@ -242,7 +244,7 @@
     reporter: StoreReporter = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Put the parts together."""
+        """Create the components of the daemon."""
         clock = manual_clock(self.time)
         configure_logs(LogSettings(), self.log)
         self.board = route_blackboard(settings(), clock)
@@ -274,28 +276,28 @@
         )
 
     @property
-    def watches(self) -> int:
-        """How often the store was asked for changes."""
-        return sum(call[0] == 'changes' for call in self.store.calls)
+    def watch_count(self) -> int:
+        """Number of watch calls that the store received."""
+        return sum(call[0] == 'watch' for call in self.store.calls)
 
     def take_list(self, *updates: Fact) -> None:
-        """Have the store list facts, and take them."""
-        self.store.listed.append(updates)
+        """Apply a listing that contains the given updates."""
+        self.store.listings.append(updates)
         self.follower.step()
 
     def change(self, *updates: Fact) -> float:
-        """Have the store tell changes, and take them."""
-        self.store.changed.append(updates)
+        """Apply updates from a watch and return the delay in ms."""
+        self.store.watch_results.append(updates)
         return self.follower.step()
 
     def events(self) -> list[str]:
-        """Give the kinds of the lines that were logged."""
-        return [line['event'] for line in self._logged()]
+        """Return the event names of the logged lines."""
+        return [line['event'] for line in self._log_lines()]
 
     def lines(self, *events: str) -> list[dict[str, Any]]:
-        """Give the lines of some kinds that were logged."""
-        return [line for line in self._logged() if line['event'] in events]
+        """Return the logged lines that have the given event names."""
+        return [line for line in self._log_lines() if line['event'] in events]
 
-    def _logged(self) -> list[dict[str, Any]]:
+    def _log_lines(self) -> list[dict[str, Any]]:
         lines = self.log.getvalue().splitlines()
         return [json.loads(line) for line in lines]
--- a/packages/fennelfork-daemon/tests/test_routes_store.py
+++ b/packages/fennelfork-daemon/tests/test_routes_store.py
@@ -1,4 +1,4 @@
-"""What a daemon that serves routes takes from the store, and when."""
+"""Tests of the synchronisation of a route daemon with the store."""
 
 import random
 
@@ -7,7 +7,7 @@
 import structlog
 from daemon_builders_routes import (
     AWAY,
-    SILENCE,
+    NO_RESPONSE,
     Following,
     member,
     server,
@@ -29,64 +29,64 @@
 )
 from fennelfork_daemon.routes._contact import StoreCall
 
-# For green threads that are about to run.
-_LET_RUN_S = 0.01
+# Lets other green threads run.
+_SWITCH_S = 0.01
 
 
 @pytest.fixture
 def following() -> Following:
-    """Give a daemon that has read the store once."""
-    built = Following()
-    built.take_list(
+    """Yield a daemon that has read the store once."""
+    new_daemon = Following()
+    new_daemon.take_list(
         ConfigFact(table=table(3)),
         ServerFact(server=server('i-1')),
         ServerFact(server=server('i-2')),
     )
-    yield built
+    yield new_daemon
     structlog.reset_defaults()
 
 
 class TestConfiguration:
-    """Versions only rise."""
+    """Only newer versions replace the active configuration."""
 
-    def test_newer(self, following: Following) -> None:
-        """A newer version is in force at once, with its limits."""
+    def test_newer_version(self, following: Following) -> None:
+        """A newer version and its limits become active at once."""
         following.change(ConfigFact(table=table(8)))
         assert following.board.table.version == 8
         assert following.board.limits.idle_ms == 9000
 
-    def test_older(self, following: Following) -> None:
-        """An older one that comes late is left alone."""
+    def test_older_version(self, following: Following) -> None:
+        """An older version is ignored."""
         following.change(ConfigFact(table=table(2)))
         assert following.board.table.version == 3
 
-    def test_unreadable(self, following: Following) -> None:
-        """What cannot be read is logged, and what was known stays."""
+    def test_invalid_configuration(self, following: Following) -> None:
+        """An invalid entry is logged and the active version stays."""
         following.change(UnreadableFact(key='op/config', problem='no JSON'))
         assert following.board.table.version == 3
         assert 'item_refused' in following.events()
 
 
 class TestServers:
-    """Backend servers come and go by themselves."""
+    """The server directory follows the entries of backend servers."""
 
-    def test_draining(self, following: Following) -> None:
-        """One that drains gets no new work."""
+    def test_draining_server(self, following: Following) -> None:
+        """A draining server is not selected."""
         following.change(ServerFact(server=server('i-1', draining=True)))
         usable = following.board.directory.usable('archive')
-        assert [one.instance for one in usable] == ['i-2']
+        assert [each.instance for each in usable] == ['i-2']
 
-    def test_gone(self, following: Following) -> None:
-        """So does one that is gone."""
+    def test_removed_server(self, following: Following) -> None:
+        """A removed server is not selected and its removal is logged once."""
         following.change(ServerGoneFact(instance='i-1'))
         assert len(following.board.directory.usable('archive')) == 1
         assert following.events().count('server_gone') == 1
 
-    def test_lapsed_while_the_store_was_away(
+    def test_expired_during_outage(
         self,
         following: Following,
     ) -> None:
-        """One that goes missing right after is kept for a while."""
+        """A server that is missing after an outage has a grace period."""
         following.follower.step()
         following.time.advance(4000)
         following.change()
@@ -95,8 +95,8 @@
         following.time.advance(2300)
         assert len(following.board.directory.usable('archive')) == 1
 
-    def test_broken_watch_is_no_absence(self, following: Following) -> None:
-        """While renewals reach the store, a missing entry is gone."""
+    def test_failed_watch_is_no_outage(self, following: Following) -> None:
+        """A failed watch grants no grace period if renewals succeed."""
         following.registration.step()
         following.store.renewals = [Success(True) for _ in range(9)]
         for _ in range(6):
@@ -107,35 +107,35 @@
         following.change(ServerGoneFact(instance='i-1'))
         assert len(following.board.directory.usable('archive')) == 1
 
-    def test_history_gone(self, following: Following) -> None:
-        """All is read again; what is not listed is gone."""
-        following.store.changed.append(HistoryGone())
+    def test_compacted_history(self, following: Following) -> None:
+        """A new listing replaces the servers after compaction."""
+        following.store.watch_results.append(HistoryGone())
         following.follower.step()
         following.take_list(
             ConfigFact(table=table(3)),
             ServerFact(server=server('i-2')),
         )
         usable = following.board.directory.usable('archive')
-        assert [one.instance for one in usable] == ['i-2']
+        assert [each.instance for each in usable] == ['i-2']
 
 
-class TestStartedAgain:
-    """A backend server starts again under its name."""
+class TestIncarnations:
+    """A backend server restarts under the same name."""
 
-    def test_is_told(self, following: Following) -> None:
-        """Its new run is used and logged, late news of the former are not."""
+    def test_new_incarnation(self, following: Following) -> None:
+        """Late updates of the previous incarnation are ignored."""
         following.change(ServerFact(server=server('i-1', started_ms=2000)))
-        late = server('i-1', started_ms=1000, draining=True)
-        following.change(ServerFact(server=late))
+        outdated = server('i-1', started_ms=1000, draining=True)
+        following.change(ServerFact(server=outdated))
         runs = [
-            one.incarnation
-            for one in following.board.directory.usable('archive')
+            each.incarnation
+            for each in following.board.directory.usable('archive')
         ]
         assert 'i-1@2000' in runs
         assert following.events().count('server_seen') == 3
 
-    def test_is_seen_afresh(self, following: Following) -> None:
-        """What was seen of the former run is gone."""
+    def test_state_is_reset(self, following: Following) -> None:
+        """The ejection of the previous incarnation does not apply."""
         states = following.board.states
         states.of(server('i-1').incarnation).ejection.eject(0)
         again = server('i-1', started_ms=2000)
@@ -143,29 +143,29 @@
         assert not states.of(again.incarnation).ejection.is_ejected(1)
 
 
-class TestForeignEntries:
-    """Another writer put something else under a key that was good before."""
+class TestInvalidEntries:
+    """Invalid content replaces a valid entry."""
 
-    def test_server(self, following: Following) -> None:
-        """Its server gets no more work, the others hold."""
+    def test_invalid_server(self, following: Following) -> None:
+        """The server of the entry is removed and the others stay."""
         following.change(
             UnreadableFact(key='k', problem='no JSON', instance='i-1'),
         )
         usable = following.board.directory.usable('archive')
-        assert [one.instance for one in usable] == ['i-2']
+        assert [each.instance for each in usable] == ['i-2']
         assert following.events().count('item_refused') == 1
 
-    def test_server_after_an_absence(self, following: Following) -> None:
-        """It is not kept like one that only lapsed."""
+    def test_invalid_server_after_outage(self, following: Following) -> None:
+        """The grace period does not apply to an invalid entry."""
         following.board.directory.registry.start_grace_period()
         following.change(
             UnreadableFact(key='k', problem='no JSON', instance='i-1'),
         )
         assert len(following.board.directory.usable('archive')) == 1
 
-    def test_listed(self, following: Following) -> None:
-        """So with a whole list."""
-        following.store.changed.append(HistoryGone())
+    def test_invalid_server_in_listing(self, following: Following) -> None:
+        """An invalid entry in a listing removes its server."""
+        following.store.watch_results.append(HistoryGone())
         following.follower.step()
         following.take_list(
             ConfigFact(table=table(3)),
@@ -173,10 +173,10 @@
             ServerFact(server=server('i-2')),
         )
         usable = following.board.directory.usable('archive')
-        assert [one.instance for one in usable] == ['i-2']
+        assert [each.instance for each in usable] == ['i-2']
 
-    def test_daemon(self, following: Following) -> None:
-        """A daemon under such a key is not named to callers."""
+    def test_invalid_daemon(self, following: Following) -> None:
+        """A daemon with an invalid entry is not returned to callers."""
         following.change(MemberFact(member=member('vm-22')))
         following.change(
             UnreadableFact(key='k', problem='no JSON', member='vm-22'),
@@ -184,103 +184,106 @@
         assert _addresses(following) == (following.board.local.caller,)
 
 
-class TestSilentStore:
-    """The store falls silent while a watch waits for its answer.
+class TestUnresponsiveStore:
+    """The store loses a pending call during an outage.
 
-    The watch is not answered any more, but the next renewals are: first they
-    tell that the store is away, then that it is back. Waiting on would leave
-    the daemon with an old configuration for the half minute of a watch.
+    Guards against a daemon that waits for the lost call after the outage and
+    keeps an outdated configuration.
     """
 
-    @pytest.mark.parametrize('missed', [1, 6])
-    def test_change_right_after(
+    @pytest.mark.parametrize('failed_renewals', [1, 6])
+    def test_watch_is_repeated(
         self,
         following: Following,
-        missed: int,
+        failed_renewals: int,
     ) -> None:
-        """A change after the return is in force at once."""
+        """A lost watch is repeated once renewals succeed again."""
         following.registration.step()
-        following.store.changed = [SILENCE, (ConfigFact(table=table(8)),)]
-        watch = eventlet.spawn(_two_steps, following)
-        eventlet.sleep(_LET_RUN_S)
-        failures = [Bad(AWAY) for _ in range(missed)]
+        following.store.watch_results = [
+            NO_RESPONSE,
+            (ConfigFact(table=table(8)),),
+        ]
+        watch = eventlet.spawn(_run_two_steps, following)
+        eventlet.sleep(_SWITCH_S)
+        failures = [Bad(AWAY) for _ in range(failed_renewals)]
         following.store.renewals = [*failures, Success(True)]
-        for _ in range(missed + 1):
+        for _ in range(failed_renewals + 1):
             following.registration.step()
         with eventlet.Timeout(1):
             watch.wait()
         assert following.board.table.version == 8
 
-    def test_silent_listing(self) -> None:
-        """So is a listing that was asked for while the store was silent."""
-        built = Following()
-        built.store.listed = [SILENCE, (ConfigFact(table=table(8)),)]
-        watch = eventlet.spawn(_two_steps, built)
-        eventlet.sleep(_LET_RUN_S)
-        built.contact.record_failure(StoreCall.CHANGES, AWAY)
-        built.contact.record_response()
+    def test_listing_is_repeated(self) -> None:
+        """A lost listing is repeated once calls succeed again."""
+        new_daemon = Following()
+        new_daemon.store.listings = [NO_RESPONSE, (ConfigFact(table=table(8)),)]
+        watch = eventlet.spawn(_run_two_steps, new_daemon)
+        eventlet.sleep(_SWITCH_S)
+        new_daemon.contact.record_failure(StoreCall.CHANGES, AWAY)
+        new_daemon.contact.record_response()
         with eventlet.Timeout(1):
             watch.wait()
-        assert built.board.table.version == 8
+        assert new_daemon.board.table.version == 8
         structlog.reset_defaults()
 
-    def test_no_stampede(self, following: Following) -> None:
-        """A watch is asked again once, and not while all is well."""
-        following.store.changed = [SILENCE, SILENCE]
-        watch = eventlet.spawn(_two_steps, following)
-        eventlet.sleep(_LET_RUN_S)
+    def test_watch_is_repeated_once(self, following: Following) -> None:
+        """A watch is repeated once after an outage and not without one."""
+        following.store.watch_results = [NO_RESPONSE, NO_RESPONSE]
+        watch = eventlet.spawn(_run_two_steps, following)
+        eventlet.sleep(_SWITCH_S)
         following.contact.record_response()
-        eventlet.sleep(_LET_RUN_S)
-        assert following.watches == 1
+        eventlet.sleep(_SWITCH_S)
+        assert following.watch_count == 1
         following.contact.record_failure(StoreCall.CHANGES, AWAY)
         for _ in range(5):
             following.contact.record_response()
-            eventlet.sleep(_LET_RUN_S)
-        assert following.watches == 2
+            eventlet.sleep(_SWITCH_S)
+        assert following.watch_count == 2
         watch.kill()
 
 
-class TestPace:
-    """How often, and how patiently, the store is asked."""
+class TestPolling:
+    """Timeouts, delays and log lines of the calls of the store."""
 
-    def test_changes_are_gathered(self, following: Following) -> None:
-        """Changes that come together cost one call."""
+    def test_updates_are_batched(self, following: Following) -> None:
+        """The next watch is delayed after an update only."""
         assert following.change(ServerGoneFact(instance='i-1')) > 100
         assert following.change() == 0
 
     @pytest.mark.parametrize(
-        ('daemons', 'gather_ms'),
+        ('daemons', 'batch_delay_ms'),
         [(1, 300), (9, 300), (40, 600), (67, 1000), (460, 1000)],
     )
-    def test_gathers_longer_in_a_large_fleet(
+    def test_batch_delay_grows_with_fleet(
         self,
         following: Following,
         daemons: int,
-        gather_ms: float,
+        batch_delay_ms: float,
     ) -> None:
-        """All daemons ask for a change, so each of many asks less often.
+        """A large fleet fetches updates less often.
 
-        The pattern: a rolling stop of 67 daemons, where each leave and each
-        return is a change that all others fetch.
+        Guards against overload of the store during a rolling restart.
         """
         members = [member(f'vm-{number}') for number in range(2, daemons + 1)]
-        following.change(*(MemberFact(member=one) for one in members))
+        following.change(*(MemberFact(member=each) for each in members))
         following.change(MemberFact(member=member('vm-1')))
-        assert following.change(ServerGoneFact(instance='i-1')) == gather_ms
+        assert (
+            following.change(ServerGoneFact(instance='i-1')) == batch_delay_ms
+        )
         polling = following.follower.polling
-        assert polling.extra_batch_delay_ms == gather_ms - 300
-
-    def test_first_read_is_not_waited_for(self) -> None:
-        """A read that began while the store was silent is soon given up."""
-        built = Following()
-        waits = [built.follower.step() for _ in range(6)]
-        patience = [call[1] for call in built.store.calls]
-        assert patience == [400, 800, 1600, 1600, 1600, 1600]
-        assert all(100 < wait < 900 for wait in waits)
+        assert polling.extra_batch_delay_ms == batch_delay_ms - 300
+
+    def test_listing_times_out(self) -> None:
+        """Failed listings are repeated with growing but bounded timeouts."""
+        new_daemon = Following()
+        delays_ms = [new_daemon.follower.step() for _ in range(6)]
+        timeouts_ms = [call[1] for call in new_daemon.store.calls]
+        assert timeouts_ms == [400, 800, 1600, 1600, 1600, 1600]
+        assert all(100 < wait < 900 for wait in delays_ms)
         structlog.reset_defaults()
 
-    def test_told_once(self, following: Following) -> None:
-        """An outage is one line, and its end another."""
+    def test_outage_is_logged_once(self, following: Following) -> None:
+        """The start and the end of an outage are logged once each."""
         for _ in range(5):
             following.follower.step()
         following.change()
@@ -288,11 +291,11 @@
         assert events.count('store_lost') == 1
         assert events.count('store_regained') == 1
 
-    def test_says_what_waited_and_how_old_it_is(
+    def test_outage_log_attributes(
         self,
         following: Following,
     ) -> None:
-        """A renewal that is answered does not make what is known younger."""
+        """A renewal ends an outage but does not reset the age of the data."""
         following.registration.step()
         following.time.advance(700)
         following.follower.step()
@@ -306,10 +309,10 @@
         following.change()
         assert following.contact.data_age_ms == 0
 
-    def test_gap_tells_nothing(self, following: Following) -> None:
-        """Nor does an answer that the history is gone."""
+    def test_compacted_history_is_no_data(self, following: Following) -> None:
+        """A compacted history does not reset the age of the data."""
         following.time.advance(700)
-        following.store.changed.append(HistoryGone())
+        following.store.watch_results.append(HistoryGone())
         following.follower.step()
         assert following.contact.data_age_ms == 700
         following.take_list(ConfigFact(table=table(3)))
@@ -317,26 +320,26 @@
 
 
 class TestRegistration:
-    """This daemon's own entry."""
-
-    def test_only_when_ready(self) -> None:
-        """A daemon without routes is named to nobody."""
-        built = Following()
-        built.registration.step()
-        assert not built.store.calls
-        assert built.registration.delay_ms < 100
-        built.take_list(ConfigFact(table=table(3)))
-        assert built.registration.delay_ms == 700
+    """Registration of this daemon."""
+
+    def test_unready_daemon(self) -> None:
+        """A daemon without a configuration does not register."""
+        new_daemon = Following()
+        new_daemon.registration.step()
+        assert not new_daemon.store.calls
+        assert new_daemon.registration.delay_ms < 100
+        new_daemon.take_list(ConfigFact(table=table(3)))
+        assert new_daemon.registration.delay_ms == 700
         structlog.reset_defaults()
 
-    def test_lapsed(self, following: Following) -> None:
-        """A lease that ended is opened anew; a lost reply changes nothing."""
+    def test_expired_lease(self, following: Following) -> None:
+        """An expired lease is replaced; a failed renewal is only repeated."""
         following.registration.step()
         following.store.renewals = [Bad(AWAY), Success(False), Success(True)]
         for _ in range(3):
             following.registration.step()
         kinds = [
-            call[0] for call in following.store.calls if call[0] != 'read_all'
+            call[0] for call in following.store.calls if call[0] != 'list_all'
         ]
         assert kinds == [
             'open_lease',
@@ -348,19 +351,19 @@
             'renew',
         ]
 
-    def test_leave(self, following: Following) -> None:
-        """A daemon that leaves is not ready and does not register again."""
+    def test_leaving_daemon(self, following: Following) -> None:
+        """A leaving daemon is not ready and does not register."""
         following.registration.leave()
         following.registration.step()
         assert not following.board.is_ready
-        assert following.store.calls == [('read_all', 400)]
+        assert following.store.calls == [('list_all', 400)]
 
 
 class TestEntries:
-    """Which daemons callers are told to use."""
+    """Selection of the daemons that a caller connects to."""
 
-    def test_nearest(self, following: Following) -> None:
-        """Those of the caller's data centre, this one among them."""
+    def test_nearest_daemons(self, following: Following) -> None:
+        """The daemons of the data centre of the caller are returned."""
         following.change(
             MemberFact(member=member('vm-22')),
             MemberFact(member=member('vm-333', 'far')),
@@ -368,14 +371,14 @@
         own = following.board.local.caller
         assert set(_addresses(following)) == {own, '10.0.0.1:5'}
 
-    def test_one_daemon_left_nearby(self, following: Following) -> None:
-        """Farther ones are named as well, so that its loss leaves some."""
+    def test_few_nearby_daemons(self, following: Following) -> None:
+        """A more distant daemon is added to a single nearby daemon."""
         following.change(MemberFact(member=member('vm-333', 'far')))
         own = following.board.local.caller
         assert set(_addresses(following)) == {own, '10.0.0.1:6'}
 
-    def test_leaving(self, following: Following) -> None:
-        """A daemon that leaves does not name itself."""
+    def test_leaving_daemon_is_omitted(self, following: Following) -> None:
+        """A leaving daemon does not return itself."""
         following.change(
             MemberFact(member=member('vm-1')),
             MemberFact(member=member('vm-22')),
@@ -383,22 +386,22 @@
         following.board.is_leaving = True
         assert _addresses(following) == ('10.0.0.1:5',)
 
-    def test_gone(self, following: Following) -> None:
-        """One whose lease ended is not named any more."""
+    def test_removed_daemon(self, following: Following) -> None:
+        """A daemon whose entry was removed is not returned."""
         following.change(MemberFact(member=member('vm-22')))
         following.change(MemberGoneFact(name='vm-22'))
         assert _addresses(following) == (following.board.local.caller,)
 
-    def test_nobody(self) -> None:
-        """Without a ready daemon there is no answer."""
-        built = Following()
-        entries = RouteEntries(board=built.board, rng=random.Random(1))
+    def test_no_ready_daemon(self) -> None:
+        """There is no answer without a ready daemon."""
+        new_daemon = Following()
+        entries = RouteEntries(board=new_daemon.board, rng=random.Random(1))
         assert entries.answer(EntryAsk(region='', data_centre='')) is None
         structlog.reset_defaults()
 
 
-def _two_steps(following: Following) -> None:
-    """Make two calls of the store one after the other, as a daemon does."""
+def _run_two_steps(following: Following) -> None:
+    """Make two consecutive calls of the store."""
     following.follower.step()
     following.follower.step()
 
