--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_board.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_board.py
@@ -1,4 +1,4 @@
-"""The facts that the parts of a daemon that serves routes share."""
+"""Blackboard of a daemon that serves routes."""
 
 from typing import Final
 
@@ -19,30 +19,30 @@
 from fennelfork_daemon.http._wsgi_protocol import ConnectionLimits
 from fennelfork_daemon.routes._settings import RouteSettings
 
-# Daemons renew their leases each 0.7 s. One that died meanwhile costs its
-# callers a second each while it is named.
-_MEMBER_LAPSE_MS: Final = 1200.0
-# Until the limits of the first configuration are known.
-HEADER_BYTES: Final = 16_384
-READ_MS: Final = 3000
-IDLE_MS: Final = 15_000
+# Grace period of daemons after a store outage. Daemons renew their leases more
+# often, and callers lose time on a daemon that has crashed.
+_MEMBER_GRACE_MS: Final = 1200.0
+# Limits that apply until the first configuration is known.
+INITIAL_HEADER_BYTES: Final = 16_384
+INITIAL_READ_MS: Final = 3000
+INITIAL_IDLE_MS: Final = 15_000
 
 
 @attrs.define(kw_only=True)
 class RouteBoard:
-    """What one daemon knows, read and written by its parts.
+    """State that the components of one daemon share.
 
     Attributes:
-        local: this daemon, as it registers itself.
-        members: the daemons that are registered, by name.
-        fleet: how many daemons to share limits with.
-        roster: the backend servers.
-        states: what was seen of each of them.
-        shares: connections to each of them.
-        limits: what connections of callers may cost.
-        quarantine: requests under which backend servers ended.
-        table: the routes in force, once there are any.
-        leaving: whether this daemon is stopping.
+        local: entry under which this daemon registers.
+        members: registered daemons by name.
+        fleet: number of daemons that share the limits.
+        directory: registered backend servers.
+        states: observed state of each backend server.
+        shares: limits on the connections to each backend server.
+        limits: limits on the connections of callers.
+        quarantine: requests that are suspected of crashing backend servers.
+        table: active configuration, or None before the first listing.
+        is_leaving: whether this daemon is stopping.
     """
 
     local: Member
@@ -54,34 +54,34 @@
     limits: ConnectionLimits
     quarantine: Quarantine
     table: RouteTable | None = None
-    leaving: bool = False
+    is_leaving: bool = False
 
     @property
-    def ready(self) -> bool:
-        """Whether callers should come here."""
-        return self.table is not None and not self.leaving
+    def is_ready(self) -> bool:
+        """Whether this daemon accepts requests of callers."""
+        return self.table is not None and not self.is_leaving
 
 
-def route_board(settings: RouteSettings, clock: Clock) -> RouteBoard:
-    """Build the board of a daemon that knows nothing yet."""
+def route_blackboard(settings: RouteSettings, clock: Clock) -> RouteBoard:
+    """Create the blackboard of a daemon that has not read the store yet."""
     fleet = FleetSize(clock=clock, window_ms=settings.repeats.window_ms)
     return RouteBoard(
-        local=_local(settings),
-        members=Registry(clock=clock, grace_ms=_MEMBER_LAPSE_MS),
+        local=_local_member(settings),
+        members=Registry(clock=clock, grace_ms=_MEMBER_GRACE_MS),
         fleet=fleet,
         directory=ServerDirectory(registry=Registry(clock=clock)),
         states=ServerStates(),
         shares=ConnectionShares(fleet=fleet),
         limits=ConnectionLimits(
-            header_bytes=HEADER_BYTES,
-            request_read_ms=READ_MS,
-            idle_ms=IDLE_MS,
+            header_bytes=INITIAL_HEADER_BYTES,
+            request_read_ms=INITIAL_READ_MS,
+            idle_ms=INITIAL_IDLE_MS,
         ),
         quarantine=quarantine(clock, wall_clock()),
     )
 
 
-def _local(settings: RouteSettings) -> Member:
+def _local_member(settings: RouteSettings) -> Member:
     return Member(
         name=settings.name,
         incarnation=int(wall_clock().now_ms()),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_foundation.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_foundation.py
@@ -1,11 +1,11 @@
-"""What the parts of a daemon that serves routes are built on."""
+"""Components that all parts of a daemon that serves routes use."""
 
 import attrs
 
 from fennelfork import Clock, system_clock
 from fennelfork.routes import ConcurrencyLimits, RetryBudgets, retry_budgets
 from fennelfork_daemon.logs._budget import DecisionLog, LogOutput, decision_log
-from fennelfork_daemon.routes._board import RouteBoard, route_board
+from fennelfork_daemon.routes._board import RouteBoard, route_blackboard
 from fennelfork_daemon.routes._metrics import RouteMetrics, route_metrics
 from fennelfork_daemon.routes._pools import ServerPools
 from fennelfork_daemon.routes._ports import Ports
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class Foundation:
-    """What the parts of one daemon are built on."""
+    """Components that all parts of one daemon use."""
 
     settings: RouteSettings
     ports: Ports
@@ -32,9 +32,9 @@
     ports: Ports,
     log_output: LogOutput,
 ) -> Foundation:
-    """Build it for a daemon that knows nothing yet."""
+    """Create the shared components of a daemon."""
     clock = system_clock()
-    board = route_board(settings, clock)
+    board = route_blackboard(settings, clock)
     metrics = route_metrics()
     return Foundation(
         settings=settings,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_reload.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_reload.py
@@ -1,4 +1,4 @@
-"""Takes changed settings while the daemon runs."""
+"""Reload of the settings while the daemon runs."""
 
 import signal
 from collections.abc import Callable
@@ -13,8 +13,8 @@
 from fennelfork_daemon.routes._events_process import Reloaded, ReloadRefused
 from fennelfork_daemon.routes._settings import RouteSettings
 
-# How soon after the signal the file is read.
-_LOOK_S = 0.5
+# Maximum delay between the signal and the reload.
+_POLL_INTERVAL_S = 0.5
 
 _Problems = tuple[str, ...]
 ReadSettings = Callable[[], Result[RouteSettings, _Problems]]
@@ -22,46 +22,47 @@
 
 @attrs.define(kw_only=True)
 class SettingsReload:
-    """Reads the settings file again when it is told to.
+    """Reads the settings file again on SIGHUP.
 
-    The budget of repeats changes at once. Addresses and places of a running
-    daemon stay as they are until it starts again, which the log says.
+    A new retry budget applies at once. Addresses and locations change only
+    with a restart of the daemon.
     """
 
     _settings: RouteSettings
     _retry_budgets: RetryBudgets
-    _read: ReadSettings
+    _read_settings: ReadSettings
     _log: DecisionLog
-    _asked: bool = False
+    _is_requested: bool = False
 
     def listen_to_signal(self) -> None:
-        """Read the file again after each SIGHUP."""
+        """Install the handler of SIGHUP."""
         signal.signal(signal.SIGHUP, self._on_signal)
 
     def run(self) -> None:
-        """Wait for signals until the process ends."""
+        """Reload after each signal until the process exits."""
         while True:  # noqa: WPS457  # as long as the daemon runs
-            eventlet.sleep(_LOOK_S)
-            if self._asked:
-                self._asked = False
+            eventlet.sleep(_POLL_INTERVAL_S)
+            if self._is_requested:
+                self._is_requested = False
                 self.reload()
 
     def reload(self) -> None:
-        """Read the file and take what may change while running."""
-        read = self._read()
-        if not isinstance(read, Success):
-            self._log.tell(ReloadRefused(reason=read.failure()))
+        """Read the file and apply the settings that can change at run time."""
+        result = self._read_settings()
+        if not isinstance(result, Success):
+            self._log.tell(ReloadRefused(reason=result.failure()))
             return
-        found = read.unwrap()
+        new_settings = result.unwrap()
         changed = [
             field.name
             for field in attrs.fields(RouteSettings)
-            if getattr(found, field.name) != getattr(self._settings, field.name)
+            if getattr(new_settings, field.name)
+            != getattr(self._settings, field.name)
         ]
-        self._retry_budgets.policy = found.repeats
-        self._settings = found
+        self._retry_budgets.policy = new_settings.repeats
+        self._settings = new_settings
         self._log.tell(Reloaded(changed=changed))
 
     def _on_signal(self, number: int, frame: Any) -> None:
-        # The file is read by the green thread: nothing else is safe here.
-        self._asked = True
+        # A signal handler must not do I/O, so a green thread reads the file.
+        self._is_requested = True
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
@@ -1,4 +1,4 @@
-"""What a daemon that serves routes logs of the store and what it tells."""
+"""Log lines and metrics for the store and its updates."""
 
 import attrs
 
@@ -20,17 +20,17 @@
 
 @attrs.define(kw_only=True)
 class StoreReporter:
-    """Logs what changes in what the daemon believes."""
+    """Logs updates from the store and changes of its availability."""
 
     _log: DecisionLog
     _metrics: RouteMetrics
 
-    def lost(self, call: str, failure: Failure) -> None:
-        """The store is not reached: a call of it failed."""
+    def store_unavailable(self, call: str, failure: Failure) -> None:
+        """Log that the store is unavailable because a call failed."""
         self._log.tell(store.StoreLost(call=call, reason=failure.detail))
 
-    def regained(self, away_ms: float, told_ms: float) -> None:
-        """The store is reached again."""
+    def store_available(self, away_ms: float, told_ms: float) -> None:
+        """Log that the store is available again."""
         self._log.tell(
             store.StoreRegained(
                 away_ms=round(away_ms),
@@ -38,12 +38,12 @@
             ),
         )
 
-    def registered(self, lease: int, ttl_ms: float) -> None:
-        """This daemon is registered."""
+    def lease_granted(self, lease: int, ttl_ms: float) -> None:
+        """Log that this daemon is registered under a lease."""
         self._log.tell(store.LeaseGranted(lease=lease, ttl_ms=round(ttl_ms)))
 
-    def lapsed(self, lease: int, renewed_ms_ago: float) -> None:
-        """The store ended this daemon's registration."""
+    def lease_expired(self, lease: int, renewed_ms_ago: float) -> None:
+        """Log that the lease of this daemon has expired."""
         self._log.tell(
             store.LeaseLapsed(
                 lease=lease,
@@ -51,27 +51,27 @@
             ),
         )
 
-    def config_taken(self, table: RouteTable, before: int) -> None:
-        """A version is in force from now on."""
+    def config_applied(self, table: RouteTable, previous: int) -> None:
+        """Log a new active version and update its metrics."""
         self._metrics.follow(table)
         self._log.tell(
             store.ConfigTaken(
                 version=table.version,
-                before=before,
+                before=previous,
                 routes=len(table.routes),
             ),
         )
 
-    def server_seen(
+    def server_registered(
         self,
         server: BackendServer,
-        before: BackendServer | None,
+        previous: BackendServer | None,
     ) -> None:
-        """A backend server is new, or changed what it says of itself."""
-        same_run = (
-            before is not None and before.incarnation == server.incarnation
+        """Log a new incarnation or a change of the draining state."""
+        is_same_incarnation = (
+            previous is not None and previous.incarnation == server.incarnation
         )
-        if same_run and before.draining == server.draining:
+        if is_same_incarnation and previous.draining == server.draining:
             return
         self._log.tell(
             servers.ServerSeen(
@@ -83,16 +83,16 @@
             ),
         )
 
-    def server_gone(self, instance: str) -> None:
-        """A backend server is not used any more."""
+    def server_removed(self, instance: str) -> None:
+        """Log that a backend server was removed."""
         self._log.tell(servers.ServerGone(server=instance))
 
-    def member_seen(self, member: Member) -> None:
-        """Another daemon registered itself."""
+    def daemon_registered(self, member: Member) -> None:
+        """Log the registration of another daemon."""
         self._log.tell(store.DaemonSeen(peer=member.name, at=member.caller))
 
-    def member_gone(self, name: str) -> None:
-        """A daemon is no longer registered."""
+    def daemon_removed(self, name: str) -> None:
+        """Log that the registration of a daemon was removed."""
         self._log.tell(store.DaemonGone(peer=name))
 
     def request_judged(
@@ -101,7 +101,7 @@
         status: RequestStatus,
         by: str = 'another',
     ) -> None:
-        """A request that ended servers is treated in another way now."""
+        """Log a change of the status of a suspected request."""
         self._log.tell(
             requests.RequestJudged(
                 fingerprint=record.fingerprint,
@@ -113,6 +113,6 @@
             ),
         )
 
-    def unreadable(self, fact: UnreadableFact) -> None:
-        """An item of the store could not be read; it names nobody to use."""
-        self._log.tell(store.ItemRefused(key=fact.key, reason=fact.problem))
+    def entry_rejected(self, update: UnreadableFact) -> None:
+        """Log an entry of the store with invalid content."""
+        self._log.tell(store.ItemRefused(key=update.key, reason=update.problem))
--- /dev/null
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
@@ -0,0 +1,156 @@
+"""Applies updates from the store to the blackboard of the daemon."""
+
+import functools
+from collections.abc import Iterable
+from typing import Any
+
+import attrs
+
+from fennelfork_daemon.routes._board import RouteBoard
+from fennelfork_daemon.routes._facts import (
+    ConfigFact,
+    Fact,
+    MemberFact,
+    MemberGoneFact,
+    ServerFact,
+    ServerGoneFact,
+    SuspicionFact,
+    SuspicionGoneFact,
+    UnreadableFact,
+)
+from fennelfork_daemon.routes._pools import ServerPools
+from fennelfork_daemon.routes._store_reporter import StoreReporter
+
+
+@attrs.frozen(kw_only=True)
+class UpdateApplier:
+    """Applies updates from the store to the blackboard.
+
+    Attributes:
+        board: blackboard of the daemon.
+        reporter: log of the applied updates.
+    """
+
+    board: RouteBoard
+    reporter: StoreReporter
+    _pools: ServerPools
+
+    def apply_listing(
+        self, updates: Iterable[Fact], data_age_ms: float
+    ) -> None:
+        """Apply a complete listing and remove every entry that it lacks.
+
+        Args:
+            updates: one update for each entry of the store.
+            data_age_ms: time since the last update from the store.
+        """
+        listed = tuple(updates)
+        self.board.quarantine.exchange.reconcile(
+            (
+                update.record.fingerprint
+                for update in listed
+                if isinstance(update, SuspicionFact)
+            ),
+            data_age_ms,
+        )
+        servers = [
+            update.server.instance
+            for update in listed
+            if isinstance(update, ServerFact)
+        ]
+        members = [
+            update.member.name
+            for update in listed
+            if isinstance(update, MemberFact)
+        ]
+        for instance in self.board.directory.retain(servers):
+            self.reporter.server_removed(instance)
+        for name in self.board.members.retain(members):
+            self.reporter.daemon_removed(name)
+        self.apply(listed)
+
+    def apply(self, updates: Iterable[Fact]) -> None:
+        """Apply updates in the given order."""
+        for update in updates:
+            _apply_update(update, self)
+        self.board.fleet.record_size(len(self.board.members.entries))
+        incarnations = self.board.directory.incarnations
+        self.board.states.keep(incarnations)
+        self._pools.keep(incarnations)
+
+
+@functools.singledispatch
+def _apply_update(update: Any, applier: UpdateApplier) -> None:
+    """Apply one update.
+
+    Raises:
+        TypeError: if the update has an unknown type.
+    """
+    raise TypeError(f'unknown type of store update: {update!r}')
+
+
+@_apply_update.register
+def _apply_config(update: ConfigFact, applier: UpdateApplier) -> None:
+    board = applier.board
+    previous = 0 if board.table is None else board.table.version
+    if update.table.version <= previous:
+        # An update with an older version was delayed and is outdated.
+        return
+    board.table = update.table
+    board.shares.services = update.table.services
+    limits = update.table.limits
+    board.limits.header_bytes = limits.header_bytes
+    board.limits.request_read_ms = limits.header_ms
+    board.limits.idle_ms = limits.idle_ms
+    applier.reporter.config_applied(update.table, previous)
+
+
+@_apply_update.register
+def _apply_server(update: ServerFact, applier: UpdateApplier) -> None:
+    if applier.board.directory.is_outdated(update.server):
+        return
+    previous = applier.board.directory.put(update.server)
+    applier.reporter.server_registered(update.server, previous)
+
+
+@_apply_update.register
+def _remove_server(update: ServerGoneFact, applier: UpdateApplier) -> None:
+    if applier.board.directory.remove(update.instance):
+        applier.reporter.server_removed(update.instance)
+
+
+@_apply_update.register
+def _apply_member(update: MemberFact, applier: UpdateApplier) -> None:
+    name = update.member.name
+    if applier.board.members.put(name, update.member) is None:
+        applier.reporter.daemon_registered(update.member)
+
+
+@_apply_update.register
+def _remove_member(update: MemberGoneFact, applier: UpdateApplier) -> None:
+    if applier.board.members.remove(update.name):
+        applier.reporter.daemon_removed(update.name)
+
+
+@_apply_update.register
+def _apply_suspicion(update: SuspicionFact, applier: UpdateApplier) -> None:
+    exchange = applier.board.quarantine.exchange
+    status = exchange.apply_record(update.record, update.revision)
+    if status is not None:
+        applier.reporter.request_judged(update.record, status)
+
+
+@_apply_update.register
+def _remove_suspicion(
+    update: SuspicionGoneFact, applier: UpdateApplier
+) -> None:
+    applier.board.quarantine.exchange.discard(update.fingerprint)
+
+
+@_apply_update.register
+def _reject_entry(update: UnreadableFact, applier: UpdateApplier) -> None:
+    applier.reporter.entry_rejected(update)
+    if applier.board.directory.discard(update.instance):
+        applier.reporter.server_removed(update.instance)
+    if applier.board.members.discard(update.member):
+        applier.reporter.daemon_removed(update.member)
