--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
@@ -145,7 +145,7 @@
         record = AttemptRecord(
             send=send,
             now_ms=self._parts.clock.now_ms(),
-            pace=self._latency_baseline,
+            latency_baseline=self._latency_baseline,
             nearby=self._parts.selector.distances.is_local(
                 send.server.data_centre,
             ),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_watch.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_watch.py
@@ -16,22 +16,22 @@
     _connection: Any
 
     @contextmanager
-    def leaving(self, on_leave: Callable[[], None]) -> Iterator[None]:
-        """Call `on_leave` if the caller disconnects within the block."""
-        watcher = spawn(self._wait_for_close, on_leave)
+    def leaving(self, on_disconnect: Callable[[], None]) -> Iterator[None]:
+        """Call `on_disconnect` if the caller disconnects within the block."""
+        watcher = spawn(self._wait_for_close, on_disconnect)
         try:
             yield
         finally:
             watcher.kill()
 
-    def _wait_for_close(self, on_leave: Callable[[], None]) -> None:
+    def _wait_for_close(self, on_disconnect: Callable[[], None]) -> None:
         try:
             hubs.trampoline(self._connection.fileno(), read=True)
         except (OSError, hubs.IOClosed):
-            on_leave()
+            on_disconnect()
             return
         if self._is_closed():
-            on_leave()
+            on_disconnect()
 
     def _is_closed(self) -> bool:
         """Whether the connection is closed instead of having data to read."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_face.py
@@ -186,7 +186,7 @@
         attempts = AttemptRunner(
             parts=self._attempt_parts,
             caller_request=caller_request,
-            latency_baseline=dispatched.pace,
+            latency_baseline=dispatched.latency_baseline,
             deadline_ms=dispatched.deadline_ms,
             requires_new_connection=not route.idempotent,
             on_result=lambda attempt, outcome: queue.put((attempt, outcome)),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
@@ -156,8 +156,8 @@
                 took_ms=round(took_ms),
                 aim_ms=dispatch.route.latency_target_ms,
                 left_ms=round(dispatch.deadline_ms - now_ms),
-                usual_ms=round(dispatch.pace.usual_ms),
-                hedge_ms=round(dispatch.pace.hedge_after_ms),
+                usual_ms=round(dispatch.latency_baseline.usual_ms),
+                hedge_ms=round(dispatch.latency_baseline.hedge_after_ms),
                 ending=getattr(
                     running_request.finish_reason, 'value', 'caller_left'
                 ),
--- a/packages/fennelfork/src/fennelfork/routes/_attempt_outcome.py
+++ b/packages/fennelfork/src/fennelfork/routes/_attempt_outcome.py
@@ -67,14 +67,14 @@
     Attributes:
         send: attempt as it was sent.
         now_ms: time at which the attempt ended.
-        pace: latency baseline of the route.
+        latency_baseline: latency baseline of the route.
         nearby: whether the server is close enough for its latency to exclude
             the network distance.
     """
 
     send: Send
     now_ms: float
-    pace: LatencyBaseline
+    latency_baseline: LatencyBaseline
     nearby: bool
 
     @property
@@ -112,9 +112,9 @@
     state.ejection.record_success(record.send.server.slots)
     if record.nearby:
         state.record_latency(
-            record.took_ms / record.pace.usual_ms, record.now_ms
+            record.took_ms / record.latency_baseline.usual_ms, record.now_ms
         )
-        record.pace.record(record.took_ms)
+        record.latency_baseline.record(record.took_ms)
 
 
 @record_outcome.register
@@ -145,7 +145,9 @@
     state: ServerState,
 ) -> None:
     state.record_abandoned(record.send.attempt)
-    state.record_latency(record.took_ms / record.pace.usual_ms, record.now_ms)
+    state.record_latency(
+        record.took_ms / record.latency_baseline.usual_ms, record.now_ms
+    )
     state.ejection.record_failure()
     if state.ejection.should_eject:
         state.ejection.eject(record.now_ms)
--- a/packages/fennelfork/src/fennelfork/routes/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/routes/_dispatch.py
@@ -46,14 +46,14 @@
 
     Attributes:
         route: route of the request at the time of its arrival.
-        pace: latency baseline of the route.
+        latency_baseline: latency baseline of the route.
         legs: sub-requests, by service.
         hedges: number of hedges that were sent.
         retries: number of retries that were sent.
     """
 
     route: Route
-    pace: LatencyBaseline
+    latency_baseline: LatencyBaseline
     sub_requests: dict[str, SubRequest[_Part]]
     hedges: int = 0
     retries: int = 0
@@ -169,7 +169,7 @@
     route: Route,
     services: tuple[str, ...],
     parts: DispatchParts,
-    pace: LatencyBaseline,
+    latency_baseline: LatencyBaseline,
     times: tuple[float, float],
     *,
     suspect_services: Collection[str] = (),
@@ -180,7 +180,7 @@
         route: route of the request.
         services: services that the request is sent to.
         parts: components that all dispatches share.
-        pace: latency baseline of the route.
+        latency_baseline: latency baseline of the route.
         times: arrival time of the request and timeout of its caller, in
             milliseconds.
         suspect_services: services whose servers crashed while they ran the
@@ -191,14 +191,16 @@
     ordered = sorted(services, key=lambda one: one not in suspect_services)
     return Dispatch(
         route=route,
-        pace=pace,
+        latency_baseline=latency_baseline,
         sub_requests={
             service: SubRequest(service=service) for service in ordered
         },
         request_attempts=RequestAttempts(
             idempotent=route.idempotent,
             sender=Sender(
-                parts=parts, pace=pace, max_attempts=route.max_attempts
+                parts=parts,
+                latency_baseline=latency_baseline,
+                max_attempts=route.max_attempts,
             ),
             attempt_gate=attempt_gate(suspected=bool(suspect_services)),
         ),
--- a/packages/fennelfork/src/fennelfork/routes/_latency_baseline.py
+++ b/packages/fennelfork/src/fennelfork/routes/_latency_baseline.py
@@ -74,12 +74,12 @@
         """Return the latency baseline of a route; create it if necessary."""
         found = self._baselines.get(route.name)
         if found is None:
-            found = pace(route.latency_target_ms)
+            found = latency_baseline(route.latency_target_ms)
             self._baselines[route.name] = found
         return found
 
 
-def pace(latency_target_ms: float) -> LatencyBaseline:
+def latency_baseline(latency_target_ms: float) -> LatencyBaseline:
     """Create the latency baseline of a route without responses."""
     return LatencyBaseline(
         latency_target_ms=latency_target_ms,
--- a/packages/fennelfork/src/fennelfork/routes/_selection.py
+++ b/packages/fennelfork/src/fennelfork/routes/_selection.py
@@ -69,13 +69,13 @@
     Attributes:
         service: name of the service that the server has to belong to.
         tried: incarnations that are excluded because of earlier attempts.
-        pace: latency baseline of the route.
+        latency_baseline: latency baseline of the route.
         only_healthy: whether unhealthy servers are excluded.
     """
 
     service: str
     tried: Collection[str]
-    pace: LatencyBaseline
+    latency_baseline: LatencyBaseline
     only_healthy: bool = False
 
 
@@ -114,7 +114,7 @@
             return None
         preferred = by_availability[min(by_availability)]
         chosen = choose_candidate(
-            self._candidates(preferred, wanted.pace), self._rng
+            self._candidates(preferred, wanted.latency_baseline), self._rng
         )
         return None if chosen is None else servers[chosen.server]
 
@@ -127,7 +127,8 @@
         state = self.states.of(server.incarnation)
         now_ms = self._clock.now_ms()
         is_unresponsive = (
-            state.unresponsive_ms(now_ms) > wanted.pace.hedge_after_ms
+            state.unresponsive_ms(now_ms)
+            > wanted.latency_baseline.hedge_after_ms
         )
         if is_unresponsive or state.ejection.is_ejected(now_ms):
             return _Availability.UNHEALTHY
@@ -141,25 +142,25 @@
     def _candidates(
         self,
         servers: list[BackendServer],
-        pace: LatencyBaseline,
+        latency_baseline: LatencyBaseline,
     ) -> Iterator[Candidate]:
         for server in servers:
             state = self.states.of(server.incarnation)
-            yield self._candidate(server, state, pace)
+            yield self._candidate(server, state, latency_baseline)
 
     def _candidate(
         self,
         server: BackendServer,
         state: ServerState,
-        pace: LatencyBaseline,
+        latency_baseline: LatencyBaseline,
     ) -> Candidate:
         now_ms = self._clock.now_ms()
         return Candidate(
             server=server.incarnation,
-            latency_ms=pace.usual_ms * state.latency_ratio(now_ms),
+            latency_ms=latency_baseline.usual_ms * state.latency_ratio(now_ms),
             distance_ms=self.distances.penalty_ms(
                 server.data_centre,
-                pace.latency_target_ms,
+                latency_baseline.latency_target_ms,
             ),
             outstanding=state.outstanding,
             slots=server.slots,
--- a/packages/fennelfork/src/fennelfork/routes/_sender.py
+++ b/packages/fennelfork/src/fennelfork/routes/_sender.py
@@ -38,12 +38,12 @@
     """Sends the attempts of one request.
 
     Attributes:
-        pace: latency baseline of the route.
+        latency_baseline: latency baseline of the route.
         max_attempts: maximum number of backend servers of each service that may
             run the request.
     """
 
-    pace: LatencyBaseline
+    latency_baseline: LatencyBaseline
     max_attempts: int
     _parts: DispatchParts
 
@@ -98,7 +98,7 @@
             alone=alone,
         )
         sub_request.record_attempt(send)
-        sub_request.hedge_at_ms = now_ms + self.pace.hedge_after_ms
+        sub_request.hedge_at_ms = now_ms + self.latency_baseline.hedge_after_ms
         return [send]
 
     def _is_send_limit_reached(self, sub_request: SubRequest[Any]) -> bool:
@@ -119,7 +119,7 @@
         wanted = SelectionCriteria(
             service=sub_request.service,
             tried=sub_request.tried,
-            pace=self.pace,
+            latency_baseline=self.latency_baseline,
             only_healthy=only_healthy,
         )
         chosen = self._parts.selector.choose(wanted)
--- a/packages/fennelfork/tests/core_builders_routes.py
+++ b/packages/fennelfork/tests/core_builders_routes.py
@@ -35,7 +35,7 @@
     ServerStates,
     SingleService,
     dispatch,
-    pace,
+    latency_baseline,
     retry_budgets,
     services_of,
 )
@@ -163,7 +163,7 @@
             wanted,
             services_of(wanted.target),
             self.parts,
-            baseline or pace(wanted.latency_target_ms),
+            baseline or latency_baseline(wanted.latency_target_ms),
             (self.time.at_ms, wanted.timeout_ms),
             suspect_services=suspect,
         )
--- a/packages/fennelfork/tests/test_routes_attempt_outcome.py
+++ b/packages/fennelfork/tests/test_routes_attempt_outcome.py
@@ -20,7 +20,7 @@
     Succeeded,
     Unresponsive,
     classify_failure,
-    pace,
+    latency_baseline,
     record_outcome,
 )
 
@@ -87,7 +87,7 @@
     record = AttemptRecord(
         send=_SEND,
         now_ms=100,
-        pace=pace(LATENCY_TARGET_MS),
+        latency_baseline=latency_baseline(LATENCY_TARGET_MS),
         nearby=True,
     )
     for _ in range(times):
--- a/packages/fennelfork/tests/test_routes_dispatch.py
+++ b/packages/fennelfork/tests/test_routes_dispatch.py
@@ -26,8 +26,8 @@
     FinishReason,
     SelectionCriteria,
     Send,
+    latency_baseline,
     merge_failures,
-    pace,
 )
 
 
@@ -89,12 +89,12 @@
         self.daemon.directory.remove('archive/near')
         near = self.daemon.state_of('archive', 'here')
         for latency_target_ms, place in ((1000.0, 'here'), (100.0, 'far')):
-            baseline = pace(latency_target_ms)
+            baseline = latency_baseline(latency_target_ms)
             baseline.record(15)
             for _ in range(60):
                 near.record_latency(6, 0)
             wanted = SelectionCriteria(
-                service='archive', tried=(), pace=baseline
+                service='archive', tried=(), latency_baseline=baseline
             )
             chosen = self.daemon.parts.selector.choose(wanted)
             assert chosen.instance == f'archive/{place}'
--- a/packages/fennelfork/tests/test_routes_power_loss.py
+++ b/packages/fennelfork/tests/test_routes_power_loss.py
@@ -16,7 +16,7 @@
     UNREACHABLE,
     RoutingDaemon,
     fan_out,
-    pace,
+    latency_baseline,
     route,
 )
 
@@ -151,7 +151,7 @@
         record = AttemptRecord(
             send=self.send,
             now_ms=_RESET_MS,
-            pace=pace(300),
+            latency_baseline=latency_baseline(300),
             nearby=True,
         )
         self.daemon.time.advance(_RESET_MS)
@@ -169,7 +169,9 @@
         assert self._choice() == self.send.server.incarnation
 
     def _choice(self) -> str:
-        wanted = SelectionCriteria(service='archive', tried=(), pace=pace(300))
+        wanted = SelectionCriteria(
+            service='archive', tried=(), latency_baseline=latency_baseline(300)
+        )
         chosen = self.daemon.parts.selector.choose(wanted)
         assert chosen is not None
         return chosen.incarnation
--- a/packages/fennelfork/tests/test_routes_server_directory.py
+++ b/packages/fennelfork/tests/test_routes_server_directory.py
@@ -9,7 +9,7 @@
     SelectionCriteria,
     ServerDirectory,
     ServerStates,
-    pace,
+    latency_baseline,
 )
 
 
@@ -134,7 +134,7 @@
             SelectionCriteria(
                 service='archive',
                 tried={server('archive', 'a').incarnation},
-                pace=pace(LATENCY_TARGET_MS),
+                latency_baseline=latency_baseline(LATENCY_TARGET_MS),
             ),
         )
         assert chosen is not None
--- a/packages/fennelfork/tests/test_routes_slow_servers.py
+++ b/packages/fennelfork/tests/test_routes_slow_servers.py
@@ -7,7 +7,7 @@
 from typing import Final
 
 import pytest
-from core_builders_routes import RoutingDaemon, pace, server
+from core_builders_routes import RoutingDaemon, latency_baseline, server
 
 from fennelfork.routes import SelectionCriteria, ServerState
 
@@ -26,9 +26,9 @@
         self.daemon = RoutingDaemon()
         for place in ('here', 'far'):
             self.daemon.directory.put(server('shard', place, data_centre=place))
-        self.pace = pace(_LATENCY_TARGET_MS)
+        self.latency_baseline = latency_baseline(_LATENCY_TARGET_MS)
         for _ in range(50):
-            self.pace.record(_BASELINE_MS)
+            self.latency_baseline.record(_BASELINE_MS)
         self.near = self.daemon.state_of('shard', 'here')
 
     def test_avoided_after_two_slow_responses(self) -> None:
@@ -69,7 +69,9 @@
         state.record_latency(ratio, self.daemon.time.at_ms)
 
     def _chosen(self) -> str:
-        wanted = SelectionCriteria(service='shard', tried=(), pace=self.pace)
+        wanted = SelectionCriteria(
+            service='shard', tried=(), latency_baseline=self.latency_baseline
+        )
         chosen = self.daemon.parts.selector.choose(wanted)
         assert chosen is not None
         return chosen.data_centre
