--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_exchange.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_exchange.py
@@ -10,8 +10,8 @@
 from fennelfork.config import ConfigSource
 from fennelfork.membership import Member
 from fennelfork.placement import ConfigFollower
+from fennelfork_daemon.config._activator import ConfigHolder
 from fennelfork_daemon.config._codec import pack_document, unpack_document
-from fennelfork_daemon.config._holder import ConfigHolder
 from fennelfork_daemon.metrics._metrics import Channel, ControlCost, CountCost
 from fennelfork_daemon.peer._client import PeerClient
 from fennelfork_daemon.peer._idl import peer
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_patcher.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_patcher.py
@@ -22,9 +22,9 @@
     WriteDocument,
     advance_patch,
 )
-from fennelfork_daemon.config._holder import ConfigHolder
+from fennelfork_daemon.config._activator import ConfigHolder
 from fennelfork_daemon.kv._client import ConfigKey
-from fennelfork_daemon.kv._event import read_event, write_event
+from fennelfork_daemon.kv._patch_steps import read_event, write_event
 
 _MS: Final = 1000
 _TRIES: Final = 6
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_reader.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_reader.py
@@ -9,7 +9,7 @@
 from fennelfork import Blackboard, Failure
 from fennelfork.config import ConfigSource, StoredDocument
 from fennelfork.placement import ConfigFollower
-from fennelfork_daemon.config._holder import ConfigHolder
+from fennelfork_daemon.config._activator import ConfigHolder
 from fennelfork_daemon.kv._client import ConfigKey
 from fennelfork_daemon.logs._logs import StateLog, state_log
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_service.py
@@ -7,11 +7,14 @@
 
 from fennelfork import Blackboard, Clock, wall_clock
 from fennelfork.placement import config_follower
+from fennelfork_daemon.config._activator import ConfigHolder, config_holder
 from fennelfork_daemon.config._exchange import ConfigExchange
-from fennelfork_daemon.config._holder import ConfigHolder, config_holder
 from fennelfork_daemon.config._patcher import ConfigPatcher
 from fennelfork_daemon.config._reader import ConfigReader, config_reader
-from fennelfork_daemon.config._status import ConfigSurvey, config_survey
+from fennelfork_daemon.config._status_collector import (
+    ConfigSurvey,
+    config_survey,
+)
 from fennelfork_daemon.kv._client import config_key
 from fennelfork_daemon.metrics._metrics import CountCost
 from fennelfork_daemon.peer._client import PeerClient
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_problems.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_problems.py
@@ -13,7 +13,7 @@
     IterableValidationNote,
 )
 
-from fennelfork_daemon.settings._words import allowed
+from fennelfork_daemon.settings._descriptions import allowed
 
 _LIKENESS: Final = 0.6
 
--- a/packages/fennelfork-daemon/tests/test_config_patcher.py
+++ b/packages/fennelfork-daemon/tests/test_config_patcher.py
@@ -18,7 +18,7 @@
 from fennelfork import Verdict, blackboard, system_clock
 from fennelfork.config import PatchRequest, StoredDocument
 from fennelfork.membership import Member, MemberStatus
-from fennelfork_daemon.config._holder import config_holder
+from fennelfork_daemon.config._activator import config_holder
 from fennelfork_daemon.config._patcher import ConfigPatcher
 
 _REQUEST = PatchRequest(
