--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: taken, held, patched and given to peers."""
+"""Configuration of a daemon: activation, patches and exchange with peers."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_activator.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_activator.py
@@ -1,4 +1,4 @@
-"""Puts a newer configuration in force in this daemon."""
+"""Activation of newer configurations in this daemon."""
 
 from collections.abc import Callable
 
@@ -15,50 +15,50 @@
 
 
 @attrs.define(kw_only=True)
-class ConfigHolder:
-    """Writes the configuration to the blackboard, and tells who wants to know.
+class ConfigActivator:
+    """Writes the active configuration to the blackboard and calls listeners.
 
     Attributes:
-        state: the document in force here.
-        on_taken: called after a newer document came into force.
+        state: active document and the anomalies of refused documents.
+        on_activated: callbacks that run after each activation of a document.
     """
 
     state: ConfigState
-    on_taken: list[Callable[[], None]] = attrs.field(factory=list)
+    on_activated: list[Callable[[], None]] = attrs.field(factory=list)
     _board: Blackboard
     _log: StateLog
 
     def offer(self, raw: str | None, source: ConfigSource) -> OfferOutcome:
-        """Take a document if it is newer; see `ConfigState.offer`."""
+        """Activate a document if it is newer; see `ConfigState.offer`."""
         outcome = self.state.offer(raw, source)
         if outcome is OfferOutcome.ACCEPTED:
             self._publish()
-        self._note(outcome, source)
+        self._log_outcome(outcome, source)
         return outcome
 
-    def hear(self, version: int, config_hash: str) -> None:
-        """Compare what a peer says it runs."""
+    def compare_with_peer(self, version: int, config_hash: str) -> None:
+        """Compare the active version of a peer with the local one."""
         outcome = self.state.compare_with_peer(version, config_hash)
         if outcome is OfferOutcome.CONFLICT:
-            self._note(outcome, ConfigSource.PEER)
+            self._log_outcome(outcome, ConfigSource.PEER)
 
     def _publish(self) -> None:
-        held = self.state.active
-        if held is None:
+        active = self.state.active
+        if active is None:
             return
         board = self._board
-        board.document = held.document
-        board.config_hash = held.digest
+        board.document = active.document
+        board.config_hash = active.digest
         board.local = attrs.evolve(
             board.local,
-            config_version=held.document.version,
-            config_hash=held.digest,
+            config_version=active.document.version,
+            config_hash=active.digest,
         )
         board.members[board.local.name] = board.local
-        for tell in self.on_taken:
-            tell()
+        for listener in self.on_activated:
+            listener()
 
-    def _note(self, outcome: OfferOutcome, source: ConfigSource) -> None:
+    def _log_outcome(self, outcome: OfferOutcome, source: ConfigSource) -> None:
         if outcome is OfferOutcome.ACCEPTED:
             self._log.change(
                 'configuration',
@@ -71,9 +71,9 @@
         self._log.change(f'configuration of {source.value}', state)
 
 
-def config_holder(board: Blackboard, clock: Clock) -> ConfigHolder:
-    """Build the holder of a daemon that has no configuration yet."""
-    return ConfigHolder(
+def config_activator(board: Blackboard, clock: Clock) -> ConfigActivator:
+    """Build the activator of a daemon without a configuration."""
+    return ConfigActivator(
         state=config_state(clock),
         board=board,
         log=state_log(daemon=board.local.name),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_codec.py
@@ -1,4 +1,4 @@
-"""The configuration document as it crosses between daemons."""
+"""Compression of the configuration document for the peer RPC."""
 
 import zlib
 from typing import Final
@@ -12,18 +12,18 @@
 
 
 def pack_document(raw: str) -> bytes:
-    """Compress a document."""
+    """Compress a configuration document."""
     return zlib.compress(raw.encode())
 
 
 def unpack_document(packed: bytes) -> Result[str, Failure]:
-    """Decompress a document, at most a megabyte of it.
+    """Decompress a configuration document of at most 1 MiB.
 
     Args:
-        packed: what a peer sent.
+        packed: compressed document that a peer sent.
 
     Returns:
-        The document, or why it cannot be read.
+        The document, or a failure if the document cannot be decompressed.
     """
     unpacker = zlib.decompressobj()
     try:
@@ -31,10 +31,10 @@
     except (zlib.error, ValueError) as error:
         return Bad(_unreadable(str(error)))
     if not unpacker.eof:
-        return Bad(_unreadable('it is cut short or too long'))
+        return Bad(_unreadable('the document is truncated or too long'))
     return Success(raw)
 
 
 def _unreadable(reason: str) -> Failure:
-    detail = f'a peer sent a document that cannot be read: {reason}'
+    detail = f'a peer sent an invalid configuration document: {reason}'
     return may_have_run(FailureCode.BAD_REPLY, detail)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_face.py
@@ -1,4 +1,4 @@
-"""The operator face's handlers for the configuration."""
+"""Operator API handlers for the configuration."""
 
 import json
 from typing import Any
@@ -32,8 +32,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class ConfigFace:
-    """Shows the configuration and takes patches of it."""
+class ConfigApi:
+    """Handlers that show and patch the configuration."""
 
     _board: Blackboard
     _service: ConfigService
@@ -41,7 +41,7 @@
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """The routes of the configuration."""
+        """HTTP routes of the configuration handlers."""
         return (
             Route(method='GET', path='/v1/config', handler=self.show),
             Route(
@@ -54,60 +54,63 @@
         )
 
     def show(self, request: HttpRequest) -> HttpReply:
-        """Give the document in force here."""
+        """Return the active document of this daemon."""
         return json_reply(unstructure_document(self._board.document))
 
     def history(self, request: HttpRequest) -> HttpReply:
-        """Give who changed what, oldest first."""
+        """Return the history of patches, oldest first."""
         tree = unstructure_document(self._board.document)
         return json_reply(
             {'version': tree['version'], 'patches': tree['patches']},
         )
 
     def status(self, request: HttpRequest) -> HttpReply:
-        """Give which daemon runs which version, and what is out of reach."""
+        """Return the active version of each daemon and the unreachable daemons."""
         service = self._service
-        daemons = service.survey.ask_all()
+        daemons = service.status_collector.collect()
         versions = [daemon.config_version or 0 for daemon in daemons]
-        anomalies = service.holder.state.anomalies.values()
+        anomalies = service.activator.state.anomalies.values()
         unreached = [daemon.name for daemon in daemons if daemon.failure]
         tree = {
             'version': max(versions, default=0),
             'daemons': [attrs.asdict(daemon) for daemon in daemons],
             'unreached': unreached,
-            'anomalies': [attrs.asdict(seen) for seen in anomalies],
+            'anomalies': [attrs.asdict(anomaly) for anomaly in anomalies],
             'platform_failure': service.reader.failure or None,
         }
         return json_reply(tree)
 
     def patch(self, request: HttpRequest) -> HttpReply:
-        """Bring a patch into force, or say why it is not."""
+        """Apply a patch to the configuration.
+
+        The reply to a refused patch contains the reasons for the refusal.
+        """
         body = read_json_object(request.environ, self._limits)
         if not is_successful(body):
             return refused_body(request, body.failure())
-        checked = structure_request(body.unwrap())
-        if not is_successful(checked):
-            return _refused(_malformed(checked.failure()))
-        outcome = self._service.patcher.patch(checked.unwrap())
+        parsed = structure_request(body.unwrap())
+        if not is_successful(parsed):
+            return _refusal_reply(_malformed_refusal(parsed.failure()))
+        outcome = self._service.patcher.patch(parsed.unwrap())
         if is_successful(outcome):
-            return _accepted(outcome.unwrap())
-        return _refused(outcome.failure())
+            return _acceptance_reply(outcome.unwrap())
+        return _refusal_reply(outcome.failure())
 
 
 def config_face(
     board: Blackboard,
     service: ConfigService,
     settings: Settings,
-) -> ConfigFace:
-    """Build the handlers of a daemon."""
-    return ConfigFace(
+) -> ConfigApi:
+    """Build the configuration handlers of a daemon."""
+    return ConfigApi(
         board=board,
         service=service,
         limits=body_limits(settings),
     )
 
 
-def _accepted(accepted: PatchAccepted) -> HttpReply:
+def _acceptance_reply(accepted: PatchAccepted) -> HttpReply:
     record = accepted.record
     return json_reply(
         {
@@ -121,12 +124,12 @@
     )
 
 
-def _malformed(problems: tuple[Problem, ...]) -> PatchRefused:
+def _malformed_refusal(problems: tuple[Problem, ...]) -> PatchRefused:
     failure = not_run(FailureCode.BAD_REQUEST, 'the request is not a patch')
     return PatchRefused(failure=failure, problems=problems)
 
 
-def _refused(refused: PatchRefused) -> HttpReply:
+def _refusal_reply(refused: PatchRefused) -> HttpReply:
     reply = problem_reply(refused.failure, None)
     document: dict[str, Any] = json.loads(reply.body)
     document |= {
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_patcher.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_patcher.py
@@ -1,4 +1,4 @@
-"""Carries operators' patches to the platform."""
+"""Writes patches of operators to the key-value store of the platform."""
 
 import random
 from collections.abc import Callable
@@ -22,96 +22,99 @@
     WriteDocument,
     advance_patch,
 )
-from fennelfork_daemon.config._activator import ConfigHolder
+from fennelfork_daemon.config._activator import ConfigActivator
 from fennelfork_daemon.kv._client import ConfigKey
-from fennelfork_daemon.kv._patch_steps import read_event, write_event
+from fennelfork_daemon.kv._patch_steps import execute_read, execute_write
 
-_MS: Final = 1000
-_TRIES: Final = 6
-_PATIENCE_MS: Final = 2500
-_PATCHES_AT_ONCE: Final = 16
+_MS_PER_S: Final = 1000
+_MAX_ATTEMPTS: Final = 6
+_TIMEOUT_MS: Final = 2500
+_MAX_CONCURRENT_PATCHES: Final = 16
 _RETRY_AFTER_MS: Final = 1000
 
 
 @attrs.define(kw_only=True)
 class ConfigPatcher:
-    """Runs one `PatchWriter` for each patch, a bounded number at once."""
+    """Runs a `PatchWriter` for each patch and bounds their concurrency."""
 
     _board: Blackboard
-    _holder: ConfigHolder
+    _activator: ConfigActivator
     _key: ConfigKey
     _clock: Clock
-    _civil: Clock
+    _wall_clock: Clock
     _jitter: random.Random
-    _ask_fleet: Callable[[], int]
+    _query_fleet_version: Callable[[], int]
     _slots: Semaphore = attrs.field(
-        factory=lambda: Semaphore(_PATCHES_AT_ONCE),
+        factory=lambda: Semaphore(_MAX_CONCURRENT_PATCHES),
     )
 
     def patch(self, request: PatchRequest) -> PatchOutcome:
-        """Bring a patch into force, or say why it is not.
+        """Write a patch to the platform and activate the new version.
 
         Args:
-            request: a checked request.
+            request: validated patch request.
 
         Returns:
-            The outcome, with what is certain of it.
+            The outcome; the verdict of a failure tells whether the patch may
+            have been written.
         """
         if self._slots.locked():
-            return Bad(_too_many())
+            return Bad(_overload_refusal())
         with self._slots:
-            return self._run(self._writer(request))
+            return self._run_writer(self._writer(request))
 
     def _known_version(self) -> int:
-        """Give the highest version that this daemon can learn of.
+        """Return the highest version that is known in the fleet.
 
-        One that holds no document asks all others first: an emptied platform
-        must not be given a second version 1.
+        A daemon without a document queries all other daemons, so that a
+        platform that lost its data does not get a second version 1.
         """
-        state = self._holder.state
+        state = self._activator.state
         if state.active is None:
-            return self._ask_fleet()
+            return self._query_fleet_version()
         members = self._board.members.values()
-        heard = max((member.config_version for member in members), default=0)
-        return max(state.version, heard)
+        announced = max(
+            (member.config_version for member in members), default=0
+        )
+        return max(state.version, announced)
 
     def _writer(self, request: PatchRequest) -> PatchWriter:
         return PatchWriter(
             request=request,
             known_version=self._known_version(),
-            previous=self._holder.state.parsed,
-            now_ms=int(self._civil.now_ms()),
-            attempts_left=_TRIES,
-            deadline_ms=self._clock.now_ms() + _PATIENCE_MS,
+            previous=self._activator.state.parsed,
+            now_ms=int(self._wall_clock.now_ms()),
+            attempts_left=_MAX_ATTEMPTS,
+            deadline_ms=self._clock.now_ms() + _TIMEOUT_MS,
             clock=self._clock,
             jitter=self._jitter,
         )
 
-    def _run(self, writer: PatchWriter) -> PatchOutcome:
+    def _run_writer(self, writer: PatchWriter) -> PatchOutcome:
         while not isinstance(writer.step, PatchDone):
-            self._take_step(writer, writer.step)
+            self._run_step(writer, writer.step)
         outcome = writer.step.outcome
         if is_successful(outcome) and outcome.unwrap().raw is not None:
-            self._holder.offer(outcome.unwrap().raw, ConfigSource.PLATFORM)
+            self._activator.offer(outcome.unwrap().raw, ConfigSource.PLATFORM)
         return outcome
 
-    def _take_step(
+    def _run_step(
         self,
         writer: PatchWriter,
         step: ReadDocument | WriteDocument,
     ) -> None:
-        sleep(step.delay_ms / _MS)
+        sleep(step.delay_ms / _MS_PER_S)
         if isinstance(step, ReadDocument):
-            advance_patch(read_event(self._key), writer)
+            advance_patch(execute_read(self._key), writer)
         else:
-            advance_patch(write_event(self._key, step.write), writer)
+            advance_patch(execute_write(self._key, step.write), writer)
 
 
-def _too_many() -> PatchRefused:
+def _overload_refusal() -> PatchRefused:
     return PatchRefused(
         failure=not_run(
             FailureCode.SHED,
-            f'{_PATCHES_AT_ONCE} patches are being written by this daemon',
+            f'{_MAX_CONCURRENT_PATCHES} patches are being written by this daemon',
             _RETRY_AFTER_MS,
         ),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_reader.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_reader.py
@@ -1,4 +1,4 @@
-"""Reads and watches the configuration in the platform, where it is due."""
+"""Reads and watches of the configuration key in the platform."""
 
 from typing import Final
 
@@ -9,55 +9,58 @@
 from fennelfork import Blackboard, Failure
 from fennelfork.config import ConfigSource, StoredDocument
 from fennelfork.placement import ConfigFollower
-from fennelfork_daemon.config._activator import ConfigHolder
+from fennelfork_daemon.config._activator import ConfigActivator
 from fennelfork_daemon.kv._client import ConfigKey
 from fennelfork_daemon.logs._logs import StateLog, state_log
 
-_TICK_S: Final = 0.1
-_PLATFORM: Final = 'key-value service'
+_CHECK_INTERVAL_S: Final = 0.1
+_STORE: Final = 'key-value service'
 
 
 @attrs.define(kw_only=True)
 class ConfigReader:
-    """Offers what the platform shows to the holder.
+    """Offers the documents that are stored in the platform to the activator.
 
-    Between changes it reads the key's revision alone: the document may be
-    hundreds of kilobytes.
+    While the key does not change, the reader fetches only the revision of the
+    key, because a document may have hundreds of kilobytes.
 
     Attributes:
-        failure: why the last read failed; empty if it did not.
+        failure: reason why the last read failed; empty if the read succeeded.
     """
 
     failure: str = ''
     _board: Blackboard
-    _holder: ConfigHolder
+    _activator: ConfigActivator
     _key: ConfigKey
     _follower: ConfigFollower
     _log: StateLog
-    _seen: int | None = None
-    _watched: int | None = None
+    _known_revision: int | None = None
+    _watch_revision: int | None = None
 
     def read_forever(self) -> None:
-        """Read the key whenever it is due here."""
+        """Read the key whenever a read by this daemon is due."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             if self._follower.is_read_due():
-                self._read_if_reader()
-            eventlet.sleep(_TICK_S)
+                self._read_if_assigned()
+            eventlet.sleep(_CHECK_INTERVAL_S)
 
     def watch_forever(self) -> None:
-        """Watch the key while this daemon reads it; a read comes first."""
+        """Watch the key from the revision of the last successful read.
+
+        Only daemons that are assigned to read the platform watch the key.
+        """
         while True:  # noqa: WPS457  # as long as the daemon runs
-            if self._watched is not None and self._is_reader():
-                self._watch(self._watched)
-            eventlet.sleep(_TICK_S)
+            if self._watch_revision is not None and self._is_assigned():
+                self._watch(self._watch_revision)
+            eventlet.sleep(_CHECK_INTERVAL_S)
 
-    def _read_if_reader(self) -> None:
-        if self._is_reader():
+    def _read_if_assigned(self) -> None:
+        if self._is_assigned():
             self._read()
         else:
             self._follower.defer_role_check()
 
-    def _is_reader(self) -> bool:
+    def _is_assigned(self) -> bool:
         board = self._board
         return self._follower.reads_platform(board.local, board.members)
 
@@ -66,52 +69,52 @@
         self._follower.record_read(answered=failure is None)
         self.failure = '' if failure is None else failure.detail
         if failure is not None:
-            self._watched = None
+            self._watch_revision = None
         state = 'answers' if failure is None else 'fails'
-        self._log.change(_PLATFORM, state, detail=self.failure)
+        self._log.change(_STORE, state, detail=self.failure)
 
     def _refresh(self) -> Failure | None:
-        """Read the document only if the key changed since it was read."""
+        """Read the document if the key changed since the last read."""
         revision = self._key.revision()
         if not is_successful(revision):
             return revision.failure()
-        if revision.unwrap() == self._seen:
-            self._holder.state.confirm_unchanged()
-            self._watched = self._seen
+        if revision.unwrap() == self._known_revision:
+            self._activator.state.confirm_unchanged()
+            self._watch_revision = self._known_revision
             return None
         reply = self._key.read()
         if not is_successful(reply):
             return reply.failure()
-        self._take(reply.unwrap())
+        self._offer(reply.unwrap())
         return None
 
     def _watch(self, revision: int) -> None:
         try:
-            for stored in self._key.changes(revision):
-                self._take(stored)
-                if not self._is_reader():
+            for stored in self._key.watch(revision):
+                self._offer(stored)
+                if not self._is_assigned():
                     break
         except (OSError, ValueError) as error:
             self._log.change('watch', 'broken', detail=str(error))
-        # The next watch starts after a fresh read, which backs off.
-        self._watched = None
+        # The next watch starts after the next read, which has a backoff.
+        self._watch_revision = None
 
-    def _take(self, stored: StoredDocument) -> None:
-        self._seen = stored.revision
-        self._watched = stored.revision
-        self._holder.offer(stored.raw, ConfigSource.PLATFORM)
+    def _offer(self, stored: StoredDocument) -> None:
+        self._known_revision = stored.revision
+        self._watch_revision = stored.revision
+        self._activator.offer(stored.raw, ConfigSource.PLATFORM)
 
 
 def config_reader(
     board: Blackboard,
-    holder: ConfigHolder,
+    activator: ConfigActivator,
     key: ConfigKey,
     follower: ConfigFollower,
 ) -> ConfigReader:
-    """Build the reader of a daemon that has read nothing yet."""
+    """Build the reader of a daemon that has not read the key."""
     return ConfigReader(
         board=board,
-        holder=holder,
+        activator=activator,
         key=key,
         follower=follower,
         log=state_log(daemon=board.local.name),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_service.py
@@ -1,4 +1,4 @@
-"""Everything of a daemon that has to do with its configuration."""
+"""Configuration service of a daemon."""
 
 import random
 
@@ -7,13 +7,16 @@
 
 from fennelfork import Blackboard, Clock, wall_clock
 from fennelfork.placement import config_follower
-from fennelfork_daemon.config._activator import ConfigHolder, config_holder
+from fennelfork_daemon.config._activator import (
+    ConfigActivator,
+    config_activator,
+)
 from fennelfork_daemon.config._exchange import ConfigExchange
 from fennelfork_daemon.config._patcher import ConfigPatcher
 from fennelfork_daemon.config._reader import ConfigReader, config_reader
 from fennelfork_daemon.config._status_collector import (
-    ConfigSurvey,
-    config_survey,
+    ConfigStatusCollector,
+    config_status_collector,
 )
 from fennelfork_daemon.kv._client import config_key
 from fennelfork_daemon.metrics._metrics import CountCost
@@ -23,28 +26,28 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigService:
-    """The parts that follow, give and change the configuration.
+    """Components that follow, distribute and patch the configuration.
 
     Attributes:
-        holder: puts newer documents in force.
-        reader: reads and watches the platform.
-        exchange: asks, tells and answers peers.
-        patcher: writes patches.
-        survey: asks all daemons for their version.
+        activator: activates newer documents.
+        reader: reads and watches the configuration key in the platform.
+        exchange: exchanges the configuration with peers.
+        patcher: writes patches to the platform.
+        status_collector: queries the configuration status of all daemons.
     """
 
-    holder: ConfigHolder
+    activator: ConfigActivator
     reader: ConfigReader
     exchange: ConfigExchange
     patcher: ConfigPatcher
-    survey: ConfigSurvey
+    status_collector: ConfigStatusCollector
 
     def start(self) -> None:
-        """Follow the configuration from now on, in green threads."""
-        self.holder.on_taken.append(self.exchange.tell_peers)
+        """Start to follow the configuration in green threads."""
+        self.activator.on_activated.append(self.exchange.notify_peers)
         eventlet.spawn_n(self.reader.read_forever)
         eventlet.spawn_n(self.reader.watch_forever)
-        eventlet.spawn_n(self.exchange.ask_forever)
+        eventlet.spawn_n(self.exchange.poll_forever)
 
 
 def config_service(
@@ -53,26 +56,26 @@
     settings: Settings,
     count_cost: CountCost,
 ) -> ConfigService:
-    """Build the service of a daemon.
+    """Build the configuration service of a daemon.
 
     Args:
-        board: the facts of this daemon.
-        clock: monotonic time.
-        settings: endpoints, timeouts and bounds.
-        count_cost: told the bytes of calls and documents.
+        board: blackboard of this daemon.
+        clock: monotonic clock.
+        settings: settings with endpoints, timeouts and limits.
+        count_cost: callback that counts the bytes of calls and documents.
     """
     jitter = random.Random()
-    holder = config_holder(board, clock)
+    activator = config_activator(board, clock)
     follower = config_follower(clock, jitter)
     key = config_key(settings, clock, count_cost)
     peers = PeerClient()
-    survey = config_survey(board, peers, settings)
+    status_collector = config_status_collector(board, peers, settings)
     return ConfigService(
-        holder=holder,
-        reader=config_reader(board, holder, key, follower),
+        activator=activator,
+        reader=config_reader(board, activator, key, follower),
         exchange=ConfigExchange(
             board=board,
-            holder=holder,
+            activator=activator,
             follower=follower,
             peers=peers,
             clock=clock,
@@ -81,12 +84,12 @@
         ),
         patcher=ConfigPatcher(
             board=board,
-            holder=holder,
+            activator=activator,
             key=key,
             clock=clock,
-            civil=wall_clock(),
+            wall_clock=wall_clock(),
             jitter=jitter,
-            ask_fleet=survey.newest_version,
+            query_fleet_version=status_collector.highest_version,
         ),
-        survey=survey,
+        status_collector=status_collector,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_status_collector.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_status_collector.py
@@ -1,4 +1,4 @@
-"""Which daemon runs which configuration, asked of each."""
+"""Configuration status of all daemons."""
 
 from collections.abc import Iterable
 from typing import Any, Final
@@ -13,25 +13,26 @@
 from fennelfork_daemon.peer._idl import peer
 from fennelfork_daemon.settings._tables import Settings
 
-_CALLS_AT_ONCE: Final = 64
-_NO_DOCUMENT: Final = 9_007_199_254_740_991
+_MAX_CONCURRENT_CALLS: Final = 64
+# No version is higher, so the replies contain no document.
+_MAX_VERSION: Final = 9_007_199_254_740_991
 
 
 @attrs.frozen(kw_only=True)
-class DaemonConfig:
-    """What one daemon says of its configuration.
+class DaemonConfigStatus:
+    """Configuration status of one daemon.
 
     Attributes:
-        name: of the daemon.
-        data_centre: where it runs.
-        state: what is believed of it.
-        config_version: the version in force in it; none if out of reach.
-        config_hash: digest of that document.
-        age_ms: since it took that version.
-        confirmed_age_ms: since the platform last showed it that document;
-            none if never, as in a daemon that hears of it by its peers.
-        anomaly: an offer that it refused and that should not be.
-        failure: why it cannot be reached; none if it was.
+        name: name of the daemon.
+        data_centre: data centre of the daemon.
+        state: membership state of the daemon.
+        config_version: active version; none if the daemon is unreachable.
+        config_hash: digest of the active document.
+        age_ms: time since the activation of the version.
+        confirmed_age_ms: time since the daemon last read the document from
+            the platform; none if the daemon has the document from peers.
+        anomaly: outcome of an unexpected document that the daemon refused.
+        failure: reason why the daemon is unreachable; none if reachable.
     """
 
     name: str
@@ -46,69 +47,74 @@
 
 
 @attrs.frozen(kw_only=True)
-class ConfigSurvey:
-    """Asks all members at once, a bounded number at a time."""
+class ConfigStatusCollector:
+    """Queries all members with bounded concurrency."""
 
     _board: Blackboard
     _peers: PeerClient
     _timeout_ms: float
 
-    def ask_all(self) -> tuple[DaemonConfig, ...]:
-        """Ask each member, this daemon included, by its peer face.
+    def collect(self) -> tuple[DaemonConfigStatus, ...]:
+        """Query each member, this daemon included, over the peer RPC.
 
         Returns:
-            One entry a member, by name; those out of reach too.
+            Status of each member, sorted by name; unreachable members are
+            included.
         """
-        members = sorted(self._asked(), key=lambda member: member.name)
-        pool = eventlet.GreenPool(_CALLS_AT_ONCE)
-        return tuple(pool.imap(self._ask, members))
+        members = sorted(
+            self._queried_members(), key=lambda member: member.name
+        )
+        pool = eventlet.GreenPool(_MAX_CONCURRENT_CALLS)
+        return tuple(pool.imap(self._query, members))
 
-    def newest_version(self) -> int:
-        """Give the highest version that any reachable daemon holds."""
-        versions = [daemon.config_version or 0 for daemon in self.ask_all()]
+    def highest_version(self) -> int:
+        """Return the highest active version of the reachable daemons."""
+        versions = [daemon.config_version or 0 for daemon in self.collect()]
         return max(versions, default=0)
 
-    def _asked(self) -> Iterable[Member]:
+    def _queried_members(self) -> Iterable[Member]:
         return [
             member
             for member in self._board.members.values()
             if member.state is not MemberStatus.DEAD
         ]
 
-    def _ask(self, member: Member) -> DaemonConfig:
-        request = peer.ConfigRequest(have_version=_NO_DOCUMENT)
+    def _query(self, member: Member) -> DaemonConfigStatus:
+        request = peer.ConfigRequest(have_version=_MAX_VERSION)
         reply = self._peers.call(
             member.peer,
             'fetch_config',
             request,
             self._timeout_ms,
         )
-        known = DaemonConfig(
+        member_status = DaemonConfigStatus(
             name=member.name,
             data_centre=member.data_centre,
             state=member.state.value,
         )
         if is_successful(reply):
-            return _with_answer(known, reply.unwrap())
-        return attrs.evolve(known, failure=reply.failure().detail)
+            return _with_reply(member_status, reply.unwrap())
+        return attrs.evolve(member_status, failure=reply.failure().detail)
 
 
-def config_survey(
+def config_status_collector(
     board: Blackboard,
     peers: PeerClient,
     settings: Settings,
-) -> ConfigSurvey:
-    """Build the survey of a daemon."""
-    return ConfigSurvey(
+) -> ConfigStatusCollector:
+    """Build the status collector of a daemon."""
+    return ConfigStatusCollector(
         board=board,
         peers=peers,
         timeout_ms=settings.timeouts.peer_ms,
     )
 
 
-def _with_answer(known: DaemonConfig, reply: Any) -> DaemonConfig:
+def _with_reply(
+    member_status: DaemonConfigStatus, reply: Any
+) -> DaemonConfigStatus:
     return attrs.evolve(
-        known,
+        member_status,
         config_version=reply.version,
         config_hash=reply.config_hash,
         age_ms=reply.age_ms,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/kv/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/kv/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's key-value service as fronts use it."""
+"""Client of the platform's key-value service."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_client.py
@@ -1,4 +1,4 @@
-"""The configuration key in the platform's key-value service."""
+"""Access to the configuration key in the platform's key-value service."""
 
 from collections.abc import Callable, Iterator
 from typing import Any, Final, TypeVar
@@ -13,7 +13,7 @@
     range_body,
     read_range,
     read_revision,
-    read_swap,
+    read_swap_result,
     read_watch_line,
     revision_body,
     swap_body,
@@ -23,52 +23,52 @@
 from fennelfork_daemon.metrics._metrics import CountCost
 from fennelfork_daemon.settings._tables import Settings
 
-_CALLS_PER_SECOND: Final = 20
-_BURST: Final = 40
-_CONFIG: Final = 'config'
+_MAX_CALLS_PER_S: Final = 20
+_MAX_BURST_CALLS: Final = 40
+_CONFIG_KEY: Final = 'config'
 
-_Read = TypeVar('_Read')
+_Parsed = TypeVar('_Parsed')
 
 
 @attrs.frozen(kw_only=True)
 class ConfigKey:
-    """Reads, swaps and watches one key; see `KeyValueHttp` for the bounds."""
+    """Reads, writes and watches one key; see `KeyValueHttp` for the limits."""
 
     _key: str
     _http: KeyValueHttp
 
     def read(self) -> Result[StoredDocument, Failure]:
-        """Read the key, linearizably."""
+        """Read the key with a linearizable read."""
         reply = self._http.call('/v3/kv/range', range_body(self._key))
-        return reply.bind(lambda tree: _read(read_range, tree))
+        return reply.bind(lambda tree: _parse_reply(read_range, tree))
 
     def revision(self) -> Result[int, Failure]:
-        """Read which change of the key was the last; zero if it is absent."""
+        """Read the revision of the last change of the key; 0 if absent."""
         reply = self._http.call('/v3/kv/range', revision_body(self._key))
-        return reply.bind(lambda tree: _read(read_revision, tree))
+        return reply.bind(lambda tree: _parse_reply(read_revision, tree))
 
-    def swap(self, write: PreparedWrite) -> Result[bool, Failure]:
-        """Write the key if its last change is still the one named.
+    def compare_and_swap(self, write: PreparedWrite) -> Result[bool, Failure]:
+        """Write the key if its revision is the expected one.
 
         Returns:
-            Whether the write took place, or a failure whose verdict says
-            whether it may have.
+            Whether the key was written, or a failure. The verdict of the
+            failure tells whether the write may have taken place.
         """
         reply = self._http.call('/v3/kv/txn', swap_body(self._key, write))
-        return reply.bind(lambda tree: _read(read_swap, tree))
+        return reply.bind(lambda tree: _parse_reply(read_swap_result, tree))
 
-    def changes(self, revision: int) -> Iterator[StoredDocument]:
+    def watch(self, revision: int) -> Iterator[StoredDocument]:
         """Watch the key.
 
         Args:
-            revision: the last change that is known.
+            revision: revision of the last change that is known.
 
         Yields:
-            What the key holds after each later change.
+            The document in the key after each later change.
 
         Raises:
-            OSError: if the watch could not be opened, or broke.
-            ValueError: if the platform ended it.
+            OSError: if the watch could not be opened or its connection broke.
+            ValueError: if the platform cancelled the watch.
         """
         body = watch_body(self._key, revision)
         for line in self._http.stream('/v3/watch', body):
@@ -80,23 +80,25 @@
     clock: Clock,
     count_cost: CountCost,
 ) -> ConfigKey:
-    """Build the access to the configuration key of the settings.
+    """Build the client of the configuration key.
 
     Args:
-        settings: endpoints, timeouts and the prefix of keys.
-        clock: monotonic time.
-        count_cost: told the bytes of each call.
+        settings: settings with endpoints, timeouts and the key prefix.
+        clock: monotonic clock.
+        count_cost: callback that counts the bytes of each call.
     """
-    budget = token_bucket(clock, _CALLS_PER_SECOND, _BURST)
+    budget = token_bucket(clock, _MAX_CALLS_PER_S, _MAX_BURST_CALLS)
     return ConfigKey(
-        key=f'{settings.platform.key_prefix}{_CONFIG}',
+        key=f'{settings.platform.key_prefix}{_CONFIG_KEY}',
         http=key_value_http(settings, budget, count_cost),
     )
 
 
-def _read(reader: Callable[[Any], _Read], tree: Any) -> Result[_Read, Failure]:
+def _parse_reply(
+    parse: Callable[[Any], _Parsed], tree: Any
+) -> Result[_Parsed, Failure]:
     try:
-        return Success(reader(tree))
+        return Success(parse(tree))
     except (ValueError, TypeError) as error:
-        detail = f'the platform answered what cannot be read: {error}'
+        detail = f'the platform sent an invalid response: {error}'
         return Bad(may_have_run(FailureCode.PLATFORM, detail))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_codec.py
@@ -1,4 +1,4 @@
-"""The JSON of etcd's v3 gateway, as far as the daemon speaks it."""
+"""JSON messages of the etcd v3 gateway that the daemon uses."""
 
 import base64
 import json
@@ -6,112 +6,123 @@
 
 from fennelfork.config import PreparedWrite, StoredDocument
 
-_ABSENT: Final = StoredDocument(raw=None, revision=0)
-_DELETED: Final = 'DELETE'
+_ABSENT_DOCUMENT: Final = StoredDocument(raw=None, revision=0)
+_DELETE_EVENT: Final = 'DELETE'
 
 
 def range_body(key: str) -> dict[str, Any]:
-    """Ask for one key, linearizably."""
-    return {'key': _encoded(key)}
+    """Build the request of a linearizable read of one key."""
+    return {'key': _encode(key)}
 
 
 def revision_body(key: str) -> dict[str, Any]:
-    """Ask for the last change of one key, without its value."""
-    return {'key': _encoded(key), 'keys_only': True}
+    """Build the request for the revision of one key, without the value."""
+    return {'key': _encode(key), 'keys_only': True}
 
 
 def swap_body(key: str, write: PreparedWrite) -> dict[str, Any]:
-    """Ask for a write if the key's last change is still the one named."""
-    encoded = _encoded(key)
+    """Build the request of a write that is conditional on the revision."""
+    encoded = _encode(key)
     compare = {
         'target': 'MOD',
         'result': 'EQUAL',
         'key': encoded,
         'mod_revision': str(write.revision),
     }
-    put = {'key': encoded, 'value': _encoded(write.raw)}
+    put = {'key': encoded, 'value': _encode(write.raw)}
     return {'compare': [compare], 'success': [{'request_put': put}]}
 
 
 def watch_body(key: str, revision: int) -> dict[str, Any]:
-    """Ask for the changes of one key.
+    """Build the request of a watch of one key.
 
     Args:
-        key: the key.
-        revision: its last change that is known; zero, for an absent key, asks
-            for changes from now on and not for all that ever were.
+        key: key to watch.
+        revision: revision of the last change that is known. With 0, for an
+            absent key, the watch has future changes only, not the history.
     """
-    request = {'key': _encoded(key)}
+    request = {'key': _encode(key)}
     if revision:
         request['start_revision'] = str(revision + 1)
     return {'create_request': request}
 
 
 def read_range(reply: Any) -> StoredDocument:
-    """Read the answer to `range_body`.
+    """Parse the response to a request of `range_body`.
 
     Raises:
-        ValueError: if it is none.
+        ValueError: if the response is invalid.
     """
-    found = _member(reply, 'kvs', [])
-    return _stored(found[0]) if found else _ABSENT
+    found = _field(reply, 'kvs', [])
+    return _stored_document(found[0]) if found else _ABSENT_DOCUMENT
 
 
 def read_revision(reply: Any) -> int:
-    """Read the answer to `revision_body`; zero for an absent key.
+    """Parse the response to a request of `revision_body`.
+
+    Returns:
+        Revision of the key; 0 if the key is absent.
 
     Raises:
-        ValueError: if it is none.
+        ValueError: if the response is invalid.
     """
-    found = _member(reply, 'kvs', [])
-    return int(_member(found[0], 'mod_revision', None)) if found else 0
+    found = _field(reply, 'kvs', [])
+    return int(_field(found[0], 'mod_revision', None)) if found else 0
+
 
+def read_swap_result(reply: Any) -> bool:
+    """Parse the response to a request of `swap_body`.
 
-def read_swap(reply: Any) -> bool:
-    """Read whether a swap took place.
+    Returns:
+        Whether the key was written.
 
     Raises:
-        ValueError: if `reply` is no answer to `swap_body`.
+        ValueError: if the response is invalid.
     """
-    _member(reply, 'header', None)
-    return bool(_member(reply, 'succeeded', False))
+    _field(reply, 'header', None)
+    return bool(_field(reply, 'succeeded', False))
 
 
 def read_watch_line(line: bytes) -> tuple[StoredDocument, ...]:
-    """Read one line of a watch: the changes in it, oldest first.
+    """Parse one line of a watch.
+
+    Returns:
+        Changes in the line, oldest first.
 
     Raises:
-        ValueError: if it is no such line, or ends the watch.
+        ValueError: if the line is invalid or cancels the watch.
     """
-    update = _member(json.loads(line), 'result', None)
-    if _member(update, 'canceled', False):
-        raise ValueError('the platform ended the watch')
-    return tuple(_event(event) for event in _member(update, 'events', []))
+    update = _field(json.loads(line), 'result', None)
+    if _field(update, 'canceled', False):
+        raise ValueError('the platform cancelled the watch')
+    return tuple(
+        _document_from_event(event) for event in _field(update, 'events', [])
+    )
 
 
-def _event(event: Any) -> StoredDocument:
-    if _member(event, 'type', 'PUT') == _DELETED:
-        return _ABSENT
-    return _stored(_member(event, 'kv', None))
+def _document_from_event(event: Any) -> StoredDocument:
+    if _field(event, 'type', 'PUT') == _DELETE_EVENT:
+        return _ABSENT_DOCUMENT
+    return _stored_document(_field(event, 'kv', None))
 
 
-def _stored(entry: Any) -> StoredDocument:
-    encoded = _member(entry, 'value', '')
+def _stored_document(entry: Any) -> StoredDocument:
+    encoded = _field(entry, 'value', '')
     return StoredDocument(
         raw=base64.b64decode(encoded, validate=True).decode(),
-        revision=int(_member(entry, 'mod_revision', None)),
+        revision=int(_field(entry, 'mod_revision', None)),
     )
 
 
-def _member(tree: Any, name: str, default: Any) -> Any:
-    """Give a member; one without a default has to be there."""
+def _field(tree: Any, name: str, default: Any) -> Any:
+    """Return a field of a JSON object; required without a default."""
     if not isinstance(tree, dict):
-        raise ValueError(f'not an object: {type(tree).__name__}')
+        raise ValueError(f'expected a JSON object, got {type(tree).__name__}')
     found = tree.get(name, default)
     if found is None:
-        raise ValueError(f'no member {name}')
+        raise ValueError(f'the field {name!r} is missing')
     return found
 
 
-def _encoded(text: str) -> str:
+def _encode(text: str) -> str:
     return base64.b64encode(text.encode()).decode()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_http.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_http.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's key-value service, each bounded in every way."""
+"""HTTP client of the platform's key-value service."""
 
 import json
 from collections.abc import Iterator
@@ -16,13 +16,13 @@
 from fennelfork_daemon.metrics._metrics import Channel, ControlCost, CountCost
 from fennelfork_daemon.settings._tables import Settings
 
-_MS: Final = 1000
+_MS_PER_S: Final = 1000
 _OK: Final = 200
 _BAD_REQUEST: Final = 400
 _INTERNAL_ERROR: Final = 500
 _MAX_REPLY_BYTES: Final = 4_194_304
-_WATCH_SILENCE_S: Final = 60
-_NEVER_SENT: Final = (
+_WATCH_READ_TIMEOUT_S: Final = 60
+_NOT_SENT_ERRORS: Final = (
     http_errors.NewConnectionError,
     http_errors.ConnectTimeoutError,
     http_errors.NameResolutionError,
@@ -31,63 +31,71 @@
 
 @attrs.define(kw_only=True)
 class KeyValueHttp:
-    """Sends calls to one of several endpoints, the next one after a failure.
+    """Sends requests to one endpoint and switches endpoints after a failure.
 
-    Each call takes a token first, so that no loop above it, however wrong,
-    can flood the platform.
+    Each request takes a token of a token bucket, so that a faulty loop in the
+    daemon cannot overload the platform.
     """
 
     _endpoints: tuple[str, ...]
     _pools: urllib3.PoolManager
     _budget: TokenBucket
-    _connect_s: float
-    _call_s: float
+    _connect_timeout_s: float
+    _call_timeout_s: float
     _count_cost: CountCost
-    _current: int = 0
+    _endpoint_index: int = 0
 
     def call(self, path: str, body: dict[str, Any]) -> Result[Any, Failure]:
-        """Make one call.
+        """Send a request and wait for the response.
 
         Args:
-            path: of the gateway.
-            body: the request.
+            path: URL path of the gateway.
+            body: JSON object of the request.
 
         Returns:
-            The reply, or a failure that is `NOT_RUN` only if nothing was sent
-            or the platform itself refused.
+            The parsed response, or a failure. The verdict of the failure is
+            `NOT_RUN` only if nothing was sent or the platform refused.
         """
         if not self._budget.try_acquire():
-            return Bad(_over_budget(self._budget.wait_ms()))
+            return Bad(_budget_exhausted(self._budget.wait_ms()))
         try:
-            with eventlet.Timeout(self._call_s, TimeoutError('no reply')):
+            with eventlet.Timeout(
+                self._call_timeout_s, TimeoutError('no response')
+            ):
                 return self._exchange(path, body)
-        except _NEVER_SENT as error:
-            return Bad(not_run(FailureCode.PLATFORM, self._failed(error)))
+        except _NOT_SENT_ERRORS as error:
+            return Bad(
+                not_run(FailureCode.PLATFORM, self._rotate_endpoint(error))
+            )
         except (http_errors.HTTPError, OSError, ValueError) as error:
-            return Bad(may_have_run(FailureCode.PLATFORM, self._failed(error)))
+            return Bad(
+                may_have_run(FailureCode.PLATFORM, self._rotate_endpoint(error))
+            )
 
     def stream(self, path: str, body: dict[str, Any]) -> Iterator[bytes]:
-        """Make one call whose reply is lines without an end.
+        """Send a request whose response is an unbounded stream of lines.
 
         Yields:
-            Each line as it comes.
+            Each line of the response.
 
         Raises:
-            OSError: if there is no stream or it broke or fell silent.
+            OSError: if the stream cannot be opened, breaks or times out.
         """
         if not self._budget.try_acquire():
-            raise ConnectionError('the budget of calls is used up')
+            raise ConnectionError(
+                'the rate limit of requests to the platform is exceeded'
+            )
         timeout = urllib3.Timeout(
-            connect=self._connect_s,
-            read=_WATCH_SILENCE_S,
+            connect=self._connect_timeout_s,
+            read=_WATCH_READ_TIMEOUT_S,
         )
         try:
             response = self._send(path, body, timeout)
         except http_errors.HTTPError as error:
-            raise ConnectionError(self._failed(error)) from error
+            raise ConnectionError(self._rotate_endpoint(error)) from error
         try:
             for line in _lines(response):
-                self._count(received=len(line))
+                self._record_cost(received=len(line))
                 yield line
         except http_errors.HTTPError as error:
             raise ConnectionError(type(error).__name__) from error
@@ -95,17 +103,19 @@
             response.close()
 
     def _exchange(self, path: str, body: Any) -> Result[Any, Failure]:
-        timeout = urllib3.Timeout(connect=self._connect_s, read=self._call_s)
+        timeout = urllib3.Timeout(
+            connect=self._connect_timeout_s, read=self._call_timeout_s
+        )
         response = self._send(path, body, timeout)
         raw = response.read(_MAX_REPLY_BYTES + 1)
-        self._count(received=len(raw))
+        self._record_cost(received=len(raw))
         if len(raw) > _MAX_REPLY_BYTES:
             response.close()
-            raise ValueError('the reply is too long')
+            raise ValueError('the response is too long')
         response.release_conn()
         if response.status == _OK:
             return Success(json.loads(raw))
-        detail = f'the platform answered {response.status}'
+        detail = f'the platform responded with status {response.status}'
         if _BAD_REQUEST <= response.status < _INTERNAL_ERROR:
             return Bad(not_run(FailureCode.PLATFORM, detail))
         return Bad(may_have_run(FailureCode.PLATFORM, detail))
@@ -116,9 +126,9 @@
         body: dict[str, Any],
         timeout: urllib3.Timeout,
     ) -> urllib3.BaseHTTPResponse:
-        endpoint = self._endpoints[self._current]
+        endpoint = self._endpoints[self._endpoint_index]
         payload = json.dumps(body).encode()
-        self._count(sent=len(payload))
+        self._record_cost(sent=len(payload))
         return self._pools.request(
             'POST',
             f'http://{endpoint}{path}',
@@ -129,7 +139,7 @@
             preload_content=False,
         )
 
-    def _count(self, sent: int = 0, received: int = 0) -> None:
+    def _record_cost(self, sent: int = 0, received: int = 0) -> None:
         cost = ControlCost(
             channel=Channel.PLATFORM,
             sent=sent,
@@ -137,9 +147,9 @@
         )
         self._count_cost(cost)
 
-    def _failed(self, error: Exception) -> str:
-        endpoint = self._endpoints[self._current]
-        self._current = (self._current + 1) % len(self._endpoints)
+    def _rotate_endpoint(self, error: Exception) -> str:
+        endpoint = self._endpoints[self._endpoint_index]
+        self._endpoint_index = (self._endpoint_index + 1) % len(self._endpoints)
         return f'key-value service at {endpoint}: {type(error).__name__}'
 
 
@@ -148,38 +158,41 @@
     budget: TokenBucket,
     count_cost: CountCost,
 ) -> KeyValueHttp:
-    """Build what calls the endpoints of the settings.
+    """Build the client of the endpoints in the settings.
 
     Args:
-        settings: endpoints and timeouts.
-        budget: how many calls this daemon may make.
-        count_cost: told the bytes of each body, without headers.
+        settings: settings with endpoints and timeouts.
+        budget: token bucket that limits the rate of requests.
+        count_cost: callback that counts the bytes of each body, without
+            headers.
     """
     return KeyValueHttp(
         endpoints=tuple(map(str, settings.platform.key_value)),
         pools=urllib3.PoolManager(maxsize=4),
         budget=budget,
-        connect_s=settings.timeouts.connect_ms / _MS,
-        call_s=settings.timeouts.platform_ms / _MS,
+        connect_timeout_s=settings.timeouts.connect_ms / _MS_PER_S,
+        call_timeout_s=settings.timeouts.platform_ms / _MS_PER_S,
         count_cost=count_cost,
     )
 
 
 def _lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
     if response.status != _OK:
-        raise ConnectionError(f'the platform answered {response.status}')
-    rest = b''
+        raise ConnectionError(
+            f'the platform responded with status {response.status}'
+        )
+    remainder = b''
     for chunk in response.stream():
-        rest += chunk
-        *lines, rest = rest.split(b'\n')
+        remainder += chunk
+        *lines, remainder = remainder.split(b'\n')
         yield from lines
-        if len(rest) > _MAX_REPLY_BYTES:
+        if len(remainder) > _MAX_REPLY_BYTES:
             raise ConnectionError('a line of the watch is too long')
 
 
-def _over_budget(wait_ms: float) -> Failure:
+def _budget_exhausted(wait_ms: float) -> Failure:
     return not_run(
         FailureCode.PLATFORM,
-        'this daemon has used up its budget of calls to the platform',
+        'the rate limit of requests to the platform is exceeded',
         int(wait_ms) + 1,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_patch_steps.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_patch_steps.py
@@ -1,4 +1,4 @@
-"""Steps of a patch writer, carried out on the platform."""
+"""Execution of the steps of a patch writer on the platform."""
 
 from returns.pipeline import is_successful
 
@@ -18,17 +18,17 @@
 WriteEvent = WriteApplied | WriteConflict | WriteNotSent | WriteOutcomeUnknown
 
 
-def read_event(key: ConfigKey) -> ReadEvent:
-    """Read the key for a patch writer."""
+def execute_read(key: ConfigKey) -> ReadEvent:
+    """Read the key and return the event for the patch writer."""
     reply = key.read()
     if is_successful(reply):
         return DocumentRead(stored=reply.unwrap())
     return ReadFailed(detail=reply.failure().detail)
 
 
-def write_event(key: ConfigKey, write: PreparedWrite) -> WriteEvent:
-    """Write the key for a patch writer."""
-    reply = key.swap(write)
+def execute_write(key: ConfigKey, write: PreparedWrite) -> WriteEvent:
+    """Write the key and return the event for the patch writer."""
+    reply = key.compare_and_swap(write)
     if is_successful(reply):
         return WriteApplied() if reply.unwrap() else WriteConflict()
     failure = reply.failure()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Members: probes, the VM list, what this daemon says of itself."""
+"""Membership: probes, the VM list and the member of this daemon."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_local_member.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_local_member.py
@@ -1,4 +1,4 @@
-"""This daemon, as it announces itself to the fleet."""
+"""Member record of this daemon."""
 
 from fennelfork import wall_clock
 from fennelfork.membership import Member, MemberStatus, initial_incarnation
@@ -8,7 +8,7 @@
 
 
 def local_member(settings: Settings, listeners: Listeners) -> Member:
-    """Build the member; its incarnation is the time of this start."""
+    """Build the member of this daemon, with the start time as incarnation."""
     return Member(
         name=settings.daemon.name,
         incarnation=initial_incarnation(wall_clock().now_ms()),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_metrics.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters of membership: what it found and what it cost."""
+"""Metrics of membership: states, probes and cost."""
 
 import time
 from collections import Counter as Tally
@@ -13,7 +13,7 @@
 
 from fennelfork.membership import MemberChange, MemberStatus, MemberTable
 from fennelfork_daemon.membership._probe_client import ProbeFailure
-from fennelfork_daemon.membership._probe_codec import wire_bytes
+from fennelfork_daemon.membership._probe_codec import wire_size_bytes
 from fennelfork_daemon.metrics._metrics import (
     Channel,
     ControlCost,
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class MembershipMetrics:
-    """Counts beliefs by state, probes by outcome, and the cost of both."""
+    """Counts members by state, probes by outcome, and the cost of probes."""
 
     _daemon: DaemonMetrics
     _probes: Counter
@@ -36,11 +36,11 @@
     _refutations: Gauge
 
     @contextmanager
-    def processor(self) -> Iterator[None]:
-        """Count the processor time of a block that makes no call."""
-        begun_ns = time.thread_time_ns()
+    def measure_processor_time(self) -> Iterator[None]:
+        """Count the processor time of a block without network I/O."""
+        start_ns = time.thread_time_ns()
         yield
-        spent_ms = (time.thread_time_ns() - begun_ns) / _NS_PER_MS
+        spent_ms = (time.thread_time_ns() - start_ns) / _NS_PER_MS
         self._daemon.count_control(
             ControlCost(channel=Channel.PEER, processor_ms=spent_ms),
         )
@@ -50,33 +50,33 @@
         request: Any,
         reply: Result[Any, ProbeFailure],
     ) -> None:
-        """Count a probe that this daemon made."""
+        """Count a probe that this daemon sent."""
         outcome = _ANSWERED
         received = 0
         if is_successful(reply):
-            received = wire_bytes(reply.unwrap())
+            received = wire_size_bytes(reply.unwrap())
         else:
             outcome = reply.failure().value
         self._probes.labels(outcome).inc()
-        self._count_bytes(wire_bytes(request), received)
+        self._count_bytes(wire_size_bytes(request), received)
 
     def count_inbound(self, request: Any, reply: Any) -> None:
         """Count a probe that this daemon answered."""
         self._probes.labels('received').inc()
-        self._count_bytes(wire_bytes(reply), wire_bytes(request))
+        self._count_bytes(wire_size_bytes(reply), wire_size_bytes(request))
 
     def count_change(self, change: MemberChange) -> None:
-        """Count a change of belief about another daemon."""
+        """Count a change of the membership state of another daemon."""
         self._changes.labels(change.after.state.value).inc()
 
-    def show_members(self, table: MemberTable) -> None:
-        """Show how many members are in which state."""
+    def update_members(self, table: MemberTable) -> None:
+        """Set the number of members in each state."""
         tally = Tally(member.state for member in table)
         for state in MemberStatus:
             self._members.labels(state.value).set(tally[state])
 
-    def show_health(self, refutations: int, score: int) -> None:
-        """Show how this daemon stands itself."""
+    def update_health(self, refutations: int, score: int) -> None:
+        """Set the number of refutations and the health score of this daemon."""
         self._refutations.set(refutations)
         self._score.set(score)
 
@@ -87,7 +87,7 @@
 
 
 def membership_metrics(daemon: DaemonMetrics) -> MembershipMetrics:
-    """Build the counters in the registry of the daemon's metrics."""
+    """Build the metrics in the registry of the daemon's metrics."""
     registry = daemon.registry
     return MembershipMetrics(
         daemon=daemon,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_probe_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_probe_client.py
@@ -1,8 +1,8 @@
-"""Probes of other daemons, each over a connection of its own.
+"""Client of membership probes.
 
-A connection that is open may be silent for good while new ones work, and one
-to each of some hundred daemons costs memory; so a probe opens its own, and
-shows that the daemon still takes connections.
+Each probe opens a new connection: the probe then also checks that the daemon
+accepts connections, is not affected by a broken pooled connection, and needs
+no open connection to each daemon.
 """
 
 import enum
@@ -22,21 +22,21 @@
 from fennelfork_daemon._sockets import no_delay
 from fennelfork_daemon.peer._idl import peer
 
-_MS: Final = 1000
-_SILENCE: Final = (OSError, TException, ValueError, eventlet.Timeout)
+_MS_PER_S: Final = 1000
+_NO_REPLY_ERRORS: Final = (OSError, TException, ValueError, eventlet.Timeout)
 
 
 @enum.unique
 class ProbeFailure(enum.Enum):
-    """How a probe failed."""
+    """Reason why a probe failed."""
 
     REFUSED = 'refused'
-    SILENT = 'silent'
+    UNRESPONSIVE = 'silent'
 
 
 @attrs.frozen(kw_only=True)
 class ProbeClient:
-    """Makes one probe call."""
+    """Sends probes."""
 
     def call(
         self,
@@ -44,23 +44,23 @@
         request: Any,
         timeout_ms: float,
     ) -> Result[Any, ProbeFailure]:
-        """Open a connection, make the call, close it.
+        """Send one probe over a new connection.
 
         Args:
-            address: the peer face of the other daemon, `ip:port`.
-            request: the thrift message.
-            timeout_ms: for all of it.
+            address: peer RPC address of the other daemon, `ip:port`.
+            request: thrift message of the probe.
+            timeout_ms: timeout of the connection, request and reply together.
 
         Returns:
-            The thrift message of the reply, or how it failed.
+            The thrift message of the ack, or the reason of the failure.
         """
         try:
-            with eventlet.Timeout(timeout_ms / _MS):
+            with eventlet.Timeout(timeout_ms / _MS_PER_S):
                 return Success(_exchange(address, request))
         except ConnectionRefusedError:
             return Bad(ProbeFailure.REFUSED)
-        except _SILENCE:
-            return Bad(ProbeFailure.SILENT)
+        except _NO_REPLY_ERRORS:
+            return Bad(ProbeFailure.UNRESPONSIVE)
 
 
 def _exchange(address: str, request: Any) -> Any:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_probe_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_probe_codec.py
@@ -1,4 +1,4 @@
-"""Between the messages of membership and those of the peer face."""
+"""Conversion between membership messages and thrift messages."""
 
 from collections.abc import Iterable
 from typing import Any, Final
@@ -14,15 +14,15 @@
 )
 from fennelfork_daemon.peer._idl import peer
 
-_MOST_CLAIMS: Final = 64
-# Frame length, version, name of the call, sequence number, field header and
-# end mark that the protocol puts round a message.
+_MAX_CLAIMS: Final = 64
+# Frame length, version, method name, sequence number, field header and stop
+# byte that the protocol adds to a message.
 _ENVELOPE_BYTES: Final = 25
-_STATES: Final = frozenset(state.value for state in MemberStatus)
+_KNOWN_STATES: Final = frozenset(state.value for state in MemberStatus)
 
 
 def member_to_peer(member: Member) -> Any:
-    """Write what is known of a member."""
+    """Convert a member to a thrift message."""
     return peer.MemberState(
         name=member.name,
         incarnation=member.incarnation,
@@ -38,10 +38,10 @@
 
 
 def member_from_peer(message: Any) -> Member:
-    """Read what another daemon knows of a member.
+    """Convert a thrift message to a member.
 
     Raises:
-        ValueError: if it is in a state that this daemon does not know.
+        ValueError: if the state of the member is unknown.
     """
     return Member(
         name=message.name,
@@ -58,7 +58,7 @@
 
 
 def probe_to_peer(probe: ProbeMessage) -> Any:
-    """Write a probe as its thrift message."""
+    """Convert a probe to a thrift message."""
     return peer.ProbeRequest(
         sender=member_to_peer(probe.sender),
         gossip=[member_to_peer(member) for member in probe.gossip],
@@ -68,41 +68,44 @@
 
 
 def probe_from_peer(message: Any) -> ProbeMessage:
-    """Read a probe from its thrift message."""
+    """Convert a thrift message to a probe."""
     return ProbeMessage(
         sender=member_from_peer(message.sender),
-        gossip=_gossip(message.gossip),
+        gossip=_gossip_from_peer(message.gossip),
         relay_to=message.relay_to,
         digests=message.digests or b'',
     )
 
 
-def answer_to_peer(answer: ProbeAck) -> Any:
-    """Write the answer to a probe as its thrift message."""
+def ack_to_peer(ack: ProbeAck) -> Any:
+    """Convert an ack to a thrift message."""
     return peer.ProbeReply(
-        sender=member_to_peer(answer.sender),
-        gossip=[member_to_peer(member) for member in answer.gossip],
-        reached=answer.reached,
-        more=answer.has_more,
+        sender=member_to_peer(ack.sender),
+        gossip=[member_to_peer(member) for member in ack.gossip],
+        reached=ack.reached,
+        more=ack.has_more,
     )
 
 
-def answer_from_peer(message: Any) -> ProbeAck:
-    """Read the answer to a probe from its thrift message."""
+def ack_from_peer(message: Any) -> ProbeAck:
+    """Convert a thrift message to an ack."""
     return ProbeAck(
         sender=member_from_peer(message.sender),
-        gossip=_gossip(message.gossip),
+        gossip=_gossip_from_peer(message.gossip),
         reached=message.reached,
         has_more=bool(message.more),
     )
 
 
-def wire_bytes(message: Any) -> int:
-    """Count the bytes that a message of one call takes on the wire."""
+def wire_size_bytes(message: Any) -> int:
+    """Return the size on the wire of the message of one call, in bytes."""
     return _ENVELOPE_BYTES + len(serialize(message, TCyBinaryProtocolFactory()))
 
 
-def _gossip(messages: Iterable[Any]) -> tuple[Member, ...]:
-    """Read claims; those in a state of a later version are left out."""
-    known = [message for message in messages if message.state in _STATES]
-    return tuple(member_from_peer(message) for message in known[:_MOST_CLAIMS])
+def _gossip_from_peer(messages: Iterable[Any]) -> tuple[Member, ...]:
+    """Convert thrift messages to claims.
+
+    Claims with an unknown state, from daemons of a later version, are ignored.
+    """
+    known = [message for message in messages if message.state in _KNOWN_STATES]
+    return tuple(member_from_peer(message) for message in known[:_MAX_CLAIMS])
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -1,4 +1,4 @@
-"""Carries out what the membership controller decides, over thrift."""
+"""Service that sends the probes of the membership controller."""
 
 import random
 from typing import Any, Final
@@ -21,21 +21,21 @@
 from fennelfork_daemon.membership._metrics import MembershipMetrics
 from fennelfork_daemon.membership._probe_client import ProbeClient, ProbeFailure
 from fennelfork_daemon.membership._probe_codec import (
-    answer_from_peer,
-    answer_to_peer,
+    ack_from_peer,
+    ack_to_peer,
     probe_from_peer,
     probe_to_peer,
 )
 
-_STEP_S: Final = 0.1
+_STEP_INTERVAL_S: Final = 0.1
 
 
 @attrs.define(kw_only=True)
 class MembershipService:
-    """Keeps the members on the blackboard up to date.
+    """Sends probes and publishes the members on the blackboard.
 
     Attributes:
-        fleet: the controller.
+        fleet: membership controller.
     """
 
     fleet: Membership
@@ -47,90 +47,103 @@
 
     @property
     def leave_is_told(self) -> bool:
-        """Whether every member was told of the leave, or did not answer."""
+        """Whether each member received the leave or is unresponsive."""
         return leave_is_announced(self.fleet)
 
     def run(self) -> None:
-        """Step the controller as long as the daemon runs."""
+        """Step the controller periodically until the daemon stops."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             self.step()
-            eventlet.sleep(_STEP_S)
+            eventlet.sleep(_STEP_INTERVAL_S)
 
     def step(self) -> None:
-        """Let the controller move on to now."""
-        with self._metrics.processor():
+        """Advance the controller to the current time."""
+        with self._metrics.measure_processor_time():
             self._announce_config()
             while self._board.unreachable_peers:
                 self.fleet.on_unreachable(self._board.unreachable_peers.pop())
             sends = self.fleet.step(self._clock.now_ms())
-            self._follow(sends)
+            self._send_and_publish(sends)
 
     def probe(self, message: Any) -> Any:
-        """Answer the probe of another daemon; its thrift messages."""
-        with self._metrics.processor():
+        """Handle the probe of another daemon.
+
+        Args:
+            message: thrift message of the probe.
+
+        Returns:
+            Thrift message of the ack.
+        """
+        with self._metrics.measure_processor_time():
             probe = probe_from_peer(message)
-            heard = self.fleet.on_probe(probe, self._clock.now_ms())
-            self._follow(heard.probes)
-        answer = heard.ack
+            effects = self.fleet.on_probe(probe, self._clock.now_ms())
+            self._send_and_publish(effects.probes)
+        ack = effects.ack
         if probe.relay_to is not None:
             reached = self._relay(probe.relay_to)
-            answer = attrs.evolve(answer, reached=reached)
-        with self._metrics.processor():
-            reply = answer_to_peer(answer)
+            ack = attrs.evolve(ack, reached=reached)
+        with self._metrics.measure_processor_time():
+            reply = ack_to_peer(ack)
             self._metrics.count_inbound(message, reply)
         return reply
 
     def leave(self) -> None:
-        """Announce that this daemon will stop."""
+        """Announce that this daemon is about to stop."""
         announce_leave(self.fleet)
         self.step()
 
     def say_goodbye(self) -> None:
-        """Tell a few members that this daemon is gone, and wait for it."""
+        """Announce the exit to a few members and wait until the probes end."""
         sends = announce_exit(self.fleet, self._clock.now_ms())
         pool = eventlet.GreenPool()
-        for order in sends:
-            pool.spawn_n(self._carry_out, order)
+        for send in sends:
+            pool.spawn_n(self._send_probe, send)
         pool.waitall()
 
     def _announce_config(self) -> None:
         board = self._board
-        me = self.fleet.view.local
-        now = attrs.evolve(
-            me,
+        local = self.fleet.view.local
+        announced = attrs.evolve(
+            local,
             config_version=board.config_version,
             config_hash=board.config_hash,
         )
-        announce(self.fleet, now)
+        announce(self.fleet, announced)
 
     def _relay(self, name: str) -> bool:
-        order = self.fleet.relay(name, self._clock.now_ms())
-        return order is not None and self._carry_out(order)
-
-    def _carry_out(self, order: SendProbe) -> bool:
-        """Make a call and report it; tell whether it was answered."""
-        with self._metrics.processor():
-            request = probe_to_peer(order.message)
-        reply = self._client.call(order.target.peer, request, order.timeout_ms)
-        with self._metrics.processor():
+        send = self.fleet.relay(name, self._clock.now_ms())
+        return send is not None and self._send_probe(send)
+
+    def _send_probe(self, send: SendProbe) -> bool:
+        """Send a probe and report the result to the controller.
+
+        Returns:
+            Whether the target of the probe sent an ack.
+        """
+        with self._metrics.measure_processor_time():
+            request = probe_to_peer(send.message)
+        reply = self._client.call(send.target.peer, request, send.timeout_ms)
+        with self._metrics.measure_processor_time():
             self._metrics.count_outbound(request, reply)
             now_ms = self._clock.now_ms()
             if is_successful(reply):
-                answer = answer_from_peer(reply.unwrap())
-                self._follow(self.fleet.on_ack(order.probe_id, answer, now_ms))
-                # Another daemon may have the address by now.
-                return answer.sender.name == order.target.name
+                ack = ack_from_peer(reply.unwrap())
+                self._send_and_publish(
+                    self.fleet.on_ack(send.probe_id, ack, now_ms)
+                )
+                # Another daemon may use the address of the target.
+                return ack.sender.name == send.target.name
             refused = reply.failure() is ProbeFailure.REFUSED
             sends = self.fleet.on_failure(
-                order.probe_id, now_ms, refused=refused
+                send.probe_id, now_ms, refused=refused
             )
-            self._follow(sends)
+            self._send_and_publish(sends)
         return False
 
-    def _follow(self, sends: tuple[SendProbe, ...]) -> None:
-        """Make the calls that were ordered and publish what changed."""
-        for order in sends:
-            eventlet.spawn_n(self._carry_out, order)
+    def _send_and_publish(self, sends: tuple[SendProbe, ...]) -> None:
+        """Send probes, count member changes and publish the members."""
+        for send in sends:
+            eventlet.spawn_n(self._send_probe, send)
         for change in self.fleet.view.take_changes():
             self._metrics.count_change(change)
         self._publish()
@@ -141,15 +154,15 @@
         self._board.is_superseded = view.local_member.is_superseded
         reconfigured = view.table.take_reconfigured()
         if view.table.epoch == self._epoch:
-            # The same members: the homes worked out by them stay right.
+            # The set of members is the same, so the cached homes stay valid.
             self._board.members.update(
                 (member.name, member) for member in reconfigured
             )
         else:
             self._epoch = view.table.epoch
             self._board.members = {member.name: member for member in view.table}
-            self._metrics.show_members(view.table)
-        self._metrics.show_health(
+            self._metrics.update_members(view.table)
+        self._metrics.update_health(
             view.local_member.refutations,
             self.fleet.health.score,
         )
@@ -160,7 +173,7 @@
     clock: Clock,
     metrics: MembershipMetrics,
 ) -> MembershipService:
-    """Build the membership of the daemon that `board` describes."""
+    """Build the membership service of the local daemon of `board`."""
     return MembershipService(
         fleet=membership(board.local, MembershipPolicy(), random.Random()),
         board=board,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_vm_list.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_vm_list.py
@@ -1,4 +1,4 @@
-"""Reads the platform's lagging VM list as seeds of membership."""
+"""Reader of the platform's VM list, which is a source of membership seeds."""
 
 import json
 from typing import Any, Final
@@ -17,48 +17,48 @@
 from fennelfork.placement import choose_watchers
 from fennelfork_daemon.settings._tables import Settings
 
-_MS: Final = 1000
+_MS_PER_S: Final = 1000
 _OK: Final = 200
-_MOST_BYTES: Final = 1_048_576
+_MAX_LIST_BYTES: Final = 1_048_576
 
 
 @attrs.define(kw_only=True)
 class VmListReader:
-    """Hands what the list shows to the membership controller."""
+    """Reads the VM list and sets the seeds of the membership controller."""
 
     _board: Blackboard
     _settings: Settings
-    _fleet: Membership
+    _controller: Membership
     _schedule: VmListSchedule
     _http: urllib3.PoolManager
 
     def run(self) -> None:
-        """Read the list, now and then, as long as the daemon runs."""
+        """Read the list periodically until the daemon stops."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             self.read()
-            eventlet.sleep(self._wait_ms() / _MS)
+            eventlet.sleep(self._wait_ms() / _MS_PER_S)
 
     def read(self) -> None:
-        """Read the list once; what cannot be read changes nothing."""
-        seeds = self._seeds()
+        """Read the list once; a failed read keeps the previous seeds."""
+        seeds = self._fetch_seeds()
         self._schedule.record_read(succeeded=seeds is not None)
         if seeds is not None:
-            self._fleet.set_seeds(seeds)
+            self._controller.set_seeds(seeds)
 
     def _wait_ms(self) -> float:
         local = self._board.local
         members = self._board.members
-        named = choose_watchers(local.data_centre, members.values())
+        watchers = choose_watchers(local.data_centre, members.values())
         return self._schedule.wait_ms(
             is_alone=len(members) == 1,
-            is_watching=local.name in {member.name for member in named},
+            is_watching=local.name in {member.name for member in watchers},
         )
 
-    def _seeds(self) -> list[Member] | None:
+    def _fetch_seeds(self) -> list[Member] | None:
         endpoint = self._settings.platform.vm_list
-        timeout_s = self._settings.timeouts.platform_ms / _MS
+        timeout_s = self._settings.timeouts.platform_ms / _MS_PER_S
         try:
-            answer = self._http.request(
+            response = self._http.request(
                 'GET',
                 f'http://{endpoint}/v1/vms',
                 timeout=timeout_s,
@@ -68,39 +68,42 @@
         except urllib3.exceptions.HTTPError:
             return None
         try:
-            raw = answer.read(_MOST_BYTES)
+            raw = response.read(_MAX_LIST_BYTES)
         except urllib3.exceptions.HTTPError:
             return None
         finally:
-            answer.release_conn()
-        return _read(raw) if answer.status == _OK else None
+            response.release_conn()
+        return _parse_seeds(raw) if response.status == _OK else None
 
 
 def vm_list_reader(
     board: Blackboard,
     settings: Settings,
-    fleet: Membership,
+    controller: Membership,
     schedule: VmListSchedule,
 ) -> VmListReader:
-    """Build the reader of a daemon."""
+    """Build the VM list reader of a daemon."""
     return VmListReader(
         board=board,
         settings=settings,
-        fleet=fleet,
+        controller=controller,
         schedule=schedule,
         http=urllib3.PoolManager(),
     )
 
 
-def _read(raw: bytes) -> list[Member] | None:
+def _parse_seeds(raw: bytes) -> list[Member] | None:
     try:
-        return [_seed(vm) for vm in json.loads(raw)['vms']]
+        return [_parse_seed(vm) for vm in json.loads(raw)['vms']]
     except (ValueError, KeyError, TypeError):
         return None
 
 
-def _seed(vm: dict[str, Any]) -> Member:
-    """Read one VM; what it says of itself will go before this."""
+def _parse_seed(vm: dict[str, Any]) -> Member:
+    """Convert one VM to a seed.
+
+    The incarnation 0 lets claims of the daemon itself override the seed.
+    """
     return Member(
         name=vm['name'],
         incarnation=0,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer.thrift
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer.thrift
@@ -1,5 +1,5 @@
-// Calls between daemons. thriftpy2 reads this file when the daemon starts.
-// Times are milliseconds; deadlines cross as what remains of them.
+// RPC between daemons. thriftpy2 loads this file when the daemon starts.
+// All times are in milliseconds. Deadlines are sent as the remaining time.
 
 struct KeySpan {
   1: required i64 lo
@@ -118,9 +118,10 @@
   4: optional bool more
 }
 
-// `sender` is the peer address of a daemon that tells of its own version: one
-// that has an older version asks it in turn. `document` is there only if
-// `version` is above `have_version`: canonical JSON, compressed by zlib.
+// `sender` is the peer address of a daemon that announces its version: a
+// recipient with an older version fetches the document from `sender`.
+// `document` is set only if `version` is higher than `have_version`. The
+// document is canonical JSON, compressed with zlib.
 struct ConfigRequest {
   1: required i64 have_version
   2: optional string sender
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/__init__.py
@@ -1,1 +1,1 @@
-"""The peer face: typed messages and calls between daemons."""
+"""Peer RPC: typed messages and calls between daemons."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_client.py
@@ -1,4 +1,4 @@
-"""Calls to other daemons, over pooled thrift connections."""
+"""Client of the peer RPC with pooled thrift connections."""
 
 import socket
 from typing import Any, Final
@@ -16,8 +16,8 @@
 from fennelfork_daemon._sockets import no_delay
 from fennelfork_daemon.peer._idl import peer
 
-_MS: Final = 1000
-_MAX_IDLE: Final = 16
+_MS_PER_S: Final = 1000
+_MAX_IDLE_CONNECTIONS: Final = 16
 
 
 @attrs.define(kw_only=True)
@@ -27,16 +27,17 @@
     sock: socket.socket
 
     def set_timeout(self, timeout_ms: float) -> None:
-        """Bound each wait on the socket."""
-        self.sock.settimeout(timeout_ms / _MS)
+        """Set the timeout of each socket operation."""
+        self.sock.settimeout(timeout_ms / _MS_PER_S)
 
 
 @attrs.define(kw_only=True)
 class PeerClient:
-    """Calls daemons by address and keeps a few idle connections to each.
+    """Calls daemons by address and pools idle connections to each daemon.
 
-    A connection is used by one call at a time, and never again after a
-    failure: a late reply on it would answer the next call.
+    A connection carries one call at a time. The client closes a connection
+    after a failure, because the next call could otherwise read the late reply
+    to the failed call.
     """
 
     _idle: dict[str, list[_Connection]] = attrs.field(factory=dict)
@@ -48,28 +49,32 @@
         request: object,
         timeout_ms: float,
     ) -> Result[Any, Failure]:
-        """Make one call.
+        """Call a method of another daemon.
 
         Args:
-            address: the peer face of the other daemon, `ip:port`.
-            method: a call of `peer.thrift`.
-            request: its message.
-            timeout_ms: how long to wait for the reply.
+            address: peer RPC address of the other daemon, `ip:port`.
+            method: name of a method of the service in `peer.thrift`.
+            request: thrift message that the method takes.
+            timeout_ms: timeout of each socket operation.
 
         Returns:
-            The reply, or a failure that is `NOT_RUN` only when no connection
-            could be opened.
+            The reply, or a failure. The verdict of the failure is `NOT_RUN`
+            only if no connection was opened.
         """
         if timeout_ms <= 0:
-            return Bad(not_run(FailureCode.DEADLINE, 'no time left to call'))
+            return Bad(
+                not_run(
+                    FailureCode.DEADLINE, 'the deadline passed before the call'
+                )
+            )
         try:
-            connection = self._take(address, timeout_ms)
+            connection = self._acquire(address, timeout_ms)
         except OSError as error:
             return Bad(_unreachable(address, error))
         return self._exchange(connection, address, method, request)
 
-    def forget(self, address: str) -> None:
-        """Close the idle connections to one daemon."""
+    def close_idle(self, address: str) -> None:
+        """Close the idle connections to a daemon."""
         for connection in self._idle.pop(address, []):
             connection.transport.close()
 
@@ -84,20 +89,20 @@
             reply = getattr(connection.client, method)(request)
         except (TException, OSError) as error:
             connection.transport.close()
-            self.forget(address)
+            self.close_idle(address)
             return Bad(_no_reply(address, error))
-        self._keep(address, connection)
+        self._release(address, connection)
         return Success(reply)
 
-    def _take(self, address: str, timeout_ms: float) -> _Connection:
+    def _acquire(self, address: str, timeout_ms: float) -> _Connection:
         idle = self._idle.get(address)
         connection = idle.pop() if idle else _connect(address, timeout_ms)
         connection.set_timeout(timeout_ms)
         return connection
 
-    def _keep(self, address: str, connection: _Connection) -> None:
+    def _release(self, address: str, connection: _Connection) -> None:
         idle = self._idle.setdefault(address, [])
-        if len(idle) < _MAX_IDLE:
+        if len(idle) < _MAX_IDLE_CONNECTIONS:
             idle.append(connection)
         else:
             connection.transport.close()
@@ -107,7 +112,7 @@
     target = read_address(address)
     sock = socket.create_connection(
         (target.host, target.port),
-        timeout=timeout_ms / _MS,
+        timeout=timeout_ms / _MS_PER_S,
     )
     no_delay(sock)
     transport = TCyFramedTransport(TSocket(sock=sock))
@@ -125,5 +130,5 @@
 def _no_reply(address: str, error: Exception) -> Failure:
     return may_have_run(
         FailureCode.UNREACHABLE,
-        f'daemon {address} gave no reply: {error}',
+        f'daemon {address} sent no reply: {error}',
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_codec.py
@@ -1,4 +1,4 @@
-"""Between the typed messages of the decisions and those of the peer face."""
+"""Conversion between scatter messages and thrift messages."""
 
 import json
 from typing import Any
@@ -18,24 +18,26 @@
 from fennelfork_daemon.peer._idl import peer
 
 
-def order_to_peer(order: ScatterRequest) -> Any:
-    """Write a scatter order as its thrift message."""
+def order_to_peer(request: ScatterRequest) -> Any:
+    """Convert a scatter request to a thrift message."""
     return peer.ScatterRequest(
-        request_id=order.request_id,
-        front=order.front,
-        snapshot=order.snapshot,
-        sub_queries=[_sub_query(planned) for planned in order.planned],
-        query=order.query,
-        deadline_ms=int(order.deadline_ms),
-        tenant=order.tenant,
-        traffic_class=order.traffic_class,
-        config_version=order.config_version,
-        level=order.level,
+        request_id=request.request_id,
+        front=request.front,
+        snapshot=request.snapshot,
+        sub_queries=[
+            _sub_query_to_peer(planned) for planned in request.planned
+        ],
+        query=request.query,
+        deadline_ms=int(request.deadline_ms),
+        tenant=request.tenant,
+        traffic_class=request.traffic_class,
+        config_version=request.config_version,
+        level=request.level,
     )
 
 
 def order_from_peer(message: Any) -> ScatterRequest:
-    """Read a scatter order from its thrift message."""
+    """Convert a thrift message to a scatter request."""
     planned = tuple(
         PlannedSubQuery(
             shard=part.shard,
@@ -58,12 +60,12 @@
         tenant=message.tenant,
         traffic_class=message.traffic_class,
         config_version=message.config_version,
-        level=_level(message),
+        level=_admission_level(message),
     )
 
 
 def outcome_to_peer(outcome: ScatterOutcome) -> Any:
-    """Write what came of an order as its thrift message."""
+    """Convert the outcome of a scatter request to a thrift message."""
     return peer.ScatterReply(
         parts=[_part_to_peer(part) for part in outcome.parts],
         shards=views_to_peer(outcome.shards),
@@ -72,27 +74,34 @@
     )
 
 
-def outcome_from_peer(message: Any, order: ScatterRequest) -> ScatterOutcome:
-    """Read what came of `order`; parts that it did not ask for are left out."""
-    asked = {planned.expected.sub_query: planned for planned in order.planned}
+def outcome_from_peer(message: Any, request: ScatterRequest) -> ScatterOutcome:
+    """Convert a thrift message to the outcome of `request`.
+
+    Parts for sub-queries that are not in `request` are ignored.
+    """
+    planned_by_id = {
+        planned.expected.sub_query: planned for planned in request.planned
+    }
     return ScatterOutcome(
         parts=tuple(
-            _part_from_peer(part, asked[part.sub_query], order.request_id)
+            _part_from_peer(
+                part, planned_by_id[part.sub_query], request.request_id
+            )
             for part in message.parts
-            if part.sub_query in asked
+            if part.sub_query in planned_by_id
         ),
         shards=views_from_peer(message.shards),
         config_version=message.config_version,
-        level=_level(message),
+        level=_admission_level(message),
     )
 
 
-def _level(message: Any) -> float:
-    """Read a level; a daemon that sends none lets everything in."""
+def _admission_level(message: Any) -> float:
+    """Return the admission level; 1 (admit everything) if absent."""
     return message.level or 1
 
 
-def _sub_query(planned: PlannedSubQuery) -> Any:
+def _sub_query_to_peer(planned: PlannedSubQuery) -> Any:
     return peer.SubQuery(
         sub_query=planned.expected.sub_query,
         shard=planned.shard,
@@ -112,7 +121,7 @@
         hi=span.hi,
         snapshot=reply.snapshot if reply else expected.snapshot,
         count=reply.count if reply else 0,
-        records=_records_text(reply) if reply else '',
+        records=_records_json(reply) if reply else '',
         fault=fault_to_peer(part.failure) if part.failure else None,
         hedges=part.hedges,
         retries=part.retries,
@@ -151,5 +160,5 @@
     )
 
 
-def _records_text(reply: Reply) -> str:
+def _records_json(reply: Reply) -> str:
     return json.dumps([record.content for record in reply.records])
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_codec_fault.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_codec_fault.py
@@ -1,4 +1,4 @@
-"""Failures, to and from the messages of the peer face."""
+"""Conversion between failures and thrift messages."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 
 def fault_to_peer(failure: Failure) -> Any:
-    """Write a failure."""
+    """Convert a failure to a thrift message."""
     return peer.Fault(
         code=failure.code.value,
         verdict=failure.verdict.value,
@@ -17,7 +17,7 @@
 
 
 def fault_from_peer(message: Any) -> Failure:
-    """Read a failure."""
+    """Convert a thrift message to a failure."""
     return Failure(
         code=FailureCode(message.code),
         verdict=Verdict(message.verdict),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_codec_view.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_codec_view.py
@@ -1,4 +1,4 @@
-"""Views of shards, to and from the messages of the peer face."""
+"""Conversion between shard views and thrift messages."""
 
 from typing import Any
 
@@ -7,33 +7,37 @@
 
 
 def views_to_peer(views: tuple[ShardView, ...]) -> list[Any]:
-    """Write what shards hold."""
+    """Convert shard views to thrift messages."""
     return [
         peer.ShardView(
             shard=view.shard,
-            snapshots=[_snapshot_to_peer(held) for held in view.snapshots],
+            snapshots=[
+                _snapshot_to_peer(snapshot) for snapshot in view.snapshots
+            ],
         )
         for view in views
     ]
 
 
 def views_from_peer(messages: list[Any]) -> tuple[ShardView, ...]:
-    """Read what shards hold."""
+    """Convert thrift messages to shard views."""
     return tuple(
         ShardView(
             shard=view.shard,
             snapshots=tuple(
-                _snapshot_from_peer(held) for held in view.snapshots
+                _snapshot_from_peer(snapshot) for snapshot in view.snapshots
             ),
         )
         for view in messages
     )
 
 
-def _snapshot_to_peer(held: SnapshotView) -> Any:
+def _snapshot_to_peer(snapshot: SnapshotView) -> Any:
     return peer.ShardSnapshot(
-        version=held.version,
-        ranges=[peer.KeySpan(lo=span.lo, hi=span.hi) for span in held.ranges],
+        version=snapshot.version,
+        ranges=[
+            peer.KeySpan(lo=span.lo, hi=span.hi) for span in snapshot.ranges
+        ],
     )
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_idl.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_idl.py
@@ -1,4 +1,4 @@
-"""The typed messages and calls between daemons, from `peer.thrift`."""
+"""Python classes of the messages and the service in `peer.thrift`."""
 
 from importlib import resources
 
@@ -6,5 +6,5 @@
 
 _IDL = resources.files('fennelfork_daemon') / 'peer.thrift'
 
-# thriftpy2 builds the classes when it reads the file.
+# thriftpy2 generates the classes when it loads the file.
 peer = thriftpy2.load(str(_IDL), module_name='fennelfork_peer_thrift')
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_server.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_server.py
@@ -1,4 +1,4 @@
-"""The peer face: calls from other daemons over thrift."""
+"""Thrift server of the peer RPC."""
 
 import contextlib
 import socket
@@ -19,14 +19,14 @@
 
 @attrs.define(kw_only=True)
 class PeerServer:
-    """Serves peer calls on one listening socket, one green thread each."""
+    """Serves each connection of a listening socket in a green thread."""
 
     _listener: socket.socket
     _processor: TProcessor
     _pool: eventlet.GreenPool
 
     def serve(self) -> None:
-        """Accept connections until the listener is closed."""
+        """Accept connections until the listening socket is closed."""
         while True:
             try:
                 sock, _ = self._listener.accept()
@@ -36,28 +36,29 @@
             self._pool.spawn_n(self._serve_connection, sock)
 
     def close(self) -> None:
-        """Take no more connections; those open go on."""
+        """Stop accepting connections; open connections stay open."""
         self._listener.close()
 
     def _serve_connection(self, sock: socket.socket) -> None:
         transport = TCyFramedTransport(TSocket(sock=sock))
         protocol = TCyBinaryProtocol(transport)
         with contextlib.closing(transport):
-            # A peer that went away, or sent what is no call, is dropped.
+            # The peer closed the connection or sent an invalid message.
             with contextlib.suppress(TException, OSError):
                 self._serve_calls(protocol)
 
     def _serve_calls(self, protocol: TCyBinaryProtocol) -> None:
-        while True:  # noqa: WPS457  # ends when the peer closes: an exception
+        while True:  # noqa: WPS457  # ends with an exception
             self._processor.process(protocol, protocol)
 
 
 def peer_server(listener: socket.socket, handler: object) -> PeerServer:
-    """Build the peer face over an open listener.
+    """Build the peer RPC server on a listening socket.
 
     Args:
-        listener: the listening socket.
-        handler: has a method for each call of `peer.thrift`.
+        listener: listening socket.
+        handler: object with a method for each method of the service in
+            `peer.thrift`.
     """
     return PeerServer(
         listener=listener,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/settings/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/settings/__init__.py
@@ -1,1 +1,1 @@
-"""The settings file: read, checked, with all problems named."""
+"""Loading and validation of the settings file."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_descriptions.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_descriptions.py
@@ -1,4 +1,4 @@
-"""What a setting may be, in words."""
+"""Descriptions of the values that a setting allows, for messages."""
 
 import enum
 import functools
@@ -8,59 +8,59 @@
 
 from fennelfork_daemon._address import HIGHEST_PORT
 from fennelfork_daemon.settings._rules import (
-    TEXT_LENGTH,
+    MAX_TEXT_LENGTH,
     AddressRule,
     LabelRule,
     PrefixRule,
-    SpanRule,
-    rules_of,
+    RangeRule,
+    rules_of_type,
 )
 
 
-def allowed(wanted: Any) -> str:
-    """Say in words what a setting of type `wanted` may be."""
-    if rules_of(wanted):
-        return rule_text(rules_of(wanted)[0])
-    if attrs.has(wanted):
-        names = attrs.fields_dict(wanted)
+def describe_allowed(target_type: Any) -> str:
+    """Describe the values that a setting of type `target_type` allows."""
+    if rules_of_type(target_type):
+        return describe_rule(rules_of_type(target_type)[0])
+    if attrs.has(target_type):
+        names = attrs.fields_dict(target_type)
         return f'a table of {", ".join(names)}'
-    if get_origin(wanted) is tuple:
-        return f'a list of {allowed(get_args(wanted)[0])}'
-    return _choices(wanted)
+    if get_origin(target_type) is tuple:
+        return f'a list of {describe_allowed(get_args(target_type)[0])}'
+    return _describe_choices(target_type)
 
 
 @functools.singledispatch
-def rule_text(rule: Any) -> str:
-    """Say in words what a rule allows.
+def describe_rule(rule: Any) -> str:
+    """Describe the values that a rule allows.
 
     Raises:
-        NotImplementedError: if there is no such kind of rule.
+        NotImplementedError: if the type of the rule is unknown.
     """
     raise NotImplementedError(type(rule))
 
 
-@rule_text.register
-def _span_text(rule: SpanRule) -> str:
-    return f'a whole number of {rule.unit}, {rule.lowest} to {rule.highest}'
+@describe_rule.register
+def _describe_range(rule: RangeRule) -> str:
+    return f'a whole number of {rule.unit}, {rule.minimum} to {rule.maximum}'
 
 
-@rule_text.register
-def _address_text(rule: AddressRule) -> str:
-    return f'"ip:port" with a port of {rule.lowest_port} to {HIGHEST_PORT}'
+@describe_rule.register
+def _describe_address(rule: AddressRule) -> str:
+    return f'"ip:port" with a port of {rule.min_port} to {HIGHEST_PORT}'
 
 
-@rule_text.register
-def _label_text(rule: LabelRule) -> str:
+@describe_rule.register
+def _describe_label(rule: LabelRule) -> str:
     return (
-        f'1 to {TEXT_LENGTH} letters, digits, ".", "_" or "-", '
+        f'1 to {MAX_TEXT_LENGTH} letters, digits, ".", "_" or "-", '
         'with a letter or digit at both ends'
     )
 
 
-@rule_text.register
-def _prefix_text(rule: PrefixRule) -> str:
-    return f'1 to {TEXT_LENGTH} characters that begin with "{rule.start}"'
+@describe_rule.register
+def _describe_prefix(rule: PrefixRule) -> str:
+    return f'1 to {MAX_TEXT_LENGTH} characters that begin with "{rule.prefix}"'
 
 
-def _choices(wanted: type[enum.Enum]) -> str:
-    return ' or '.join(f'"{member.value}"' for member in wanted)
+def _describe_choices(target_type: type[enum.Enum]) -> str:
+    return ' or '.join(f'"{member.value}"' for member in target_type)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_problems.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a settings file, one message a value."""
+"""Problems of a settings file, with one message for each value."""
 
 import difflib
 from collections.abc import Iterator
@@ -13,19 +13,19 @@
     IterableValidationNote,
 )
 
-from fennelfork_daemon.settings._descriptions import allowed
+from fennelfork_daemon.settings._descriptions import describe_allowed
 
-_LIKENESS: Final = 0.6
+_MIN_SIMILARITY: Final = 0.6
 
 
 @attrs.frozen(kw_only=True)
 class SettingProblem:
-    """One wrong, unknown or missing setting.
+    """Invalid, unknown or missing setting.
 
     Attributes:
-        path: its place in the file, such as `timeouts.idle_ms`.
-        message: what is wrong with it.
-        allowed: what may stand there.
+        path: location of the setting in the file, such as `timeouts.idle_ms`.
+        message: description of the problem.
+        allowed: description of the values that are allowed.
     """
 
     path: str
@@ -33,74 +33,78 @@
     allowed: str
 
     def __str__(self) -> str:
-        """Give one line for a person."""
+        """Return the problem as one line of text."""
         return f'{self.path}: {self.message}; allowed: {self.allowed}'
 
 
 def setting_problems(
     err: Exception,
-    wanted: Any,
+    target_type: Any,
     path: str = '',
 ) -> tuple[SettingProblem, ...]:
-    """Turn what cattrs raised into messages.
+    """Convert an exception of cattrs to messages.
 
     Args:
-        err: the exception of a conversion.
-        wanted: the type that was asked for.
-        path: where in the document the conversion began.
+        err: exception that a conversion raised.
+        wanted: type that the conversion should return.
+        path: location in the document at which the conversion started.
 
     Returns:
-        Every problem, in the order of the classes' fields.
+        All problems, in the order of the fields of the classes.
     """
-    return tuple(_walk(err, wanted, path))
+    return tuple(_walk(err, target_type, path))
 
 
-def _walk(err: Exception, wanted: Any, path: str) -> Iterator[SettingProblem]:
+def _walk(
+    err: Exception, target_type: Any, path: str
+) -> Iterator[SettingProblem]:
     if isinstance(err, ClassValidationError | IterableValidationError):
-        yield from _walk_group(err, wanted, path)
+        yield from _walk_group(err, target_type, path)
     elif isinstance(err, ForbiddenExtraKeysError):
         for key in sorted(err.extra_fields):
-            yield _unknown(key, err.cl, path)
+            yield _unknown_key(key, err.cl, path)
     elif isinstance(err, KeyError):
-        yield _problem(path, 'is missing', wanted)
+        yield _problem(path, 'is missing', target_type)
     else:
-        yield _problem(path, str(err), wanted)
+        yield _problem(path, str(err), target_type)
 
 
 def _walk_group(
     group: ClassValidationError | IterableValidationError,
-    wanted: Any,
+    target_type: Any,
     path: str,
 ) -> Iterator[SettingProblem]:
     named, others = group.group_exceptions()
     for member, note in named:
-        yield from _walk(member, note.type, _join(path, note))
+        yield from _walk(member, note.type, _join_note(path, note))
     for other in others:
-        yield from _walk(other, wanted, path)
+        yield from _walk(other, target_type, path)
 
 
-def _join(
+def _join_note(
     path: str, note: AttributeValidationNote | IterableValidationNote
 ) -> str:
     if isinstance(note, IterableValidationNote):
         return f'{path}[{note.index}]'
-    return _under(path, note.name)
+    return _join_name(path, note.name)
 
 
-def _under(path: str, name: str) -> str:
+def _join_name(path: str, name: str) -> str:
     return f'{path}.{name}' if path else name
 
 
-def _problem(path: str, message: str, wanted: Any) -> SettingProblem:
-    return SettingProblem(path=path, message=message, allowed=allowed(wanted))
+def _problem(path: str, message: str, target_type: Any) -> SettingProblem:
+    return SettingProblem(
+        path=path, message=message, allowed=describe_allowed(target_type)
+    )
 
 
-def _unknown(key: str, table: type, path: str) -> SettingProblem:
+def _unknown_key(key: str, table: type, path: str) -> SettingProblem:
     known = list(attrs.fields_dict(table))
-    near = difflib.get_close_matches(key, known, n=1, cutoff=_LIKENESS)
-    hint = f' (did you mean {near[0]}?)' if near else ''
+    matches = difflib.get_close_matches(key, known, n=1, cutoff=_MIN_SIMILARITY)
+    hint = f' (did you mean {matches[0]}?)' if matches else ''
     return SettingProblem(
-        path=_under(path, key),
+        path=_join_name(path, key),
         message=f'is unknown{hint}',
         allowed=', '.join(known),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_rules.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_rules.py
@@ -1,4 +1,4 @@
-"""Rules that single settings are checked against."""
+"""Validation rules for single settings."""
 
 import functools
 from typing import Any, Final
@@ -7,110 +7,116 @@
 
 from fennelfork_daemon._address import Address, address
 
-TEXT_LENGTH: Final = 64
-_INNER_SIGNS: Final = '._-'
+MAX_TEXT_LENGTH: Final = 64
+_INNER_PUNCTUATION: Final = '._-'
 
 
 @attrs.frozen(kw_only=True)
-class SpanRule:
-    """A whole number between two bounds, both allowed.
+class RangeRule:
+    """Range of whole numbers that includes both bounds.
 
     Attributes:
-        lowest: the smallest value.
-        highest: the largest value.
-        unit: what is counted, for messages.
+        minimum: smallest value that is allowed.
+        maximum: largest value that is allowed.
+        unit: unit of the value, for error messages.
     """
 
-    lowest: int
-    highest: int
+    minimum: int
+    maximum: int
     unit: str
 
 
 @attrs.frozen(kw_only=True)
 class AddressRule:
-    """An IP number and a port of at least `lowest_port`."""
+    """IP address with a port number of at least `min_port`."""
 
-    lowest_port: int
+    min_port: int
 
 
 @attrs.frozen(kw_only=True)
 class LabelRule:
-    """A short name that is safe in addresses, logs and metrics."""
+    """Short name that is safe to use in addresses, logs and metrics."""
 
 
 @attrs.frozen(kw_only=True)
 class PrefixRule:
-    """A text that begins with `start`."""
+    """String that begins with `prefix`."""
 
-    start: str
+    prefix: str
 
 
 class SettingError(ValueError):
-    """A value that its rule does not allow."""
+    """Value that violates the rule of the setting."""
 
 
 @functools.singledispatch
-def checked(rule: Any, found: Any) -> Any:
-    """Check a value that was read from a file.
+def check_value(rule: Any, raw: Any) -> Any:
+    """Validate a value that was read from a settings file.
 
     Args:
-        rule: what the value has to meet.
-        found: the value as TOML gave it.
+        rule: rule that the value must satisfy.
+        raw: value as returned by the TOML parser.
 
     Returns:
-        The value in the type that the program works with.
+        The value, converted to the type of the setting.
 
     Raises:
-        SettingError: if the rule does not allow the value.
-        NotImplementedError: if there is no such kind of rule.
+        SettingError: if the value violates the rule.
+        NotImplementedError: if the type of the rule is unknown.
     """
     raise NotImplementedError(type(rule))
 
 
-@checked.register
-def _checked_span(rule: SpanRule, found: Any) -> int:
-    if isinstance(found, bool) or not isinstance(found, int):
-        raise SettingError(f'{found!r} is not a whole number of {rule.unit}')
-    if not rule.lowest <= found <= rule.highest:
-        raise SettingError(f'{found} is out of range')
-    return found
-
-
-@checked.register
-def _checked_address(rule: AddressRule, found: Any) -> Address:
-    read = address(_text(found))
-    if read.port < rule.lowest_port:
-        raise SettingError(f'port {read.port} is not allowed')
-    return read
-
-
-@checked.register
-def _checked_label(rule: LabelRule, found: Any) -> str:
-    text = _text(found)
-    if text.strip(_INNER_SIGNS) != text:
-        raise SettingError(f'{text!r} begins or ends with a sign')
-    plain = ''.join(sign for sign in text if sign not in _INNER_SIGNS)
-    if not (plain.isascii() and plain.isalnum()):
-        raise SettingError(f'{text!r} has signs that are not allowed')
+@check_value.register
+def _check_range(rule: RangeRule, raw: Any) -> int:
+    if isinstance(raw, bool) or not isinstance(raw, int):
+        raise SettingError(f'{raw!r} is not a whole number of {rule.unit}')
+    if not rule.minimum <= raw <= rule.maximum:
+        raise SettingError(f'{raw} is out of range')
+    return raw
+
+
+@check_value.register
+def _check_address(rule: AddressRule, raw: Any) -> Address:
+    parsed = address(_check_text(raw))
+    if parsed.port < rule.min_port:
+        raise SettingError(f'port {parsed.port} is not allowed')
+    return parsed
+
+
+@check_value.register
+def _check_label(rule: LabelRule, raw: Any) -> str:
+    text = _check_text(raw)
+    if text.strip(_INNER_PUNCTUATION) != text:
+        raise SettingError(
+            f'{text!r} does not begin and end with a letter or digit'
+        )
+    alphanumerics = ''.join(
+        character for character in text if character not in _INNER_PUNCTUATION
+    )
+    if not (alphanumerics.isascii() and alphanumerics.isalnum()):
+        raise SettingError(f'{text!r} contains characters that are not allowed')
     return text
 
 
-@checked.register
-def _checked_prefix(rule: PrefixRule, found: Any) -> str:
-    text = _text(found)
-    if not text.startswith(rule.start):
-        raise SettingError(f'{text!r} does not begin with {rule.start!r}')
+@check_value.register
+def _check_prefix(rule: PrefixRule, raw: Any) -> str:
+    text = _check_text(raw)
+    if not text.startswith(rule.prefix):
+        raise SettingError(f'{text!r} does not begin with {rule.prefix!r}')
     return text
 
 
-def _text(found: Any) -> str:
-    if not isinstance(found, str):
-        raise SettingError(f'{found!r} is not a text')
-    if not 1 <= len(found) <= TEXT_LENGTH:
-        raise SettingError(f'a text of {len(found)} characters')
-    return found
+def _check_text(raw: Any) -> str:
+    if not isinstance(raw, str):
+        raise SettingError(f'{raw!r} is not a string')
+    if not 1 <= len(raw) <= MAX_TEXT_LENGTH:
+        raise SettingError(
+            f'a string of {len(raw)} characters is empty or too long'
+        )
+    return raw
 
 
-def rules_of(wanted: Any) -> tuple[Any, ...]:
-    """Give the rules that an annotated type carries."""
-    return getattr(wanted, '__metadata__', ())
+def rules_of_type(target_type: Any) -> tuple[Any, ...]:
+    """Return the rules in the metadata of an annotated type."""
+    return getattr(target_type, '__metadata__', ())
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_settings.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_settings.py
@@ -1,4 +1,4 @@
-"""Reading of a daemon's settings file."""
+"""Loading and validation of the settings file of a daemon."""
 
 import pathlib
 import tomllib
@@ -20,66 +20,66 @@
 def load_settings(
     path: pathlib.Path,
 ) -> Result[Settings, tuple[SettingProblem, ...]]:
-    """Read and check the settings file at `path`.
+    """Read and validate the settings file at `path`.
 
     Returns:
-        The settings, or everything that is wrong with the file at once.
+        The settings, or all problems of the file.
     """
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as err:
-        return _file_problem(path, f'cannot be read: {err}')
+        return _file_failure(path, f'cannot be read: {err}')
     try:
         document = tomllib.loads(text)
     except tomllib.TOMLDecodeError as err:
-        return _file_problem(path, f'is not TOML: {err}')
+        return _file_failure(path, f'is not TOML: {err}')
     return read_settings(document)
 
 
 def read_settings(
     document: dict[str, Any],
 ) -> Result[Settings, tuple[SettingProblem, ...]]:
-    """Check a parsed settings document.
+    """Validate a parsed settings document.
 
     Returns:
-        The settings, or each unknown, missing or wrong value.
+        The settings, or a problem for each unknown, missing or invalid value.
     """
     tables: dict[str, Any] = dict.fromkeys(_REQUIRED_TABLES, {}) | document
     try:
         settings = settings_converter().structure(tables, Settings)
     except Exception as err:
         return Failure(setting_problems(err, Settings))
-    found = _across(settings)
-    return Failure(found) if found else Success(settings)
+    problems = _cross_check(settings)
+    return Failure(problems) if problems else Success(settings)
 
 
-def _across(settings: Settings) -> tuple[SettingProblem, ...]:
-    """Check what depends on more than one setting."""
-    found = []
+def _cross_check(settings: Settings) -> tuple[SettingProblem, ...]:
+    """Validate the constraints between several settings."""
+    problems = []
     timeouts = settings.timeouts
     if timeouts.stop_ms < timeouts.entry_ttl_ms:
-        found.append(
+        problems.append(
             SettingProblem(
                 path='timeouts.stop_ms',
                 message=f'{timeouts.stop_ms} is shorter than entry_ttl_ms',
                 allowed=f'at least {timeouts.entry_ttl_ms}, so that callers '
-                'stop coming before the daemon stops listening',
+                'stop sending requests before the daemon stops listening',
             ),
         )
-    faces = attrs.astuple(settings.listen, recurse=False)
-    fixed = [face for face in faces if face.port]
-    if len(set(fixed)) < len(fixed):
-        found.append(
+    addresses = attrs.astuple(settings.listen, recurse=False)
+    fixed_addresses = [address for address in addresses if address.port]
+    if len(set(fixed_addresses)) < len(fixed_addresses):
+        problems.append(
             SettingProblem(
                 path='listen',
-                message='two faces have the same address',
+                message='two interfaces have the same address',
                 allowed='one address for each of caller, operator and peer',
             ),
         )
-    return tuple(found)
+    return tuple(problems)
 
 
-def _file_problem(
+def _file_failure(
     path: pathlib.Path,
     message: str,
 ) -> Result[Settings, tuple[SettingProblem, ...]]:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_tables.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_tables.py
@@ -1,4 +1,4 @@
-"""The tables of a settings file, with their rules and defaults."""
+"""Tables of a settings file, with validation rules and defaults."""
 
 import enum
 from typing import Annotated, Final
@@ -11,36 +11,36 @@
     AddressRule,
     LabelRule,
     PrefixRule,
-    SpanRule,
+    RangeRule,
 )
 
 _KIB: Final = 1024
 _MIB: Final = 1_048_576
-_MOST_BYTES: Final = 67_108_864
-_MOST_MS: Final = 600_000
-_MOST_ITEMS: Final = 100_000
+_MAX_BYTES: Final = 67_108_864
+_MAX_MS: Final = 600_000
+_MAX_ITEMS: Final = 100_000
 
 _Label = Annotated[str, LabelRule()]
-_KeyPrefix = Annotated[str, PrefixRule(start='/')]
-_ListenAddress = Annotated[Address, AddressRule(lowest_port=0)]
-_RemoteAddress = Annotated[Address, AddressRule(lowest_port=1)]
+_KeyPrefix = Annotated[str, PrefixRule(prefix='/')]
+_ListenAddress = Annotated[Address, AddressRule(min_port=0)]
+_RemoteAddress = Annotated[Address, AddressRule(min_port=1)]
 _Ms = Annotated[
     int,
-    SpanRule(lowest=1, highest=_MOST_MS, unit='milliseconds'),
+    RangeRule(minimum=1, maximum=_MAX_MS, unit='milliseconds'),
 ]
 _Bytes = Annotated[
     int,
-    SpanRule(lowest=_KIB, highest=_MOST_BYTES, unit='bytes'),
+    RangeRule(minimum=_KIB, maximum=_MAX_BYTES, unit='bytes'),
 ]
 _Count = Annotated[
     int,
-    SpanRule(lowest=1, highest=_MOST_ITEMS, unit='items'),
+    RangeRule(minimum=1, maximum=_MAX_ITEMS, unit='items'),
 ]
 
 
 @enum.unique
 class LogFormat(enum.Enum):
-    """How a line of the log is written."""
+    """Format of a log line."""
 
     JSON = 'json'
     CONSOLE = 'console'
@@ -48,7 +48,7 @@
 
 @enum.unique
 class LogLevel(enum.Enum):
-    """The least severity that is written."""
+    """Minimum severity of the log lines that are written."""
 
     DEBUG = 'debug'
     INFO = 'info'
@@ -58,7 +58,7 @@
 
 @attrs.frozen(kw_only=True)
 class DaemonSettings:
-    """Who this daemon is and where its VM stands."""
+    """Identity of this daemon and location of its VM."""
 
     name: _Label
     region: _Label
@@ -67,7 +67,10 @@
 
 @attrs.frozen(kw_only=True)
 class ListenSettings:
-    """Where the three faces listen; port 0 lets the system choose."""
+    """Listening addresses of the caller API, the operator API and the peer RPC.
+
+    With port 0 the operating system chooses a free port.
+    """
 
     caller: _ListenAddress
     operator: _ListenAddress
@@ -76,7 +79,7 @@
 
 @attrs.frozen(kw_only=True)
 class PlatformSettings:
-    """Where the platform's services are."""
+    """Addresses of the platform's services."""
 
     key_value: tuple[_RemoteAddress, ...]
     vm_list: _RemoteAddress
@@ -85,16 +88,19 @@
 
 @attrs.frozen(kw_only=True)
 class LimitSettings:
-    """What bounds the memory of a daemon.
+    """Limits that bound the memory of a daemon.
 
     Attributes:
-        body_bytes: the largest request body of a caller or operator.
-        header_bytes: all headers of one request together.
-        reply_bytes: the largest reply of a backend server.
-        connections: open connections of each HTTP face.
-        queue: sub-queries that wait for one shard.
-        explain_entries: finished requests kept for `explain`.
-        label_values: tenants, and classes, with metrics of their own.
+        body_bytes: maximum size of a request body of a caller or operator.
+        header_bytes: maximum total size of the headers of one request.
+        reply_bytes: maximum size of the response of a backend server.
+        connections: maximum number of open connections of the caller API,
+            and of the operator API.
+        queue: maximum number of sub-queries that wait for one shard.
+        explain_entries: number of finished requests that are kept for
+            `explain`.
+        label_values: maximum number of tenants, and of traffic classes, that
+            have separate metrics.
     """
 
     body_bytes: _Bytes = _MIB
@@ -108,18 +114,20 @@
 
 @attrs.frozen(kw_only=True)
 class TimeoutSettings:
-    """How long a daemon waits, in milliseconds.
+    """Timeouts of a daemon, in milliseconds.
 
     Attributes:
-        longest_deadline_ms: the longest deadline that a caller may ask for.
-        request_read_ms: to receive one whole request, or to hand over an
-            answer.
-        idle_ms: an unused connection of a caller is closed after this.
-        connect_ms: to open a connection to a daemon or the platform.
-        platform_ms: one call of the platform.
-        peer_ms: one call between daemons that carries no deadline.
-        entry_ttl_ms: how long callers may keep an answer on entries.
-        stop_ms: a graceful stop at most; at least `entry_ttl_ms`.
+        longest_deadline_ms: maximum deadline that a caller may request.
+        request_read_ms: timeout for receiving one complete request, and for
+            sending an answer.
+        idle_ms: idle time after which a connection of a caller is closed.
+        connect_ms: timeout for opening a connection to a daemon or the
+            platform.
+        platform_ms: timeout of one request to the platform.
+        peer_ms: timeout of one call between daemons that has no deadline.
+        entry_ttl_ms: time for which callers may cache the list of entries.
+        stop_ms: maximum duration of a graceful stop; at least
+            `entry_ttl_ms`.
     """
 
     longest_deadline_ms: _Ms = 60_000
@@ -134,7 +142,7 @@
 
 @attrs.frozen(kw_only=True)
 class LogSettings:
-    """What is logged and how."""
+    """Format and minimum severity of the log."""
 
     format: LogFormat = LogFormat.JSON
     level: LogLevel = LogLevel.INFO
@@ -142,14 +150,14 @@
 
 @attrs.frozen(kw_only=True)
 class RoutingSettings:
-    """How sub-queries reach the backend servers."""
+    """Routing of sub-queries to the backend servers."""
 
     mode: RoutingMode = RoutingMode.HOME
 
 
 @attrs.frozen(kw_only=True)
 class Settings:
-    """All settings of one daemon."""
+    """Settings of one daemon."""
 
     daemon: DaemonSettings
     listen: ListenSettings
--- a/packages/fennelfork-daemon/tests/daemon_builders_config.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_config.py
@@ -1,4 +1,4 @@
-"""A scripted key-value service and clients of it."""
+"""Scripted key-value service and clients of the service."""
 
 import base64
 import contextlib
@@ -27,14 +27,18 @@
     TimeoutSettings,
 )
 
-CUT: Final = 'cut'
-SILENT: Final = 'silent'
-_SILENCE_S = 1
+CLOSE_CONNECTION: Final = 'cut'
+NO_RESPONSE: Final = 'silent'
+_NO_RESPONSE_S = 1
 
 
 @attrs.frozen(kw_only=True)
-class Scripted:
-    """One answer; `CUT` closes the connection, `SILENT` keeps it waiting."""
+class ScriptedResponse:
+    """Response of the scripted platform.
+
+    A script may also contain `CLOSE_CONNECTION`, which closes the connection,
+    and `NO_RESPONSE`, which delays closing the connection.
+    """
 
     body: Any
     status: int = 200
@@ -42,27 +46,27 @@
 
 @attrs.define(kw_only=True)
 class ScriptedPlatform:
-    """Answers calls in the order of its script, then cuts each.
+    """Sends scripted responses in order, then closes each connection.
 
     Attributes:
-        address: where it listens.
-        script: the answers that are left.
-        paths: the calls that came.
+        address: listening address of the platform.
+        script: responses that are not yet sent.
+        paths: URL paths of the requests that were received.
     """
 
     address: str = ''
     script: list[Any]
     paths: list[str] = attrs.field(factory=list)
 
-    def take(self, path: str) -> Any:
-        """Note a call and give its answer."""
+    def next_response(self, path: str) -> Any:
+        """Record a request and return the next scripted response."""
         self.paths.append(path)
-        return self.script.pop(0) if self.script else CUT
+        return self.script.pop(0) if self.script else CLOSE_CONNECTION
 
 
 @contextlib.contextmanager
 def scripted_platform(*script: Any) -> Iterator[ScriptedPlatform]:
-    """Serve a script on loopback."""
+    """Run a platform that serves a script on a loopback address."""
     platform = ScriptedPlatform(script=list(script))
     handler = type('_Handler', (_ScriptHandler,), {'platform': platform})
     server = ThreadingHTTPServer(('127.0.0.1', 0), handler)
@@ -77,26 +81,26 @@
 
 
 def unused_address() -> str:
-    """Give a loopback address that nobody listens on."""
+    """Return a loopback address without a listener."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
         return f'127.0.0.1:{listener.getsockname()[1]}'
 
 
-def shown_document(stored: StoredDocument) -> Scripted:
-    """Script the answer to a read."""
+def read_response(stored: StoredDocument) -> ScriptedResponse:
+    """Build the response to a read."""
     encoded = base64.b64encode(str(stored.raw).encode()).decode()
     entry = {'value': encoded, 'mod_revision': str(stored.revision)}
-    return Scripted(body={'header': {}, 'kvs': [entry], 'count': '1'})
+    return ScriptedResponse(body={'header': {}, 'kvs': [entry], 'count': '1'})
 
 
-def swapped(*, succeeded: bool) -> Scripted:
-    """Script the answer to a compare-and-swap."""
+def write_response(*, succeeded: bool) -> ScriptedResponse:
+    """Build the response to a conditional write."""
     body = {'header': {'revision': '9'}, 'succeeded': succeeded}
-    return Scripted(body=body)
+    return ScriptedResponse(body=body)
 
 
 def key_value_settings(*endpoints: str) -> Settings:
-    """Build settings that name these endpoints, with short timeouts."""
+    """Build settings with the given endpoints and short timeouts."""
     return Settings(
         daemon=DaemonSettings(name='vm', region='r', data_centre='dc'),
         listen=ListenSettings(
@@ -112,25 +116,25 @@
     )
 
 
-def key_value_calls(
+def key_value_client(
     *endpoints: str,
     budget: TokenBucket | None = None,
     costs: list[ControlCost] | None = None,
 ) -> KeyValueHttp:
-    """Build the calls of a daemon to these endpoints."""
+    """Build a client of the given endpoints."""
     clock = system_clock()
-    plenty = token_bucket(clock, per_second=1000, burst=1000)
+    ample_budget = token_bucket(clock, per_second=1000, burst=1000)
     count_cost = [] if costs is None else costs
     return key_value_http(
         key_value_settings(*endpoints),
-        budget or plenty,
+        budget or ample_budget,
         count_cost.append,
     )
 
 
-def scripted_key(platform: ScriptedPlatform) -> ConfigKey:
-    """Build the access to the configuration key of a scripted platform."""
-    return ConfigKey(key='/config', http=key_value_calls(platform.address))
+def build_config_key(platform: ScriptedPlatform) -> ConfigKey:
+    """Build a client of the configuration key of a scripted platform."""
+    return ConfigKey(key='/config', http=key_value_client(platform.address))
 
 
 class _ScriptHandler(BaseHTTPRequestHandler):
@@ -138,23 +142,23 @@
     platform: ScriptedPlatform
 
     def do_POST(self) -> None:
-        """Answer from the script."""
+        """Send the next scripted response."""
         self.rfile.read(int(self.headers['Content-Length']))
-        scripted = self.platform.take(self.path)
-        if scripted == SILENT:
-            threading.Event().wait(_SILENCE_S)
-        if isinstance(scripted, Scripted):
-            self._answer(scripted)
+        response = self.platform.next_response(self.path)
+        if response == NO_RESPONSE:
+            threading.Event().wait(_NO_RESPONSE_S)
+        if isinstance(response, ScriptedResponse):
+            self._answer(response)
         else:
             self.close_connection = True
 
     def log_message(self, *args: Any) -> None:
-        """Keep the tests' output clean."""
+        """Discard access log lines."""
 
-    def _answer(self, scripted: Scripted) -> None:
-        body = scripted.body
+    def _answer(self, response: ScriptedResponse) -> None:
+        body = response.body
         raw = body if isinstance(body, bytes) else json.dumps(body).encode()
-        self.send_response(scripted.status)
+        self.send_response(response.status)
         self.send_header('Content-Length', str(len(raw)))
         self.end_headers()
         self.wfile.write(raw)
--- a/packages/fennelfork-daemon/tests/daemon_builders_fleet.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_fleet.py
@@ -1,4 +1,4 @@
-"""Builders of members and fakes for the tests of the daemon's fleet part."""
+"""Builders of members, settings and HTTP servers for membership tests."""
 
 import threading
 from collections.abc import Iterator
@@ -12,8 +12,8 @@
 from fennelfork_daemon.settings._tables import Settings
 
 
-def a_member(name: str = 'vm-1', peer: str = '127.0.0.1:1') -> Member:
-    """Build a member with all fields set."""
+def build_member(name: str = 'vm-1', peer: str = '127.0.0.1:1') -> Member:
+    """Build a member with values for all fields."""
     return Member(
         name=name,
         incarnation=1024,
@@ -28,16 +28,20 @@
     )
 
 
-def settings_of(vm_list: str) -> Settings:
-    """Build settings with this address of the VM list."""
+def build_settings(vm_list: str) -> Settings:
+    """Build settings with the given address of the VM list."""
     document = settings_document()
     document['platform']['vm_list'] = vm_list
     return read_settings(document).unwrap()
 
 
 @contextmanager
-def answering(status: int, body: bytes) -> Iterator[str]:
-    """Answer each GET with one reply, and give the address."""
+def serve_response(status: int, body: bytes) -> Iterator[str]:
+    """Run a server that sends the same response to each GET.
+
+    Yields:
+        Address of the server.
+    """
     handler = type(
         '_Handler',
         (_Handler,),
@@ -58,11 +62,11 @@
     reply_body = b''
 
     def do_GET(self) -> None:
-        """Give the reply."""
+        """Send the response."""
         self.send_response(self.reply_status)
         self.send_header('Content-Length', str(len(self.reply_body)))
         self.end_headers()
         self.wfile.write(self.reply_body)
 
     def log_message(self, *_: object) -> None:
-        """Keep quiet."""
+        """Discard access log lines."""
--- a/packages/fennelfork-daemon/tests/test_config_codec.py
+++ b/packages/fennelfork-daemon/tests/test_config_codec.py
@@ -1,4 +1,4 @@
-"""The configuration document between daemons."""
+"""Tests of the compression of configuration documents."""
 
 import zlib
 
@@ -9,10 +9,10 @@
 
 
 class TestUnpack:
-    """What a peer sent."""
+    """Decompression of documents that a peer sent."""
 
-    def test_gives_back_what_was_packed(self) -> None:
-        """A document comes out as it went in, and smaller on the way."""
+    def test_round_trip_keeps_document(self) -> None:
+        """Guards against a changed document and against missing compression."""
         raw = '{"version":1}' * 1000
         packed = pack_document(raw)
         assert unpack_document(packed).unwrap() == raw
@@ -28,7 +28,7 @@
             zlib.compress(bytes(5_000_000)),
         ],
     )
-    def test_refuses_what_is_broken_or_too_long(self, packed: bytes) -> None:
-        """Nothing that a peer sends raises or fills the memory."""
+    def test_rejects_invalid_or_oversized_document(self, packed: bytes) -> None:
+        """Guards against exceptions and unbounded memory use by peer data."""
         failure = unpack_document(packed).failure()
         assert failure.code is FailureCode.BAD_REPLY
--- a/packages/fennelfork-daemon/tests/test_config_patcher.py
+++ b/packages/fennelfork-daemon/tests/test_config_patcher.py
@@ -1,4 +1,4 @@
-"""Patches on their way to a platform that loses replies."""
+"""Tests of patches that are written to a platform that loses responses."""
 
 import random
 from typing import Any
@@ -6,19 +6,19 @@
 import attrs
 import pytest
 from daemon_builders_config import (
-    CUT,
-    Scripted,
+    CLOSE_CONNECTION,
     ScriptedPlatform,
-    scripted_key,
+    ScriptedResponse,
+    build_config_key,
+    read_response,
     scripted_platform,
-    shown_document,
-    swapped,
+    write_response,
 )
 
 from fennelfork import Verdict, blackboard, system_clock
 from fennelfork.config import PatchRequest, StoredDocument
 from fennelfork.membership import Member, MemberStatus
-from fennelfork_daemon.config._activator import config_holder
+from fennelfork_daemon.config._activator import config_activator
 from fennelfork_daemon.config._patcher import ConfigPatcher
 
 _REQUEST = PatchRequest(
@@ -27,11 +27,11 @@
     author='ana',
     patch={'tenants': {'salvare': {'weight': 3}}},
 )
-_BASE = shown_document(StoredDocument(raw='{"version":1}', revision=5))
+_BASE_RESPONSE = read_response(StoredDocument(raw='{"version":1}', revision=5))
 _RECORD = '"version":2,"author":"ana","at_ms":1,"paths":[]'
-_MINE = f'{{"version":2,"patches":[{{"id":"mine",{_RECORD}}}]}}'
-_OTHERS = f'{{"version":2,"patches":[{{"id":"other",{_RECORD}}}]}}'
-_SHED = Scripted(body={}, status=429)
+_OWN_PATCH = f'{{"version":2,"patches":[{{"id":"mine",{_RECORD}}}]}}'
+_OTHER_PATCH = f'{{"version":2,"patches":[{{"id":"other",{_RECORD}}}]}}'
+_SHED_RESPONSE = ScriptedResponse(body={}, status=429)
 
 
 def _patcher(
@@ -52,68 +52,103 @@
     )
     return ConfigPatcher(
         board=board,
-        holder=config_holder(board, system_clock()),
-        key=scripted_key(platform),
+        activator=config_activator(board, system_clock()),
+        key=build_config_key(platform),
         clock=system_clock(),
-        civil=system_clock(),
+        wall_clock=system_clock(),
         jitter=random.Random(1),
-        ask_fleet=lambda: fleet_version,
+        query_fleet_version=lambda: fleet_version,
     )
 
 
-def _shown(raw: str) -> Scripted:
-    return shown_document(StoredDocument(raw=raw, revision=9))
+def _stored_response(raw: str) -> ScriptedResponse:
+    return read_response(StoredDocument(raw=raw, revision=9))
 
 
-class TestAccepted:
-    """Patches that came into force."""
+class TestAcceptedPatches:
+    """Patches that the platform stored."""
 
     @pytest.mark.parametrize(
         'script',
         [
-            (_BASE, swapped(succeeded=True)),
-            (CUT, _SHED, _BASE, swapped(succeeded=True)),
-            (_BASE, CUT, _shown(_MINE)),
-            (_BASE, CUT, CUT, _BASE, swapped(succeeded=True)),
-            (_BASE, CUT, _BASE, swapped(succeeded=False), _shown(_MINE)),
+            (_BASE_RESPONSE, write_response(succeeded=True)),
+            (
+                CLOSE_CONNECTION,
+                _SHED_RESPONSE,
+                _BASE_RESPONSE,
+                write_response(succeeded=True),
+            ),
+            (_BASE_RESPONSE, CLOSE_CONNECTION, _stored_response(_OWN_PATCH)),
+            (
+                _BASE_RESPONSE,
+                CLOSE_CONNECTION,
+                CLOSE_CONNECTION,
+                _BASE_RESPONSE,
+                write_response(succeeded=True),
+            ),
+            (
+                _BASE_RESPONSE,
+                CLOSE_CONNECTION,
+                _BASE_RESPONSE,
+                write_response(succeeded=False),
+                _stored_response(_OWN_PATCH),
+            ),
         ],
     )
-    def test_settles_by_reading_back(self, script: tuple[Any, ...]) -> None:
-        """Whatever reply is lost, the patch is found or sent again."""
+    def test_lost_response_is_resolved_by_read(
+        self, script: tuple[Any, ...]
+    ) -> None:
+        """After a lost response the patcher reads the document and retries."""
         with scripted_platform(*script) as platform:
             accepted = _patcher(platform).patch(_REQUEST).unwrap()
         assert accepted.record.version == 2
         assert not platform.script
 
 
-class TestRefused:
-    """Patches that did not come into force, as far as is known."""
+class TestRefusedPatches:
+    """Patches that failed or whose outcome is unknown."""
 
     @pytest.mark.parametrize(
         ('script', 'verdict'),
         [
             ((), Verdict.NOT_RUN),
-            ((_BASE, _SHED), Verdict.NOT_RUN),
-            ((_BASE, CUT), Verdict.MAY_HAVE_RUN),
-            ((_BASE, CUT, _shown(_OTHERS)), Verdict.NOT_RUN),
-            ((_BASE, swapped(succeeded=False), CUT), Verdict.NOT_RUN),
+            ((_BASE_RESPONSE, _SHED_RESPONSE), Verdict.NOT_RUN),
+            ((_BASE_RESPONSE, CLOSE_CONNECTION), Verdict.MAY_HAVE_RUN),
+            (
+                (
+                    _BASE_RESPONSE,
+                    CLOSE_CONNECTION,
+                    _stored_response(_OTHER_PATCH),
+                ),
+                Verdict.NOT_RUN,
+            ),
+            (
+                (
+                    _BASE_RESPONSE,
+                    write_response(succeeded=False),
+                    CLOSE_CONNECTION,
+                ),
+                Verdict.NOT_RUN,
+            ),
         ],
     )
-    def test_verdict_is_what_is_certain(
+    def test_refusal_has_correct_verdict(
         self,
         script: tuple[Any, ...],
         verdict: Verdict,
     ) -> None:
-        """A platform gone after a lost write leaves the matter open."""
+        """Guards against `NOT_RUN` if the outcome of a write is unknown."""
         with scripted_platform(*script) as platform:
             refused = _patcher(platform).patch(_REQUEST).failure()
         assert refused.failure.verdict is verdict
 
-    def test_emptied_platform_gets_no_second_first_version(self) -> None:
-        """A daemon without a document asks the others before version 1."""
+    def test_empty_platform_gets_no_second_initial_version(self) -> None:
+        """Guards against a second version 1 after the platform lost its data."""
         first = attrs.evolve(_REQUEST, base=0)
-        absent = Scripted(body={'header': {}})
-        with scripted_platform(absent, swapped(succeeded=True)) as platform:
+        absent = ScriptedResponse(body={'header': {}})
+        with scripted_platform(
+            absent, write_response(succeeded=True)
+        ) as platform:
             refused = _patcher(platform, 50).patch(first).failure()
         assert refused.failure.verdict is Verdict.NOT_RUN
         assert 'version 50 was already accepted' in refused.failure.detail
--- a/packages/fennelfork-daemon/tests/test_kv_client.py
+++ b/packages/fennelfork-daemon/tests/test_kv_client.py
@@ -1,18 +1,18 @@
-"""Calls of the key-value service, with what is known of their effect."""
+"""Tests of the client of the key-value service."""
 
 from typing import Any
 
 import pytest
 from daemon_builders_config import (
-    CUT,
-    SILENT,
-    Scripted,
-    key_value_calls,
-    scripted_key,
+    CLOSE_CONNECTION,
+    NO_RESPONSE,
+    ScriptedResponse,
+    build_config_key,
+    key_value_client,
+    read_response,
     scripted_platform,
-    shown_document,
-    swapped,
     unused_address,
+    write_response,
 )
 
 from fennelfork import ManualTime, Verdict, manual_clock
@@ -33,113 +33,122 @@
 
 
 class TestVerdict:
-    """Whether a call that failed may have had an effect."""
+    """Verdicts of failed requests."""
 
     @pytest.mark.parametrize(
-        ('scripted', 'verdict'),
+        ('response', 'verdict'),
         [
-            (Scripted(body={}, status=429), Verdict.NOT_RUN),
-            (Scripted(body={}, status=503), Verdict.MAY_HAVE_RUN),
-            (Scripted(body=b'not JSON'), Verdict.MAY_HAVE_RUN),
-            (Scripted(body=b'x' * 4_200_000), Verdict.MAY_HAVE_RUN),
-            (Scripted(body=[]), Verdict.MAY_HAVE_RUN),
-            (CUT, Verdict.MAY_HAVE_RUN),
-            (SILENT, Verdict.MAY_HAVE_RUN),
+            (ScriptedResponse(body={}, status=429), Verdict.NOT_RUN),
+            (ScriptedResponse(body={}, status=503), Verdict.MAY_HAVE_RUN),
+            (ScriptedResponse(body=b'not JSON'), Verdict.MAY_HAVE_RUN),
+            (ScriptedResponse(body=b'x' * 4_200_000), Verdict.MAY_HAVE_RUN),
+            (ScriptedResponse(body=[]), Verdict.MAY_HAVE_RUN),
+            (CLOSE_CONNECTION, Verdict.MAY_HAVE_RUN),
+            (NO_RESPONSE, Verdict.MAY_HAVE_RUN),
         ],
     )
-    def test_not_run_needs_proof(self, scripted: Any, verdict: Verdict) -> None:
-        """Only the platform's own refusal proves that a write was not run."""
-        with scripted_platform(scripted) as platform:
-            failure = scripted_key(platform).swap(_WRITE).failure()
+    def test_failure_has_correct_verdict(
+        self, response: Any, verdict: Verdict
+    ) -> None:
+        """Guards against `NOT_RUN` without a refusal by the platform."""
+        with scripted_platform(response) as platform:
+            failure = (
+                build_config_key(platform).compare_and_swap(_WRITE).failure()
+            )
         assert failure.verdict is verdict
 
-    def test_refused_connection_was_not_run(self) -> None:
-        """Nothing was sent where nobody listens."""
-        failure = key_value_calls(unused_address()).call('/', {}).failure()
+    def test_refused_connection_is_not_run(self) -> None:
+        """A request over a refused connection was not sent."""
+        failure = key_value_client(unused_address()).call('/', {}).failure()
         assert failure.verdict is Verdict.NOT_RUN
 
-    def test_call_above_the_budget_is_not_sent(self) -> None:
-        """An empty budget keeps the call back and says when to come again."""
+    def test_request_above_rate_limit_is_not_sent(self) -> None:
+        """The failure of a request above the rate limit has a retry delay."""
         budget = token_bucket(manual_clock(ManualTime()), 1, 1)
-        with scripted_platform(Scripted(body={})) as platform:
-            calls = key_value_calls(platform.address, budget=budget)
-            calls.call('/first', {})
-            failure = calls.call('/second', {}).failure()
+        with scripted_platform(ScriptedResponse(body={})) as platform:
+            client = key_value_client(platform.address, budget=budget)
+            client.call('/first', {})
+            failure = client.call('/second', {}).failure()
         assert failure.verdict is Verdict.NOT_RUN
         assert failure.retry_after_ms
         assert platform.paths == ['/first']
 
 
 class TestConfigKey:
-    """Reading and swapping the configuration key."""
+    """Reads and conditional writes of the configuration key."""
 
     def test_reads_value_and_revision(self) -> None:
-        """A read gives the text and the revision of its last change."""
+        """A read returns the document and the revision of the last change."""
         stored = StoredDocument(raw='{"version":1}', revision=5)
-        with scripted_platform(shown_document(stored)) as platform:
-            assert scripted_key(platform).read().unwrap() == stored
+        with scripted_platform(read_response(stored)) as platform:
+            assert build_config_key(platform).read().unwrap() == stored
 
     def test_absent_key_has_revision_zero(self) -> None:
-        """A key that is not there reads as such, not as a failure."""
-        with scripted_platform(Scripted(body={'header': {}})) as platform:
-            shown = scripted_key(platform).read().unwrap()
-        assert shown == StoredDocument(raw=None, revision=0)
+        """A read of an absent key is not a failure."""
+        with scripted_platform(
+            ScriptedResponse(body={'header': {}})
+        ) as platform:
+            stored = build_config_key(platform).read().unwrap()
+        assert stored == StoredDocument(raw=None, revision=0)
 
     @pytest.mark.parametrize('succeeded', [True, False])
-    def test_swap_tells_whether_it_took_place(self, succeeded: bool) -> None:
-        """The platform's word on the comparison is handed on."""
-        with scripted_platform(swapped(succeeded=succeeded)) as platform:
-            assert scripted_key(platform).swap(_WRITE).unwrap() is succeeded
+    def test_compare_and_swap_reports_success(self, succeeded: bool) -> None:
+        """The result of the comparison in the platform is returned."""
+        with scripted_platform(write_response(succeeded=succeeded)) as platform:
+            assert (
+                build_config_key(platform).compare_and_swap(_WRITE).unwrap()
+                is succeeded
+            )
 
     def test_next_endpoint_is_used_after_a_failure(self) -> None:
-        """One endpoint that fails is left for the next one."""
-        with scripted_platform(Scripted(body={})) as platform:
-            calls = key_value_calls(unused_address(), platform.address)
-            calls.call('/lost', {})
-            assert calls.call('/found', {}).unwrap() == {}
+        """The client switches to the next endpoint after a failure."""
+        with scripted_platform(ScriptedResponse(body={})) as platform:
+            client = key_value_client(unused_address(), platform.address)
+            client.call('/lost', {})
+            assert client.call('/found', {}).unwrap() == {}
         assert platform.paths == ['/found']
 
 
 class TestCost:
-    """What the calls cost, as it is counted."""
+    """Counters of the bytes of requests and responses."""
 
-    def test_counts_bodies_both_ways(self) -> None:
-        """Each body sent and received is counted towards the platform."""
+    def test_counts_request_and_response_bodies(self) -> None:
+        """Each body is counted for the channel of the platform."""
         costs: list[ControlCost] = []
-        with scripted_platform(Scripted(body={'a': 1})) as platform:
-            calls = key_value_calls(platform.address, costs=costs)
-            calls.call('/', {'key': 'x'})
+        with scripted_platform(ScriptedResponse(body={'a': 1})) as platform:
+            client = key_value_client(platform.address, costs=costs)
+            client.call('/', {'key': 'x'})
         assert {cost.channel for cost in costs} == {Channel.PLATFORM}
         assert [cost.sent for cost in costs] == [len('{"key": "x"}'), 0]
         assert [cost.received for cost in costs] == [0, len('{"a": 1}')]
 
 
 class TestWatch:
-    """The stream of changes."""
+    """Stream of the changes of a key."""
 
-    def test_ends_with_an_error_when_cancelled(self) -> None:
-        """A watch that the platform cancels is read afresh, not trusted."""
+    def test_cancelled_watch_raises(self) -> None:
+        """Guards against a cancelled watch that looks like a normal end."""
         line = b'{"result": {"canceled": true}}\n'
-        with scripted_platform(Scripted(body=line)) as platform:
-            with pytest.raises(ValueError, match='ended the watch'):
-                list(scripted_key(platform).changes(3))
+        with scripted_platform(ScriptedResponse(body=line)) as platform:
+            with pytest.raises(ValueError, match='cancelled the watch'):
+                list(build_config_key(platform).watch(3))
 
     @pytest.mark.parametrize(
-        'scripted',
-        [CUT, Scripted(body={}, status=429)],
+        'response',
+        [CLOSE_CONNECTION, ScriptedResponse(body={}, status=429)],
     )
-    def test_cannot_be_opened(self, scripted: Any) -> None:
-        """A watch that is refused or cut is an error of the connection."""
-        with scripted_platform(scripted) as platform:
+    def test_refused_watch_raises(self, response: Any) -> None:
+        """A refused or closed watch raises `OSError`."""
+        with scripted_platform(response) as platform:
             with pytest.raises(OSError, match='.'):
-                list(scripted_key(platform).changes(3))
+                list(build_config_key(platform).watch(3))
 
     @pytest.mark.parametrize(('known', 'start'), [(0, None), (7, '8')])
-    def test_of_an_absent_key_asks_for_no_past(
+    def test_watch_starts_after_known_revision(
         self,
         known: int,
         start: str | None,
     ) -> None:
-        """Only a known revision asks for what came after it."""
+        """A watch without a known revision does not request the history."""
         request = watch_body('/config', known)['create_request']
         assert request.get('start_revision') == start
--- a/packages/fennelfork-daemon/tests/test_membership_probe_codec.py
+++ b/packages/fennelfork-daemon/tests/test_membership_probe_codec.py
@@ -1,75 +1,76 @@
-"""Messages of membership on the wire."""
+"""Tests of the conversion of membership messages."""
 
 import attrs
-from daemon_builders_fleet import a_member
+from daemon_builders_fleet import build_member
 from thriftpy2.protocol.cybin import TCyBinaryProtocolFactory
 from thriftpy2.utils import deserialize, serialize
 
 from fennelfork.membership import MemberStatus, ProbeAck, ProbeMessage
 from fennelfork_daemon.membership._probe_codec import (
-    answer_from_peer,
-    answer_to_peer,
+    ack_from_peer,
+    ack_to_peer,
     member_to_peer,
     probe_from_peer,
     probe_to_peer,
-    wire_bytes,
+    wire_size_bytes,
 )
 from fennelfork_daemon.peer._idl import peer
 
 _FACTORY = TCyBinaryProtocolFactory()
-_MESSAGE_LIMIT = 3000
+_MAX_MESSAGE_BYTES = 3000
 
 
-def _crossed(message, kind):
+def _round_trip(message, kind):
     return deserialize(kind(), serialize(message, _FACTORY), _FACTORY)
 
 
 class TestProbeCodec:
-    """Crossing the wire changes nothing."""
+    """Conversion of probes and acks to thrift and back."""
 
-    def test_probe(self) -> None:
-        """Members, digests and the name to relay to arrive as sent."""
+    def test_probe_round_trip(self) -> None:
+        """Guards against a probe that loses fields on the wire."""
         probe = ProbeMessage(
-            sender=a_member(),
+            sender=build_member(),
             gossip=tuple(
-                a_member(state.value).with_state(state)
+                build_member(state.value).with_state(state)
                 for state in MemberStatus
             ),
             digests=bytes(range(128)),
             relay_to='vm-3',
         )
-        crossed = _crossed(probe_to_peer(probe), peer.ProbeRequest)
+        crossed = _round_trip(probe_to_peer(probe), peer.ProbeRequest)
         assert probe_from_peer(crossed) == probe
 
-    def test_answer(self) -> None:
-        """So does an answer, whether it reached and whether there is more."""
-        answer = ProbeAck(sender=a_member(), reached=False, has_more=True)
-        crossed = _crossed(answer_to_peer(answer), peer.ProbeReply)
-        assert answer_from_peer(crossed) == answer
+    def test_ack_round_trip(self) -> None:
+        """Guards against an ack that loses fields on the wire."""
+        ack = ProbeAck(sender=build_member(), reached=False, has_more=True)
+        crossed = _round_trip(ack_to_peer(ack), peer.ProbeReply)
+        assert ack_from_peer(crossed) == ack
 
-    def test_claims_in_unknown_states_are_left_out(self) -> None:
-        """A later version may know states that this one does not."""
-        message = probe_to_peer(ProbeMessage(sender=a_member()))
-        unknown = member_to_peer(a_member('vm-2'))
+    def test_claims_with_unknown_states_are_ignored(self) -> None:
+        """Guards against failures on states that a later version sends."""
+        message = probe_to_peer(ProbeMessage(sender=build_member()))
+        unknown = member_to_peer(build_member('vm-2'))
         unknown.state = 'hibernating'
-        message.gossip = [unknown, member_to_peer(a_member('vm-3'))]
+        message.gossip = [unknown, member_to_peer(build_member('vm-3'))]
         read = probe_from_peer(message)
         assert [member.name for member in read.gossip] == ['vm-3']
 
     def test_gossip_is_bounded(self) -> None:
-        """A peer that sends too much is heard in part."""
-        message = probe_to_peer(ProbeMessage(sender=a_member()))
+        """Guards against an unbounded number of claims in one message."""
+        message = probe_to_peer(ProbeMessage(sender=build_member()))
         message.gossip = [
-            member_to_peer(a_member(f'vm-{number}')) for number in range(1000)
+            member_to_peer(build_member(f'vm-{number}'))
+            for number in range(1000)
         ]
         assert len(probe_from_peer(message).gossip) == 64
 
-    def test_message_of_the_limit_stays_small(self) -> None:
-        """The largest probe and answer stay within 3,000 bytes."""
-        member = attrs.evolve(a_member('vm-460'), config_hash='f' * 16)
+    def test_largest_probe_is_within_size_limit(self) -> None:
+        """Guards against a probe of more than 3,000 bytes."""
+        member = attrs.evolve(build_member('vm-460'), config_hash='f' * 16)
         probe = ProbeMessage(
             sender=member,
             gossip=(member,) * 9,
             digests=bytes(128),
         )
-        assert wire_bytes(probe_to_peer(probe)) < _MESSAGE_LIMIT
+        assert wire_size_bytes(probe_to_peer(probe)) < _MAX_MESSAGE_BYTES
--- a/packages/fennelfork-daemon/tests/test_membership_service.py
+++ b/packages/fennelfork-daemon/tests/test_membership_service.py
@@ -1,10 +1,10 @@
-"""What the membership service does with the blackboard."""
+"""Tests of the membership service and the blackboard."""
 
 import random
 
 import attrs
 import eventlet
-from daemon_builders_fleet import a_member
+from daemon_builders_fleet import build_member
 from returns.result import Failure as Bad
 
 from fennelfork import ManualTime, blackboard, manual_clock
@@ -17,22 +17,22 @@
 
 @attrs.define(kw_only=True)
 class _RefusingClient:
-    """Fails each probe and remembers whom it was for."""
+    """Refuses each probe and records the address of the target."""
 
-    called: list[str] = attrs.field(factory=list)
+    probed_addresses: list[str] = attrs.field(factory=list)
 
     def call(self, address: str, request: object, timeout_ms: float):
-        """Refuse."""
-        self.called.append(address)
+        """Record the address and refuse the probe."""
+        self.probed_addresses.append(address)
         return Bad(ProbeFailure.REFUSED)
 
 
 def _service(client: _RefusingClient) -> MembershipService:
-    me = a_member()
-    fleet = membership(me, MembershipPolicy(), random.Random(0))
+    local_member = build_member()
+    fleet = membership(local_member, MembershipPolicy(), random.Random(0))
     return MembershipService(
         fleet=fleet,
-        board=blackboard(me),
+        board=blackboard(local_member),
         clock=manual_clock(ManualTime()),
         client=client,
         metrics=membership_metrics(daemon_metrics(4)),
@@ -40,12 +40,12 @@
 
 
 class TestBlackboard:
-    """Facts in and out."""
+    """Facts that the service reads from and writes to the blackboard."""
 
     def test_members_and_their_configuration_are_published(self) -> None:
-        """A new member replaces the whole, a new version does not."""
+        """A new member replaces the mapping; a new version updates the mapping."""
         service = _service(_RefusingClient())
-        other = a_member('vm-2', peer='127.0.0.1:9')
+        other = build_member('vm-2', peer='127.0.0.1:9')
         service.fleet.view.apply_claims([other], 0)
         service.step()
         members = service._board.members
@@ -57,30 +57,33 @@
         assert members['vm-2'].config_version == 8
 
     def test_own_configuration_is_announced(self) -> None:
-        """What is in force here is what this daemon says of itself."""
+        """The local member has the version and hash of the active document."""
         service = _service(_RefusingClient())
         board = service._board
         board.document = attrs.evolve(board.document, version=9)
         board.config_hash = 'new'
         service.step()
-        me = service.fleet.view.local
-        assert (me.config_version, me.config_hash) == (9, 'new')
-        assert board.local == me
+        local_member = service.fleet.view.local
+        assert (local_member.config_version, local_member.config_hash) == (
+            9,
+            'new',
+        )
+        assert board.local == local_member
 
-    def test_doubted_members_are_verified_at_once(self) -> None:
-        """A failed call of the data path leads to a probe of its target."""
+    def test_unreachable_members_are_probed_at_once(self) -> None:
+        """A member that a request could not reach is probed."""
         client = _RefusingClient()
         service = _service(client)
         service.step()
-        other = a_member('vm-2', peer='127.0.0.1:9')
+        other = build_member('vm-2', peer='127.0.0.1:9')
         service.fleet.view.apply_claims([other], 0)
         service.step()
         eventlet.sleep(0)
-        assert not client.called
+        assert not client.probed_addresses
         service._board.unreachable_peers.add('vm-2')
         service.step()
         eventlet.sleep(0)
-        assert client.called == ['127.0.0.1:9']
+        assert client.probed_addresses == ['127.0.0.1:9']
         assert not service._board.unreachable_peers
         suspected = service._board.members['vm-2']
         assert suspected.state is MemberStatus.SUSPECT
--- a/packages/fennelfork-daemon/tests/test_membership_vm_list.py
+++ b/packages/fennelfork-daemon/tests/test_membership_vm_list.py
@@ -1,10 +1,10 @@
-"""The lagging VM list as a seed of membership."""
+"""Tests of the VM list as a source of membership seeds."""
 
 import json
 import random
 
 import pytest
-from daemon_builders_fleet import a_member, answering, settings_of
+from daemon_builders_fleet import build_member, build_settings, serve_response
 
 from fennelfork import blackboard
 from fennelfork.membership import (
@@ -27,32 +27,32 @@
 
 
 def _reader(address: str) -> VmListReader:
-    me = a_member()
+    local_member = build_member()
     return vm_list_reader(
-        blackboard(me),
-        settings_of(address),
-        membership(me, MembershipPolicy(), random.Random(0)),
+        blackboard(local_member),
+        build_settings(address),
+        membership(local_member, MembershipPolicy(), random.Random(0)),
         VmListSchedule(rng=random.Random(0)),
     )
 
 
 def _seeds(reader: VmListReader) -> set[str]:
-    return set(reader._fleet.schedule.seeds)
+    return set(reader._controller.schedule.seeds)
 
 
 class TestVmListReader:
-    """What a read of the list leads to."""
+    """Effects of a read of the VM list."""
 
-    def test_listed_vms_become_seeds_and_no_members(self) -> None:
-        """The list is a hint: who is on it has to answer first."""
+    def test_listed_vms_become_seeds_but_not_members(self) -> None:
+        """Guards against members that never answered a probe."""
         body = json.dumps({'vms': [_VM]}).encode()
-        with answering(200, body) as address:
+        with serve_response(200, body) as address:
             reader = _reader(address)
             reader.read()
         assert _seeds(reader) == {'vm-2'}
-        table = reader._fleet.view.table
+        table = reader._controller.view.table
         assert [member.name for member in table] == ['vm-1']
-        probed = {send.target.name for send in reader._fleet.step(0)}
+        probed = {send.target.name for send in reader._controller.step(0)}
         assert probed == {'vm-2'}
 
     @pytest.mark.parametrize(
@@ -65,23 +65,23 @@
             (200, b'{"vms": 3}'),
         ],
     )
-    def test_unusable_answers_change_nothing(
+    def test_invalid_responses_keep_seeds(
         self,
         status: int,
         body: bytes,
     ) -> None:
-        """The seeds of the last good answer stay, and reads back off."""
-        with answering(status, body) as address:
+        """The previous seeds stay, and the read counts as failed."""
+        with serve_response(status, body) as address:
             reader = _reader(address)
-            reader._fleet.set_seeds([a_member('vm-9')])
+            reader._controller.set_seeds([build_member('vm-9')])
             reader.read()
         assert _seeds(reader) == {'vm-9'}
         assert reader._schedule.failures == 1
 
-    def test_no_answer_changes_nothing(self) -> None:
-        """A list that cannot be reached counts as a failed read."""
+    def test_unreachable_list_keeps_member_alive(self) -> None:
+        """An unreachable VM list counts as a failed read."""
         reader = _reader('127.0.0.1:1')
         reader.read()
         assert reader._schedule.failures == 1
-        me = reader._fleet.view.local
-        assert me.state is MemberStatus.ALIVE
+        local_member = reader._controller.view.local
+        assert local_member.state is MemberStatus.ALIVE
--- a/packages/fennelfork-daemon/tests/test_settings.py
+++ b/packages/fennelfork-daemon/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon."""
+"""Tests of the settings of a daemon."""
 
 import pathlib
 import tomllib
@@ -17,15 +17,15 @@
 _EXAMPLE = pathlib.Path(__file__).parents[3] / 'examples/fennelforkd.toml'
 
 
-def _lines(document: dict[str, Any]) -> list[str]:
+def _problem_lines(document: dict[str, Any]) -> list[str]:
     return [str(problem) for problem in read_settings(document).failure()]
 
 
-class TestGoodSettings:
-    """Documents that are accepted."""
+class TestValidSettings:
+    """Documents that pass the validation."""
 
     def test_reads_addresses_and_defaults(self) -> None:
-        """Addresses come typed, and whole tables may be left out."""
+        """Addresses are parsed, and absent tables have defaults."""
         settings = read_settings(settings_document()).unwrap()
         assert settings.platform.key_value == (
             Address(host='127.0.0.1', port=2379),
@@ -34,23 +34,28 @@
         assert settings.routing.mode is RoutingMode.HOME
         assert settings.platform.key_prefix == '/fennelfork/'
 
-    def test_reads_brackets(self) -> None:
-        """An IPv6 number is written in brackets both ways."""
+    def test_reads_ipv6_address(self) -> None:
+        """An IPv6 address is read and written in brackets."""
         document = settings_document(platform={'vm_list': '[::1]:9'})
         settings = read_settings(document).unwrap()
         assert settings.platform.vm_list.host == '::1'
         assert str(settings.platform.vm_list) == '[::1]:9'
 
 
-class TestBadSettings:
-    """Each wrong value is named with what is allowed."""
+class TestInvalidSettings:
+    """Problems of documents with invalid values."""
 
     @pytest.mark.parametrize(
-        ('table', 'values', 'path', 'words'),
+        ('table', 'values', 'path', 'expected_text'),
         [
             ('daemon', {'name': None}, 'daemon.name', 'is missing'),
-            ('daemon', {'name': 7}, 'daemon.name', 'not a text'),
-            ('daemon', {'name': 'a b'}, 'daemon.name', 'signs'),
+            ('daemon', {'name': 7}, 'daemon.name', 'not a string'),
+            (
+                'daemon',
+                {'name': 'a b'},
+                'daemon.name',
+                'characters that are not',
+            ),
             ('listen', {'peer': 'vm1:80'}, 'listen.peer', 'no IP number'),
             ('listen', {'peer': '::1'}, 'listen.peer', 'IP number'),
             ('listen', {'peer': '1.2.3.4:x'}, 'listen.peer', 'no port'),
@@ -71,40 +76,40 @@
             ('listening', {'peer': '::1'}, 'listening', 'mean listen'),
         ],
     )
-    def test_names_path_and_reason(
+    def test_reports_path_and_reason(
         self,
         table: str,
         values: dict[str, Any],
         path: str,
-        words: str,
+        expected_text: str,
     ) -> None:
-        """One wrong value gives one line with its path and the reason."""
-        lines = _lines(settings_document(**{table: values}))
+        """An invalid value is reported in one line with path and reason."""
+        lines = _problem_lines(settings_document(**{table: values}))
         assert len(lines) == 1
         assert lines[0].startswith(f'{path}: ')
-        assert words in lines[0]
+        assert expected_text in lines[0]
         assert '; allowed: ' in lines[0]
 
-    def test_names_a_list_member(self) -> None:
-        """A wrong member of a list is named by its place."""
+    def test_reports_index_of_list_item(self) -> None:
+        """The path of an invalid list item contains the index of the item."""
         document = settings_document(
             platform={'key_value': ['127.0.0.1:1', 'nowhere']},
         )
-        assert _lines(document)[0].startswith('platform.key_value[1]: ')
+        assert _problem_lines(document)[0].startswith('platform.key_value[1]: ')
 
-    def test_says_what_is_allowed(self) -> None:
-        """The unit and the range, or the choices, are in the message."""
+    def test_reports_allowed_values(self) -> None:
+        """The message contains the range or the choices."""
         document = settings_document(
             timeouts={'idle_ms': -1},
             logs={'level': 'loud'},
         )
-        lines = _lines(document)
+        lines = _problem_lines(document)
         assert '1 to 600000' in lines[0]
         assert '"debug" or "info"' in lines[1]
 
-    def test_names_all_at_once(self) -> None:
-        """Missing, unknown and wrong values are reported together."""
-        lines = _lines({'daemon': {'name': 1, 'nmae': 2}, 'limits': 7})
+    def test_reports_all_problems(self) -> None:
+        """Missing, unknown and invalid values are reported together."""
+        lines = _problem_lines({'daemon': {'name': 1, 'nmae': 2}, 'limits': 7})
         assert [line.split(':')[0] for line in lines] == [
             'daemon.name',
             'daemon.region',
@@ -118,19 +123,19 @@
             'limits',
         ]
 
-    def test_refuses_one_address_twice(self) -> None:
-        """Two faces cannot share a fixed address."""
+    def test_rejects_duplicate_address(self) -> None:
+        """Two interfaces cannot have the same fixed address."""
         document = settings_document(
             listen={'caller': '127.0.0.1:9', 'peer': '127.0.0.1:9'},
         )
-        assert _lines(document)[0].startswith('listen: two faces')
+        assert _problem_lines(document)[0].startswith('listen: two interfaces')
 
 
 class TestExample:
-    """The annotated example."""
+    """The annotated example file."""
 
-    def test_shows_every_setting_and_its_default(self) -> None:
-        """Each setting stands in the example, defaults with their value."""
+    def test_example_has_every_setting_and_default(self) -> None:
+        """Guards against an example without a setting or with a wrong default."""
         text = _EXAMPLE.read_text(encoding='utf-8')
         document = tomllib.loads(text)
         settings = load_settings(_EXAMPLE).unwrap()
@@ -144,10 +149,10 @@
 
 
 class TestFile:
-    """Reading of the file itself."""
+    """Reads of settings files."""
 
-    def test_reads_a_file(self, tmp_path: pathlib.Path) -> None:
-        """A good file gives settings."""
+    def test_reads_valid_file(self, tmp_path: pathlib.Path) -> None:
+        """A valid file is read."""
         path = tmp_path / 'good.toml'
         path.write_text(
             '[daemon]\nname="a"\nregion="r"\ndata_centre="d"\n'
@@ -158,23 +163,23 @@
         assert isinstance(load_settings(path), Success)
 
     @pytest.mark.parametrize(
-        ('text', 'words'),
+        ('text', 'expected_text'),
         [(b'[daemon', 'is not TOML'), (b'\xff', 'cannot be read')],
     )
-    def test_names_a_bad_file(
+    def test_reports_invalid_file(
         self,
         text: bytes,
-        words: str,
+        expected_text: str,
         tmp_path: pathlib.Path,
     ) -> None:
-        """Bytes that are not TOML give one line with the file's path."""
+        """A file that is not TOML is reported with the path of the file."""
         path = tmp_path / 'bad.toml'
         path.write_bytes(text)
         problem = load_settings(path).failure()[0]
         assert problem.path == str(path)
-        assert words in problem.message
+        assert expected_text in problem.message
 
-    def test_names_a_missing_file(self, tmp_path: pathlib.Path) -> None:
-        """A file that is not there gives one line."""
+    def test_reports_missing_file(self, tmp_path: pathlib.Path) -> None:
+        """A missing file is reported."""
         problem = load_settings(tmp_path / 'none.toml').failure()[0]
         assert 'cannot be read' in problem.message
