--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_call.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_call.py
@@ -1,4 +1,4 @@
-"""Calls as they go out over HTTP, and what comes back."""
+"""HTTP requests to backend servers and their responses."""
 
 import functools
 import json
@@ -14,21 +14,21 @@
 from fennelfork import Failure
 
 _HEADERS: Final = {'Content-Type': 'application/json'}
-# The library adds these of its own accord unless told not to.
-_UNWANTED: Final = ('Accept-Encoding', 'User-Agent')
+# urllib3 adds these headers unless they are skipped explicitly.
+_OMITTED_HEADERS: Final = ('Accept-Encoding', 'User-Agent')
 
 HeaderPairs = tuple[tuple[str, str], ...]
 
 
 @attrs.frozen(kw_only=True)
-class BackendCall:
-    """One call of a backend server.
+class JsonRequest:
+    """Request with an optional JSON body.
 
     Attributes:
-        path: of the call; a call without a body is a GET.
-        body: what to send as JSON.
-        timeout_ms: how long to wait for the whole reply.
-        fresh: open a new connection for it.
+        path: path of the request.
+        body: content of the JSON body; a request without a body is a GET.
+        timeout_ms: timeout for the complete response, in milliseconds.
+        fresh: whether the request needs a new connection.
     """
 
     path: str
@@ -39,39 +39,40 @@
 
 @attrs.frozen(kw_only=True)
 class BackendResponse:
-    """What came back, unread."""
+    """Response of a backend server with an undecoded body."""
 
     status: int
     body: bytes
     headers: HeaderPairs = ()
 
     def header(self, name: str) -> str | None:
-        """Give the first header of a name, whatever its case."""
-        wanted = name.lower()
-        for found, text in self.headers:
-            if found.lower() == wanted:
+        """Return the first header with a name, which is case-insensitive."""
+        name_lower = name.lower()
+        for header_name, text in self.headers:
+            if header_name.lower() == name_lower:
                 return text
         return None
 
 
-def _anything(response: BackendResponse) -> Result[BackendResponse, Failure]:
+def _accept_any(response: BackendResponse) -> Result[BackendResponse, Failure]:
     return Success(response)
 
 
 @attrs.frozen(kw_only=True)
 class ForwardCall:
-    """A call that is sent as it is given.
+    """Request whose method, headers and body are forwarded unchanged.
 
     Attributes:
-        method: of the call.
-        target: path and query.
-        headers: all headers but the length of the body.
-        body: its bytes, if it has any.
-        timeout_ms: how long to wait for the whole reply.
-        connect_ms: how long a new connection may take, at most `timeout_ms`.
-        fresh: open a new connection for it.
-        check: fails for a reply that belongs to another call; its connection
-            is not used again.
+        method: HTTP method.
+        target: path and query string.
+        headers: all headers except Content-Length.
+        body: bytes of the body, if any.
+        timeout_ms: timeout for the complete response, in milliseconds.
+        connect_ms: timeout for a new connection, in milliseconds; at most
+            `timeout_ms` applies.
+        fresh: whether the request needs a new connection.
+        check: function that fails for a response to another request; the
+            connection of such a response is closed.
     """
 
     method: str
@@ -82,44 +83,44 @@
     connect_ms: float
     fresh: bool = False
     check: Callable[[BackendResponse], Result[BackendResponse, Failure]] = (
-        _anything
+        _accept_any
     )
 
 
-Call = BackendCall | ForwardCall
+AnyRequest = JsonRequest | ForwardCall
 
 
 @functools.singledispatch
-def send_call(call: Any, http: HTTPConnection) -> None:
-    """Send a call.
+def send_request(request: Any, http: HTTPConnection) -> None:
+    """Send a request on an open connection.
 
     Raises:
-        TypeError: for a call of another type.
+        TypeError: if the type of the request is not supported.
     """
-    raise TypeError(f'not a call: {call!r}')
+    raise TypeError(f'the request has an unsupported type: {request!r}')
 
 
-@send_call.register
-def _send_json(call: BackendCall, http: HTTPConnection) -> None:
-    has_body = call.body is not None
+@send_request.register
+def _send_json(request: JsonRequest, http: HTTPConnection) -> None:
+    has_body = request.body is not None
     http.request(
         'POST' if has_body else 'GET',
-        call.path,
-        body=json.dumps(call.body).encode() if has_body else None,
+        request.path,
+        body=json.dumps(request.body).encode() if has_body else None,
         headers=_HEADERS,
         preload_content=False,
     )
 
 
-@send_call.register
-def _send_forward(call: ForwardCall, http: HTTPConnection) -> None:
-    headers = HTTPHeaderDict(call.headers)
-    for name in _UNWANTED:
+@send_request.register
+def _send_forward(request: ForwardCall, http: HTTPConnection) -> None:
+    headers = HTTPHeaderDict(request.headers)
+    for name in _OMITTED_HEADERS:
         headers.setdefault(name, SKIP_HEADER)
     http.request(
-        call.method,
-        call.target,
-        body=call.body,
+        request.method,
+        request.target,
+        body=request.body,
         headers=headers,
         preload_content=False,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
@@ -1,4 +1,4 @@
-"""Calls to one backend server over HTTP."""
+"""Typed client for the HTTP API of one backend server."""
 
 from typing import Any
 
@@ -8,27 +8,27 @@
 from fennelfork import Failure
 from fennelfork.gather import ExpectedReply, Reply
 from fennelfork.home import ServerReport
-from fennelfork_daemon.backend._call import BackendCall
+from fennelfork_daemon.backend._call import JsonRequest
 from fennelfork_daemon.backend._pool import BackendPool, Trace
-from fennelfork_daemon.backend._reply import (
+from fennelfork_daemon.backend._response import (
     read_health,
+    read_json,
     read_search,
-    read_tree,
 )
 
 
 @attrs.frozen(kw_only=True)
-class Sending:
-    """How a call is sent.
+class SendOptions:
+    """Options for sending one request.
 
     Attributes:
-        left_ms: what remains of the deadline.
-        timeout_ms: how long to wait for the reply.
-        fresh: on a new connection.
-        trace: where the connection is noted.
+        remaining_ms: time until the deadline, in milliseconds.
+        timeout_ms: timeout for the response, in milliseconds.
+        fresh: whether the request needs a new connection.
+        trace: record of the connection that carries the request.
     """
 
-    left_ms: float
+    remaining_ms: float
     timeout_ms: float
     fresh: bool
     trace: Trace
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class BackendClient:
-    """Speaks to one backend server."""
+    """Client for one backend server."""
 
     pool: BackendPool
 
@@ -44,9 +44,9 @@
         self,
         expected: ExpectedReply,
         query: Any,
-        sending: Sending,
+        options: SendOptions,
     ) -> Result[Reply, Failure]:
-        """Run one sub-query; its reply is checked."""
+        """Run one sub-query and validate the response."""
         body = {
             'request_id': expected.request_id,
             'sub_query': expected.sub_query,
@@ -54,9 +54,9 @@
             'lo': expected.span.lo,
             'hi': expected.span.hi,
             'query': query,
-            'deadline_ms': int(sending.left_ms),
+            'deadline_ms': int(options.remaining_ms),
         }
-        return self._call('/v1/search', body, sending).bind(
+        return self._send('/v1/search', body, options).bind(
             lambda tree: read_search(tree, expected),
         )
 
@@ -64,36 +64,40 @@
         self,
         request_id: str,
         sub_query: str,
-        sending: Sending,
+        options: SendOptions,
     ) -> Result[bool, Failure]:
-        """Tell the server that a copy is of no use any more."""
+        """Cancel an attempt on the server.
+
+        Returns:
+            Whether the server cancelled the attempt.
+        """
         body = {'request_id': request_id, 'sub_query': sub_query}
-        return self._call('/v1/cancel', body, sending).map(_was_cancelled)
+        return self._send('/v1/cancel', body, options).map(_read_cancelled)
 
     def health(self, timeout_ms: float) -> Result[ServerReport, Failure]:
-        """Ask what the server says of itself."""
-        sending = Sending(
-            left_ms=timeout_ms,
+        """Request the health report of the server."""
+        options = SendOptions(
+            remaining_ms=timeout_ms,
             timeout_ms=timeout_ms,
             fresh=False,
             trace=Trace(),
         )
-        return self._call('/v1/health', None, sending).bind(read_health)
+        return self._send('/v1/health', None, options).bind(read_health)
 
-    def _call(
+    def _send(
         self,
         path: str,
         body: dict[str, Any] | None,
-        sending: Sending,
+        options: SendOptions,
     ) -> Result[Any, Failure]:
-        call = BackendCall(
+        request = JsonRequest(
             path=path,
             body=body,
-            timeout_ms=sending.timeout_ms,
-            fresh=sending.fresh,
+            timeout_ms=options.timeout_ms,
+            fresh=options.fresh,
         )
-        return self.pool.carry(call, sending.trace).bind(read_tree)
+        return self.pool.carry(request, options.trace).bind(read_json)
 
 
-def _was_cancelled(tree: Any) -> bool:
+def _read_cancelled(tree: Any) -> bool:
     return bool(tree.get('cancelled'))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to a backend server or to the platform."""
+"""HTTP connection to a backend server or to the platform."""
 
 import functools
 import socket
@@ -16,18 +16,18 @@
 from fennelfork_daemon._address import Address
 from fennelfork_daemon._sockets import ConnectionBroken, reset_aware
 from fennelfork_daemon.backend._call import (
+    AnyRequest,
     BackendResponse,
-    Call,
     ForwardCall,
-    send_call,
+    send_request,
 )
 
 _MS: Final = 1000
-# The system gives a connection up whose bytes nobody has acknowledged.
+# The kernel drops a connection whose bytes stay unacknowledged for this time.
 _USER_TIMEOUT_MS: Final = 3000
-# A connection that went silent is found out after two probes, a second apart:
-# a waiting watch has no other way to tell.
-_OPTIONS: Final = (
+# Keep-alive probes detect an unresponsive peer while a watch waits for a
+# response.
+_SOCKET_OPTIONS: Final = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -35,119 +35,131 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
 )
-# What ends a call whose bytes were sent.
-_BROKEN: Final = (HTTPError, HTTPException, OSError, EOFError)
-# Those of them that say nothing of the connection.
-_TIMEOUTS: Final = (TimeoutError, LibraryTimeoutError)
+# Errors after which a request may have reached the server.
+_TRANSPORT_ERRORS: Final = (HTTPError, HTTPException, OSError, EOFError)
+# Transport errors that do not imply a lost connection.
+_TIMEOUT_ERRORS: Final = (TimeoutError, LibraryTimeoutError)
 
 
-class _OneWriteConnection(HTTPConnection):
-    """Sends head and body of a request in one write.
+class _SingleWriteConnection(HTTPConnection):
+    """Connection that sends the head and body of a request in one write.
 
-    Two writes wake the server twice and cost two system calls.
+    A single write saves a system call and wakes the server only once.
     """
 
-    _held: list[bytes] | None = None
+    _buffered: list[bytes] | None = None
 
     def connect(self) -> None:
-        """Connect with a socket that tells a reset from an end."""
+        """Connect with a socket that distinguishes a reset from a close."""
         super().connect()
         self.sock = reset_aware(self.sock)
 
     def request(self, *args: Any, **options: Any) -> None:
-        """Send a request whose body is bytes."""
-        self._held = []
+        """Send a request with a body of type bytes."""
+        self._buffered = []
         super().request(*args, **options)
-        whole = b''.join(self._held)
-        self._held = None
-        self.send(whole)
+        message = b''.join(self._buffered)
+        self._buffered = None
+        self.send(message)
 
     def send(self, data: Any) -> None:
-        """Hold what belongs to a request back until it is whole."""
-        if self._held is None:
+        """Send data, or buffer the data of an incomplete request."""
+        if self._buffered is None:
             super().send(data)
         else:
-            self._held.append(data)
+            self._buffered.append(data)
 
 
 @attrs.define(kw_only=True)
 class BackendConnection:
-    """Carries one call at a time.
+    """Connection that carries one request at a time.
 
     Attributes:
-        keep_ms: for how long the other end keeps it open while it idles, if
-            it said so.
+        keep_alive_ms: idle time after which the server closes the connection,
+            in milliseconds, if the server announced one.
     """
 
-    keep_ms: float | None = None
+    keep_alive_ms: float | None = None
     _http: HTTPConnection
-    _most_bytes: int
-    _heard: bool = False
+    _max_response_bytes: int
+    _has_responded: bool = False
 
     @property
-    def alive(self) -> bool:
-        """Whether the server has not closed it, as far as is known here."""
+    def is_open(self) -> bool:
+        """Whether the connection is open as far as the local socket shows."""
         return self._http.is_connected
 
     def open(self, timeout_ms: float) -> Result[None, Failure]:
-        """Connect; a failure is `NOT_RUN`, as no byte was sent.
+        """Open the connection.
 
         Returns:
-            `SHED` if the server is there but takes no further connection,
-            `UNREACHABLE` if nobody listens or answers.
+            None, or a `NOT_RUN` failure: `SHED` if the server resets the new
+            connection, `UNREACHABLE` if the server refuses the connection or
+            does not respond.
         """
         self._http.timeout = timeout_ms / _MS
         try:
             self._http.connect()
         except (HTTPError, OSError) as error:
-            return Bad(not_run(_code_of(error), _says(error)))
+            return Bad(
+                not_run(_connect_failure_code(error), _describe_error(error))
+            )
         return Success(None)
 
-    def carry(self, call: Call) -> Result[BackendResponse, Failure]:
-        """Make one call and read its reply.
+    def carry(self, request: AnyRequest) -> Result[BackendResponse, Failure]:
+        """Send a request and read the response.
 
         Returns:
-            The response, or a failure that may have run: bytes were sent. It
-            is `SHED` where the connection was reset before it carried any
-            byte back, as a server does that takes no further one.
+            The response, or a failure with the verdict `MAY_HAVE_RUN`, since
+            bytes were sent. The code is `SHED` if the connection was reset
+            before its first response, as servers at their connection limit
+            do.
         """
-        self._http.timeout = call.timeout_ms / _MS
+        self._http.timeout = request.timeout_ms / _MS
         if self._http.sock is not None:
-            self._http.sock.settimeout(call.timeout_ms / _MS)
+            self._http.sock.settimeout(request.timeout_ms / _MS)
         try:
-            return self._exchange(call).bind(functools.partial(_checked, call))
-        except _BROKEN as error:
-            return Bad(self._break(error))
+            return self._send_and_read(request).bind(
+                functools.partial(_check_response, request)
+            )
+        except _TRANSPORT_ERRORS as error:
+            return Bad(self._to_failure(error))
 
     def close(self) -> None:
-        """Close it; what still arrives is lost."""
+        """Close the connection and discard unread data."""
         self._http.close()
 
-    def _break(self, error: Exception) -> Failure:
-        code = self._code_of_break(error)
+    def _to_failure(self, error: Exception) -> Failure:
+        code = self._broken_failure_code(error)
         return attrs.evolve(
-            may_have_run(code, _says(error)),
-            connection_lost=not isinstance(error, _TIMEOUTS),
+            may_have_run(code, _describe_error(error)),
+            connection_lost=not isinstance(error, _TIMEOUT_ERRORS),
         )
 
-    def _code_of_break(self, error: Exception) -> FailureCode:
+    def _broken_failure_code(self, error: Exception) -> FailureCode:
         is_reset = isinstance(error, ConnectionBroken | ConnectionResetError)
-        # The library takes an orderly end for a kind of reset.
+        # RemoteDisconnected, an orderly close, is a ConnectionResetError.
         is_end = isinstance(error, RemoteDisconnected)
-        if is_reset and not is_end and not self._heard:
+        if is_reset and not is_end and not self._has_responded:
             return FailureCode.SHED
         return FailureCode.UNREACHABLE
 
-    def _exchange(self, call: Call) -> Result[BackendResponse, Failure]:
-        send_call(call, self._http)
+    def _send_and_read(
+        self, request: AnyRequest
+    ) -> Result[BackendResponse, Failure]:
+        send_request(request, self._http)
         response = self._http.getresponse()
-        self._heard = True
-        body = response.read(self._most_bytes + 1)
-        if len(body) > self._most_bytes:
-            detail = f'the reply is longer than {self._most_bytes} bytes'
+        self._has_responded = True
+        body = response.read(self._max_response_bytes + 1)
+        if len(body) > self._max_response_bytes:
+            detail = (
+                f'the response is longer than {self._max_response_bytes} bytes'
+            )
             return Bad(may_have_run(FailureCode.BAD_REPLY, detail))
         response.release_conn()
-        self.keep_ms = _keep_ms(response.headers.get('Keep-Alive', ''))
+        self.keep_alive_ms = _read_keep_alive_ms(
+            response.headers.get('Keep-Alive', '')
+        )
         return Success(
             BackendResponse(
                 status=response.status,
@@ -159,49 +171,49 @@
 
 def backend_connection(
     address: Address,
-    most_bytes: int,
+    max_response_bytes: int,
 ) -> BackendConnection:
-    """Build a connection that is not open yet.
+    """Build a connection without opening it.
 
     Args:
-        address: of the server.
-        most_bytes: the largest reply that is read.
+        address: address of the server.
+        max_response_bytes: size limit of a response body, in bytes.
     """
-    http = _OneWriteConnection(
+    http = _SingleWriteConnection(
         address.host,
         address.port,
-        socket_options=_OPTIONS,
+        socket_options=_SOCKET_OPTIONS,
     )
-    return BackendConnection(http=http, most_bytes=most_bytes)
+    return BackendConnection(http=http, max_response_bytes=max_response_bytes)
 
 
-def _code_of(error: Exception) -> FailureCode:
-    """Tell a server at its limit, which resets, from nobody, who refuses."""
+def _connect_failure_code(error: Exception) -> FailureCode:
+    """Return `SHED` for a reset connection, `UNREACHABLE` otherwise."""
     cause = error.__cause__ or error.__context__
     if isinstance(cause or error, ConnectionResetError):
         return FailureCode.SHED
     return FailureCode.UNREACHABLE
 
 
-def _says(error: Exception) -> str:
-    # The library puts the connection first, whose address in memory tells nobody.
+def _describe_error(error: Exception) -> str:
+    # The last argument is the message; urllib3 puts the connection object first.
     detail = error.args[-1] if error.args else error
     return f'{type(error).__name__}: {detail}'
 
 
-def _checked(
-    call: Call,
+def _check_response(
+    request: AnyRequest,
     response: BackendResponse,
 ) -> Result[BackendResponse, Failure]:
-    if isinstance(call, ForwardCall):
-        return call.check(response)
+    if isinstance(request, ForwardCall):
+        return request.check(response)
     return Success(response)
 
 
-def _keep_ms(text: str) -> float | None:
-    """Read the timeout of a Keep-Alive header such as `timeout=5, max=9`."""
-    for word in text.split(','):
-        name, _, seconds = word.strip().partition('=')
+def _read_keep_alive_ms(text: str) -> float | None:
+    """Parse the timeout of a Keep-Alive header such as `timeout=5, max=9`."""
+    for parameter in text.split(','):
+        name, _, seconds = parameter.strip().partition('=')
         if name.lower() == 'timeout' and seconds.isdecimal():
             return float(seconds) * _MS
     return None
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_liveness.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_liveness.py
@@ -1,4 +1,4 @@
-"""Whether a backend server whose connection ended is still there."""
+"""Liveness check for a backend server after a lost connection."""
 
 import socket
 from typing import Final
@@ -8,24 +8,25 @@
 from fennelfork_daemon._address import Address
 
 _MS: Final = 1000
-# A process that ends closes its connections and its listening socket one after
-# the other.
-_SETTLE_MS: Final = 20.0
-# Nobody answers at an address whose VM is gone; that says nothing of the server.
-_CONNECT_MS: Final = 300.0
+# A terminating process closes its connections before its listening socket.
+_SHUTDOWN_DELAY_MS: Final = 20.0
+# A lost VM does not respond, which proves nothing about the server process.
+_CONNECT_TIMEOUT_MS: Final = 300.0
 
 
-def has_ended(at: Address) -> bool:
-    """Tell whether nobody listens at an address any more.
+def has_ended(server_address: Address) -> bool:
+    """Whether the VM of a backend server refuses new connections.
 
-    A connection that ends before its answer is also one that was reset on the
-    way, or that a server dropped which lives on. Only a VM that refuses a new
-    one says that the process is gone; no answer, or one connection more, does
-    not.
+    A live server may also lose a connection before its response, through a
+    network reset or a close. Only a refused connection proves that the
+    process has ended; a timeout or an accepted connection does not.
     """
-    eventlet.sleep(_SETTLE_MS / _MS)
+    eventlet.sleep(_SHUTDOWN_DELAY_MS / _MS)
     try:
-        socket.create_connection((at.host, at.port), _CONNECT_MS / _MS).close()
+        socket.create_connection(
+            (server_address.host, server_address.port),
+            _CONNECT_TIMEOUT_MS / _MS,
+        ).close()
     except ConnectionRefusedError:
         return True
     except OSError:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend server, kept as its ledger decides."""
+"""Connection pool of one backend server."""
 
 import contextlib
 from typing import Final
@@ -12,35 +12,35 @@
 from fennelfork.servers import ConnectionChoice, ConnectionLedger
 from fennelfork_daemon._address import Address
 from fennelfork_daemon.backend._call import (
-    BackendCall,
+    AnyRequest,
     BackendResponse,
-    Call,
     ForwardCall,
+    JsonRequest,
 )
 from fennelfork_daemon.backend._connection import (
     BackendConnection,
     backend_connection,
 )
-from fennelfork_daemon.backend._turns import Turns
+from fennelfork_daemon.backend._wait_queue import WaitQueue
 
-_PROBE_MS: Final = 50.0
-# Asks a backend server for a sign of life on an idle connection.
-HEALTH_PROBE: Final = BackendCall(
+_PROBE_TIMEOUT_MS: Final = 50.0
+# Request that checks whether an idle connection still works.
+HEALTH_PROBE: Final = JsonRequest(
     path='/v1/health',
     body=None,
-    timeout_ms=_PROBE_MS,
+    timeout_ms=_PROBE_TIMEOUT_MS,
 )
-# The other end closes an idle connection about when it said; a request sent
-# within the last fifth of that time may cross the close.
-_KEPT_SHARE: Final = 0.8
+# Connections are reused for this share of the announced keep-alive time, since
+# a later request may arrive while the server closes the connection.
+_KEEP_ALIVE_SHARE: Final = 0.8
 
 
 @attrs.define(kw_only=True)
 class Trace:
-    """Which connection carries a call, for who watches it.
+    """Record of the connection that carries a request.
 
     Attributes:
-        connection: its number, zero before there is one.
+        connection: number of the connection, zero before the assignment.
     """
 
     connection: int = 0
@@ -48,13 +48,13 @@
 
 @attrs.frozen(kw_only=True)
 class WhenFull:
-    """What follows if all connections are in use.
+    """Policy for requests while all connections are in use.
 
     Attributes:
-        code: of the failure.
-        wait_ms: how long to wait for one of them before.
-        reset_is_full: whether a server that resets a new connection is taken
-            to hold as many as it may, as others connect to it as well.
+        code: code of the failure.
+        wait_ms: maximum wait for a free connection, in milliseconds.
+        reset_is_full: whether the reset of a new connection means that the
+            server has reached its connection limit, which other clients share.
     """
 
     code: FailureCode = FailureCode.SHED
@@ -62,105 +62,109 @@
     reset_is_full: bool = False
 
 
-_FAIL_AT_ONCE: Final = WhenFull()
+_FAIL_IMMEDIATELY: Final = WhenFull()
 
 
 @attrs.define(kw_only=True)
 class BackendPool:
-    """Opens, reuses, probes and closes; the ledger says which."""
+    """Opens, reuses, probes and closes connections as the ledger decides."""
 
     _address: Address
     _ledger: ConnectionLedger
     _clock: Clock
-    _most_bytes: int
-    _probe: BackendCall | None
+    _max_response_bytes: int
+    _probe: JsonRequest | None
     _when_full: WhenFull
-    _turns: Turns = attrs.field(factory=Turns)
+    _wait_queue: WaitQueue = attrs.field(factory=WaitQueue)
     _open: dict[int, BackendConnection] = attrs.field(factory=dict)
 
     def carry(
         self,
-        call: Call,
+        request: AnyRequest,
         trace: Trace,
     ) -> Result[BackendResponse, Failure]:
-        """Make one call on a connection that can be trusted.
+        """Send a request on a usable connection and read the response.
 
         Args:
-            call: the call.
-            trace: where to note the connection that carries it.
+            request: request to send.
+            trace: record of the connection that carries the request.
         """
-        use = self._use(call)
-        if use is None:
+        choice = self._acquire(request)
+        if choice is None:
             return Bad(not_run(self._when_full.code, 'no connection is free'))
-        self._close(use.close)
-        if use.opened:
-            return self._carry_on_new(use.connection, call, trace)
-        if self._trusted(use):
-            return self._carry_on(use.connection, call, trace)
-        self._close((use.connection,))
-        self._ledger.release(use.connection, self._clock.now_ms(), usable=False)
-        return self.carry(call, trace)
-
-    def silence(self, trace: Trace) -> None:
-        """Close a connection that carries nothing, and its peers of age."""
+        self._close(choice.close)
+        if choice.opened:
+            return self._exchange_on_new(choice.connection, request, trace)
+        if self._is_usable(choice):
+            return self._exchange_on(choice.connection, request, trace)
+        self._close((choice.connection,))
+        self._ledger.release(
+            choice.connection, self._clock.now_ms(), usable=False
+        )
+        return self.carry(request, trace)
+
+    def discard_unresponsive(self, trace: Trace) -> None:
+        """Close an unresponsive connection and all older idle ones."""
         self._close(self._ledger.record_unresponsive(trace.connection))
 
     def retire(self) -> None:
-        """Close what idled for long."""
+        """Close connections that have been idle for too long."""
         self._close(self._ledger.evict_idle(self._clock.now_ms()))
 
     def retire_all(self) -> None:
-        """Close what idles now; calls under way end first."""
+        """Close idle connections now, and busy ones after their requests."""
         self._close(self._ledger.invalidate_all())
 
     def close(self) -> None:
-        """Close all connections; calls under way on them fail."""
+        """Close all connections; requests in flight fail."""
         self._close(tuple(self._open))
 
-    def _use(self, call: Call) -> ConnectionChoice | None:
-        """Take a connection, or wait for one that another call gives back."""
+    def _acquire(self, request: AnyRequest) -> ConnectionChoice | None:
+        """Acquire a connection, waiting for a release if all are in use."""
         now_ms = self._clock.now_ms()
-        until_ms = now_ms + min(self._when_full.wait_ms, call.timeout_ms)
-        use = self._ledger.use(now_ms, fresh=call.fresh)
-        while use is None and now_ms < until_ms:
-            self._turns.wait(until_ms - now_ms)
+        until_ms = now_ms + min(self._when_full.wait_ms, request.timeout_ms)
+        choice = self._ledger.use(now_ms, fresh=request.fresh)
+        while choice is None and now_ms < until_ms:
+            self._wait_queue.wait(until_ms - now_ms)
             now_ms = self._clock.now_ms()
-            use = self._ledger.use(now_ms, fresh=call.fresh)
-        return use
-
-    def _trusted(self, use: ConnectionChoice) -> bool:
-        """Tell whether an idle connection still carries bytes."""
-        connection = self._open[use.connection]
-        if not connection.alive or _outlived(connection, use.idle_ms):
+            choice = self._ledger.use(now_ms, fresh=request.fresh)
+        return choice
+
+    def _is_usable(self, choice: ConnectionChoice) -> bool:
+        """Whether an acquired connection can carry a request."""
+        connection = self._open[choice.connection]
+        if not connection.is_open or _exceeds_keep_alive(
+            connection, choice.idle_ms
+        ):
             return False
-        if self._probe is None or not use.probe:
+        if self._probe is None or not choice.probe:
             return True
-        answers = is_successful(connection.carry(self._probe))
-        if not answers:
-            self._close(self._ledger.record_unresponsive(use.connection))
-        return answers
+        is_responsive = is_successful(connection.carry(self._probe))
+        if not is_responsive:
+            self._close(self._ledger.record_unresponsive(choice.connection))
+        return is_responsive
 
-    def _carry_on_new(
+    def _exchange_on_new(
         self,
         number: int,
-        call: Call,
+        request: AnyRequest,
         trace: Trace,
     ) -> Result[BackendResponse, Failure]:
-        connection = backend_connection(self._address, self._most_bytes)
+        connection = backend_connection(self._address, self._max_response_bytes)
         self._open[number] = connection
-        opened = connection.open(_connect_ms(call))
+        opened = connection.open(_connect_ms(request))
         if is_successful(opened):
-            carried = self._carry_on(number, call, trace)
+            response = self._exchange_on(number, request, trace)
         else:
-            self._give_back(number, usable=False)
-            carried = Bad(opened.failure())
-        return carried.lash(self._note_turned_away)
+            self._release(number, usable=False)
+            response = Bad(opened.failure())
+        return response.lash(self._handle_refused_connection)
 
-    def _note_turned_away(
+    def _handle_refused_connection(
         self,
         failure: Failure,
     ) -> Result[BackendResponse, Failure]:
-        """Open no further connection for a moment, if that was the cause."""
+        """Map a reset new connection to the failure code of the policy."""
         if failure.code is not FailureCode.SHED:
             return Bad(failure)
         if not self._when_full.reset_is_full:
@@ -168,27 +172,27 @@
         self._ledger.record_refused_connection(self._clock.now_ms())
         return Bad(attrs.evolve(failure, code=self._when_full.code))
 
-    def _carry_on(
+    def _exchange_on(
         self,
         number: int,
-        call: Call,
+        request: AnyRequest,
         trace: Trace,
     ) -> Result[BackendResponse, Failure]:
         trace.connection = number
         with contextlib.ExitStack() as unusable:
-            # Also when the green thread of the call is ended from outside.
-            unusable.callback(self._give_back, number, usable=False)
-            carried = self._open[number].carry(call)
-            if is_successful(carried):
+            # Also runs when the green thread of the request is killed.
+            unusable.callback(self._release, number, usable=False)
+            response = self._open[number].carry(request)
+            if is_successful(response):
                 unusable.pop_all()
-                self._give_back(number, usable=True)
-        return carried
+                self._release(number, usable=True)
+        return response
 
-    def _give_back(self, number: int, *, usable: bool) -> None:
+    def _release(self, number: int, *, usable: bool) -> None:
         now_ms = self._clock.now_ms()
         if not self._ledger.release(number, now_ms, usable=usable):
             self._close((number,))
-        self._turns.wake()
+        self._wait_queue.wake_first()
 
     def _close(self, numbers: tuple[int, ...]) -> None:
         for number in numbers:
@@ -201,38 +205,38 @@
     address: Address,
     ledger: ConnectionLedger,
     clock: Clock,
-    most_bytes: int,
-    probe: BackendCall | None = HEALTH_PROBE,
-    when_full: WhenFull = _FAIL_AT_ONCE,
+    max_response_bytes: int,
+    probe: JsonRequest | None = HEALTH_PROBE,
+    when_full: WhenFull = _FAIL_IMMEDIATELY,
 ) -> BackendPool:
-    """Build the connections to one server.
+    """Build the connection pool of one server.
 
     Args:
-        address: of the server.
-        ledger: decides which connection carries a call.
-        clock: of the daemon.
-        most_bytes: the largest reply that is read.
-        probe: made on a connection that idled for long before it is used; if
-            none, such a connection is used as it is.
-        when_full: what follows if all connections are in use.
+        address: address of the server.
+        ledger: bookkeeping that chooses the connection of a request.
+        clock: clock of the daemon.
+        max_response_bytes: size limit of a response body, in bytes.
+        probe: request that checks a long idle connection before its reuse, or
+            none for reuse without a check.
+        when_full: policy while all connections are in use.
     """
     return BackendPool(
         address=address,
         ledger=ledger,
         clock=clock,
-        most_bytes=most_bytes,
+        max_response_bytes=max_response_bytes,
         probe=probe,
         when_full=when_full,
     )
 
 
-def _connect_ms(call: Call) -> float:
-    if isinstance(call, ForwardCall):
-        return min(call.connect_ms, call.timeout_ms)
-    return call.timeout_ms
+def _connect_ms(request: AnyRequest) -> float:
+    if isinstance(request, ForwardCall):
+        return min(request.connect_ms, request.timeout_ms)
+    return request.timeout_ms
 
 
-def _outlived(connection: BackendConnection, idle_ms: float) -> bool:
-    if connection.keep_ms is None:
+def _exceeds_keep_alive(connection: BackendConnection, idle_ms: float) -> bool:
+    if connection.keep_alive_ms is None:
         return False
-    return idle_ms > _KEPT_SHARE * connection.keep_ms
+    return idle_ms > _KEEP_ALIVE_SHARE * connection.keep_alive_ms
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_api.py
@@ -1,4 +1,4 @@
-"""The caller face of non-idempotent requests."""
+"""Caller API for non-idempotent requests."""
 
 import attrs
 from returns.result import Failure as Failed
@@ -6,10 +6,10 @@
 
 from fennelfork import Blackboard, Clock
 from fennelfork_daemon.execute._observer import ExecuteObserver
-from fennelfork_daemon.execute._order import (
-    ExecuteOrder,
-    doubted,
+from fennelfork_daemon.execute._received_request import (
+    ReceivedRequest,
     read_execute,
+    with_unknown_verdict,
 )
 from fennelfork_daemon.execute._service import ExecuteService
 from fennelfork_daemon.http._body import body_limits, refused_body
@@ -25,8 +25,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class ExecuteFace:
-    """Answers callers that want something done once."""
+class ExecuteApi:
+    """Serves non-idempotent requests of callers over HTTP."""
 
     _service: ExecuteService
     _board: Blackboard
@@ -36,7 +36,7 @@
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """The routes of this face."""
+        """HTTP routes of non-idempotent requests."""
         return (
             Route(
                 method='POST',
@@ -46,33 +46,33 @@
         )
 
     def execute(self, request: HttpRequest) -> HttpReply:
-        """Answer one request."""
+        """Parse a request, run it and return the HTTP response."""
         limits = body_limits(self._settings)
         body = read_json_object(request.environ, limits)
         if isinstance(body, Failed):
             refusal = body.failure()
-            doubt = doubted(refusal.failure)
+            failure = with_unknown_verdict(refusal.failure)
             return refused_body(
                 request,
-                attrs.evolve(refusal, failure=doubt),
+                attrs.evolve(refusal, failure=failure),
             )
         tree = body.unwrap()
-        order = read_execute(
+        received = read_execute(
             request.names['front'],
             tree,
             self._clock.now_ms(),
             self._settings.timeouts.longest_deadline_ms,
         )
-        if isinstance(order, Success):
-            return self._answer(order.unwrap())
-        return failure_reply(order.failure(), str(tree.get('request_id')))
+        if isinstance(received, Success):
+            return self._answer(received.unwrap())
+        return failure_reply(received.failure(), str(tree.get('request_id')))
 
-    def _answer(self, order: ExecuteOrder) -> HttpReply:
+    def _answer(self, received: ReceivedRequest) -> HttpReply:
         started_ms = self._clock.now_ms()
-        result = self._service.answer(order)
+        result = self._service.answer(received)
         took_ms = self._clock.now_ms() - started_ms
-        self._observer.answered(order, result, took_ms)
-        request = order.request
+        self._observer.record_answer(received, result, took_ms)
+        request = received.request
         if isinstance(result, Failed):
             return failure_reply(result.failure(), request.request_id)
         return json_reply(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
@@ -1,4 +1,4 @@
-"""Builds what a daemon needs for non-idempotent requests."""
+"""Builds the components of a daemon for non-idempotent requests."""
 
 import random
 from typing import Final
@@ -7,13 +7,13 @@
 
 from fennelfork import Blackboard, Clock
 from fennelfork.once import OnceGate, once_gate, ticket_key
-from fennelfork_daemon.execute._connection import ExecutePatience
-from fennelfork_daemon.execute._face import ExecuteFace
+from fennelfork_daemon.execute._api import ExecuteApi
+from fennelfork_daemon.execute._connection import ExecuteTimeouts
 from fennelfork_daemon.execute._observer import ExecuteObserver
 from fennelfork_daemon.execute._peer import ExecutePeer
 from fennelfork_daemon.execute._runner import ExecuteRunner
 from fennelfork_daemon.execute._service import ExecuteService
-from fennelfork_daemon.execute._targets import execute_targets
+from fennelfork_daemon.execute._targets import home_target_finder
 from fennelfork_daemon.execute._ticket_issuer import TicketIssuer
 from fennelfork_daemon.home._calls import Home
 from fennelfork_daemon.peer._client import PeerClient
@@ -22,21 +22,21 @@
 
 _SECRET_BYTES: Final = 32
 _INCARNATION_BITS: Final = 62
-_MOST_RUNNING: Final = 64
+_MAX_RUNNING: Final = 64
 _SETTLE_MS: Final = 10_000
 
 
 @attrs.frozen(kw_only=True)
 class ExecuteParts:
-    """What the daemon wires into its faces.
+    """Components that the daemon adds to its APIs.
 
     Attributes:
-        face: routes of the caller face.
-        issuer: tickets for entry answers.
-        peer: the peer face's part.
+        face: caller API for non-idempotent requests.
+        issuer: issuer of the tickets in entry answers.
+        peer: peer RPC handler for forwarded requests.
     """
 
-    face: ExecuteFace
+    face: ExecuteApi
     issuer: TicketIssuer
     peer: ExecutePeer
 
@@ -48,14 +48,14 @@
     settings: Settings,
     observer: Observer,
 ) -> ExecuteParts:
-    """Build the parts of a new incarnation.
+    """Build the components of a new incarnation.
 
     Args:
-        board: the facts of the daemon.
-        clock: its monotonic clock.
-        home: the home side of the same daemon.
-        settings: of the daemon.
-        observer: counts and remembers the answers.
+        board: blackboard of the daemon.
+        clock: monotonic clock of the daemon.
+        home: home service of the same daemon.
+        settings: settings of the daemon.
+        observer: source of the metrics and of the ring of recent answers.
     """
     gate = _new_gate(board.local.name, clock)
     service = ExecuteService(
@@ -63,19 +63,19 @@
         runner=ExecuteRunner(
             table=gate.table,
             clock=clock,
-            targets=execute_targets(board, clock, home),
-            patience=ExecutePatience(
+            target_finder=home_target_finder(board, clock, home),
+            timeouts=ExecuteTimeouts(
                 probe_ms=settings.timeouts.connect_ms,
                 settle_ms=_SETTLE_MS,
             ),
-            limit=_MOST_RUNNING,
+            limit=_MAX_RUNNING,
         ),
         board=board,
         peers=PeerClient(),
         clock=clock,
     )
     return ExecuteParts(
-        face=ExecuteFace(
+        face=ExecuteApi(
             service=service,
             board=board,
             clock=clock,
@@ -97,7 +97,7 @@
 
 
 def _new_gate(name: str, clock: Clock) -> OnceGate:
-    """Build a gate whose key no other incarnation can have."""
+    """Build a gate with a ticket key that is unique to this incarnation."""
     rng = random.SystemRandom()
     incarnation = rng.getrandbits(_INCARNATION_BITS)
     key = ticket_key(name, incarnation, rng.randbytes(_SECRET_BYTES))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
@@ -1,8 +1,8 @@
-"""One attempt to run a non-idempotent request on one backend server.
+"""Attempt to run a non-idempotent request on one backend server.
 
-The connection is new, and used for a probe before the request: a server that
-is gone, frozen or out of connections is found before a byte of the request is
-sent. The attempt is never repeated on the same connection.
+Each attempt opens a new connection and probes the server on it first, so an
+unreachable, unresponsive or full server is detected before any byte of the
+request is sent. The request is sent at most once on the connection.
 """
 
 import contextlib
@@ -22,15 +22,15 @@
 from fennelfork.once import ExecuteCall, classify_execute_response
 
 _MS: Final = 1000
-_OK: Final = 200
+_HTTP_OK: Final = 200
 _DRAINING: Final = 'draining'
-_REPLY_BYTES: Final = 65_536
-_ERRORS: Final = (HTTPError, HTTPException, OSError, eventlet.Timeout)
+_MAX_RESPONSE_BYTES: Final = 65_536
+_TRANSPORT_ERRORS: Final = (HTTPError, HTTPException, OSError, eventlet.Timeout)
 
 
 @attrs.frozen(kw_only=True)
 class ExecuteTarget:
-    """A backend server that may run the request."""
+    """Address of a backend server that can run a request."""
 
     name: str
     host: str
@@ -38,13 +38,13 @@
 
 
 @attrs.frozen(kw_only=True)
-class ExecutePatience:
-    """How long an attempt may take.
+class ExecuteTimeouts:
+    """Timeouts of an attempt.
 
     Attributes:
-        probe_ms: to connect and be answered the probe.
-        settle_ms: to wait for the reply beyond the deadline that the server
-            was given, so that a late outcome is still learnt.
+        probe_ms: timeout for the connection and the probe, in milliseconds.
+        settle_ms: additional wait for the response after the deadline of the
+            server, in milliseconds, so that a late outcome is recorded.
     """
 
     probe_ms: float
@@ -52,99 +52,103 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Window:
-    """When the server may start.
+class _StartWindow:
+    """Time window in which the server may start the request.
 
     Attributes:
-        left_ms: how long from when it reads the request.
-        not_after_ms: until which reading of its own clock, if it tells one;
-            this also bounds the time that the request waits unread.
+        remaining_ms: length of the window from the moment when the server reads
+            the request, in milliseconds.
+        not_after_ms: latest start on the clock of the server, if the server
+            reports its clock; also bounds the time that the request waits in
+            a socket buffer.
     """
 
-    left_ms: float
+    remaining_ms: float
     not_after_ms: float | None
 
 
-# Asked immediately before the first byte is sent; gives the milliseconds
-# within which the server must have run the request.
-Leave = Callable[[], Result[float, Failure]]
+# Called immediately before the first byte is sent. Returns the time in
+# milliseconds in which the server must run the request, or a refusal.
+BeginSend = Callable[[], Result[float, Failure]]
 
 
 def attempt_execute(
     target: ExecuteTarget,
     call: ExecuteCall,
-    leave: Leave,
-    patience: ExecutePatience,
+    begin_send: BeginSend,
+    timeouts: ExecuteTimeouts,
 ) -> Result[str, Failure]:
-    """Probe a backend server and, if it answers, send it the request.
+    """Probe a backend server and send the request if the probe succeeds.
 
     Args:
-        target: the backend server.
-        call: the attempt.
-        leave: the last check before the send.
-        patience: how long to wait.
+        target: address of the backend server.
+        call: request of the attempt.
+        begin_send: final check before the request is sent.
+        timeouts: timeouts of the attempt.
 
     Returns:
-        The outcome, or a failure that says `NOT_RUN` only if no byte of the
-        request was sent or the server itself says so.
+        The outcome, or a failure. The verdict is `NOT_RUN` only if no byte of
+        the request was sent or the server reports this verdict.
     """
     with contextlib.closing(
         HTTPConnection(target.host, target.port),
     ) as connection:
-        return _attempt(connection, target, call, leave, patience)
+        return _attempt(connection, target, call, begin_send, timeouts)
 
 
 def _attempt(
     connection: HTTPConnection,
     target: ExecuteTarget,
     call: ExecuteCall,
-    leave: Leave,
-    patience: ExecutePatience,
+    begin_send: BeginSend,
+    timeouts: ExecuteTimeouts,
 ) -> Result[str, Failure]:
-    probed = _probe(connection, target, patience.probe_ms)
+    probed = _probe(connection, target, timeouts.probe_ms)
     if isinstance(probed, Failed):
         return Failed(probed.failure())
-    # Without this, a connection lost since the probe would be opened anew.
+    # Prevents a reconnect, without a probe, if the connection is lost.
     connection.auto_open = 0
-    left = leave()
-    if isinstance(left, Failed):
-        return Failed(left.failure())
-    window = _window(left.unwrap(), probed.unwrap())
-    return _send(connection, target, call, window, patience)
-
-
-def _window(left_ms: float, server_now_ms: float | None) -> _Window:
-    # The server's reading is older than `left_ms`, so this errs on the early
-    # side, whatever either process spent paused in between.
-    not_after_ms = None if server_now_ms is None else server_now_ms + left_ms
-    return _Window(left_ms=left_ms, not_after_ms=not_after_ms)
+    remaining = begin_send()
+    if isinstance(remaining, Failed):
+        return Failed(remaining.failure())
+    window = _window(remaining.unwrap(), probed.unwrap())
+    return _send(connection, target, call, window, timeouts)
+
+
+def _window(remaining_ms: float, server_now_ms: float | None) -> _StartWindow:
+    # The clock reading predates `remaining_ms`, so the computed limit is never too
+    # late, even if a process was paused in between.
+    not_after_ms = (
+        None if server_now_ms is None else server_now_ms + remaining_ms
+    )
+    return _StartWindow(remaining_ms=remaining_ms, not_after_ms=not_after_ms)
 
 
 def _probe(
     connection: HTTPConnection,
     target: ExecuteTarget,
-    within_ms: float,
+    timeout_ms: float,
 ) -> Result[float | None, Failure]:
-    """Give the reading of the server's clock, none if it tells none."""
-    timeout = eventlet.Timeout(within_ms / _MS)
+    """Probe the server and return its clock reading, if reported."""
+    timeout = eventlet.Timeout(timeout_ms / _MS)
     try:
         return _ask_health(connection)
-    except _ERRORS as error:
-        fault = type(error).__name__
+    except _TRANSPORT_ERRORS as error:
+        error_name = type(error).__name__
     finally:
         timeout.cancel()
-    detail = f'backend server {target.name} failed the probe: {fault}'
+    detail = f'backend server {target.name} failed the probe: {error_name}'
     return Failed(not_run(FailureCode.UNREACHABLE, detail))
 
 
 def _ask_health(connection: HTTPConnection) -> Result[float | None, Failure]:
-    """Ask a server that may be leaving, which must get no new work."""
+    """Request the health of the server, which fails if it is draining."""
     connection.request('GET', '/v1/health', preload_content=False)
     response = connection.getresponse()
-    content = response.read(_REPLY_BYTES)
-    usable = response.status == _OK and not response.length_remaining
+    content = response.read(_MAX_RESPONSE_BYTES)
+    usable = response.status == _HTTP_OK and not response.length_remaining
     if not usable or connection.sock is None:
-        detail = f'the probe was answered with status {response.status}'
+        detail = f'the probe response is unusable: status {response.status}'
         return Failed(not_run(FailureCode.UNREACHABLE, detail))
     return _read_health(content)
 
@@ -155,38 +159,38 @@
     except ValueError:
         health = None
     if not isinstance(health, dict):
-        detail = 'the probe was answered with something else'
+        detail = 'the probe response is not a JSON object'
         return Failed(not_run(FailureCode.UNREACHABLE, detail))
     if health.get('state') == _DRAINING:
         return Failed(not_run(FailureCode.DRAINING, 'the server is draining'))
-    told = health.get('now_ms')
-    return Success(told if isinstance(told, int | float) else None)
+    now_ms = health.get('now_ms')
+    return Success(now_ms if isinstance(now_ms, int | float) else None)
 
 
 def _send(
     connection: HTTPConnection,
     target: ExecuteTarget,
     call: ExecuteCall,
-    window: _Window,
-    patience: ExecutePatience,
+    window: _StartWindow,
+    timeouts: ExecuteTimeouts,
 ) -> Result[str, Failure]:
-    timeout = eventlet.Timeout((window.left_ms + patience.settle_ms) / _MS)
+    timeout = eventlet.Timeout((window.remaining_ms + timeouts.settle_ms) / _MS)
     try:
         return _exchange(connection, call, window)
-    except _ERRORS as error:
-        fault = type(error).__name__
+    except _TRANSPORT_ERRORS as error:
+        error_name = type(error).__name__
     finally:
         timeout.cancel()
-    detail = f'backend server {target.name} gave no reply: {fault}'
+    detail = f'backend server {target.name} sent no response: {error_name}'
     return Failed(may_have_run(FailureCode.UNREACHABLE, detail))
 
 
 def _exchange(
     connection: HTTPConnection,
     call: ExecuteCall,
-    window: _Window,
+    window: _StartWindow,
 ) -> Result[str, Failure]:
-    body = {**attrs.asdict(call), 'deadline_ms': int(window.left_ms)}
+    body = {**attrs.asdict(call), 'deadline_ms': int(window.remaining_ms)}
     if window.not_after_ms is not None:
         body['not_after_ms'] = window.not_after_ms
     connection.request(
@@ -197,5 +201,5 @@
         preload_content=False,
     )
     response = connection.getresponse()
-    content = response.read(_REPLY_BYTES)
+    content = response.read(_MAX_RESPONSE_BYTES)
     return classify_execute_response(call, response.status, content)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
@@ -1,4 +1,4 @@
-"""Answers non-idempotent requests, here or through the right incarnation."""
+"""Service that answers or forwards non-idempotent requests."""
 
 from typing import Final
 
@@ -24,21 +24,21 @@
     StartExecution,
     unknown_outcome,
 )
-from fennelfork_daemon.execute._codec import order_to_peer, reply_from_peer
-from fennelfork_daemon.execute._order import ExecuteOrder
+from fennelfork_daemon.execute._codec import reply_from_peer, request_to_peer
+from fennelfork_daemon.execute._received_request import ReceivedRequest
 from fennelfork_daemon.execute._runner import ExecuteRunner
 from fennelfork_daemon.peer._client import PeerClient
 
-_MOST_PASSES: Final = 2
-_TOO_LATE: Final = not_run(
+_MAX_FORWARDS: Final = 2
+_DEADLINE_PASSED: Final = not_run(
     FailureCode.DEADLINE,
-    'the deadline passed before anything was sent',
+    'the deadline passed before the request was sent',
 )
 
 
 @attrs.define(kw_only=True)
 class ExecuteService:
-    """The non-idempotent requests of one daemon."""
+    """Answers the non-idempotent requests that reach one daemon."""
 
     _gate: OnceGate
     _runner: ExecuteRunner
@@ -46,24 +46,24 @@
     _peers: PeerClient
     _clock: Clock
 
-    def answer(self, order: ExecuteOrder) -> Result[str, Failure]:
-        """Answer a caller.
+    def answer(self, received: ReceivedRequest) -> Result[str, Failure]:
+        """Answer a request of a caller.
 
         Returns:
             The outcome, or a failure; see `docs/operators/at-most-once.md`
-            for what a caller may do after each verdict.
+            for the permitted actions of a caller after each verdict.
         """
-        routed = self._gate.route(order.request)
+        routed = self._gate.route(received.request)
         if isinstance(routed, Failed):
             return Failed(routed.failure())
-        place = routed.unwrap()
-        if isinstance(place, ForwardToPeer):
-            return self._pass_on(place, order)
-        return self.answer_here(order)
+        route = routed.unwrap()
+        if isinstance(route, ForwardToPeer):
+            return self._forward(route, received)
+        return self.answer_locally(received)
 
-    def answer_here(self, order: ExecuteOrder) -> Result[str, Failure]:
-        """Answer a request as the incarnation that its ticket should name."""
-        request = order.request
+    def answer_locally(self, received: ReceivedRequest) -> Result[str, Failure]:
+        """Answer a request whose ticket names this incarnation."""
+        request = received.request
         admitted = self._gate.admit(request)
         if isinstance(admitted, Failed):
             return Failed(admitted.failure())
@@ -71,41 +71,52 @@
         if isinstance(admission, ReplayAnswer):
             return admission.answer
         if isinstance(admission, StartExecution):
-            self._runner.start(request, order.deadline_at_ms)
-        ended = self._runner.wait(request.request_id, self._left_ms(order))
+            self._runner.start(request, received.deadline_at_ms)
+        ended = self._runner.wait(
+            request.request_id, self._remaining_ms(received)
+        )
         if isinstance(admission, StartExecution) and not ended:
-            self._gate.table.abandon_unsent(request.request_id, _TOO_LATE)
-        return _told(self._gate.table.state(request.request_id))
+            self._gate.table.abandon_unsent(
+                request.request_id, _DEADLINE_PASSED
+            )
+        return _result_of_state(self._gate.table.state(request.request_id))
 
-    def _pass_on(
+    def _forward(
         self,
-        place: ForwardToPeer,
-        order: ExecuteOrder,
+        route: ForwardToPeer,
+        received: ReceivedRequest,
     ) -> Result[str, Failure]:
-        """Ask the daemon of the ticket, whose memory makes repeats safe."""
-        member = self._board.members.get(place.daemon)
+        """Forward a request to the daemon of its ticket.
+
+        A retry is safe, since that daemon detects duplicate requests.
+        """
+        member = self._board.members.get(route.daemon)
         if member is None:
             return Failed(
-                unknown_outcome('the daemon of the ticket is not known')
+                unknown_outcome(
+                    'the daemon of the ticket is not a known member'
+                )
             )
-        for _ in range(_MOST_PASSES):
-            left_ms = self._left_ms(order)
+        for _ in range(_MAX_FORWARDS):
+            remaining_ms = self._remaining_ms(received)
             reply = self._peers.call(
                 member.peer,
                 'execute',
-                order_to_peer(order.request, order.traffic_class, left_ms),
-                left_ms,
+                request_to_peer(
+                    received.request, received.traffic_class, remaining_ms
+                ),
+                remaining_ms,
             )
             if isinstance(reply, Success):
                 return reply_from_peer(reply.unwrap())
         detail = f'the daemon of the ticket: {reply.failure().detail}'
         return Failed(unknown_outcome(detail))
 
-    def _left_ms(self, order: ExecuteOrder) -> float:
-        return order.deadline_at_ms - self._clock.now_ms()
+    def _remaining_ms(self, received: ReceivedRequest) -> float:
+        return received.deadline_at_ms - self._clock.now_ms()
 
 
-def _told(state: OnceState | None) -> Result[str, Failure]:
+def _result_of_state(state: OnceState | None) -> Result[str, Failure]:
     if isinstance(state, Done):
         return Success(state.outcome)
     if isinstance(state, Ended):
@@ -113,6 +124,6 @@
     return Failed(
         may_have_run(
             FailureCode.DEADLINE,
-            'still in progress; ask again under the same request id',
+            'the request is still in progress; retry with the same request id',
         ),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -1,4 +1,4 @@
-"""Finds the backend servers of a record through the homes of its front."""
+"""Lookup of the backend servers of a record through home daemons."""
 
 import random
 from typing import Final
@@ -13,90 +13,92 @@
 from fennelfork.placement import peer_health
 from fennelfork_daemon._address import address
 from fennelfork_daemon.execute._connection import ExecuteTarget
-from fennelfork_daemon.home._calls import Home, HomeCalls
+from fennelfork_daemon.home._calls import Home, HomeClient
 from fennelfork_daemon.peer._client import PeerClient
-from fennelfork_daemon.root._describer import Describer
+from fennelfork_daemon.root._describer import ShardDescriber
 from fennelfork_daemon.root._view_cache import ViewCache
 
-_RETRY_MS: Final = 1000
+_RETRY_AFTER_MS: Final = 1000
 
 
 @attrs.define(kw_only=True)
-class ExecuteTargets:
-    """What is known of where records are, asked for when it is not."""
+class HomeTargetFinder:
+    """Finds the servers of records in shard views from home daemons."""
 
     _board: Blackboard
-    _describer: Describer
+    _describer: ShardDescriber
     _views: ViewCache
     _rng: random.Random
-    _leaving: DrainingServers
+    _draining: DrainingServers
 
     def find(
         self,
         request: ExecuteRequest,
         deadline_at_ms: float,
     ) -> Result[tuple[ExecuteTarget, ...], Failure]:
-        """List the servers that hold the record of a request, best first.
+        """Return the servers that hold a record, in order of preference.
 
         Args:
-            request: the request.
-            deadline_at_ms: reading of the clock until which homes are asked.
+            request: request that names the record.
+            deadline_at_ms: clock reading of the deadline, in milliseconds.
         """
         front = self._board.front(request.front)
         if front is None:
             detail = f'there is no front {request.front!r}'
             return Failed(not_run(FailureCode.UNKNOWN_FRONT, detail))
-        self._describer.learn(request.front, front, deadline_at_ms)
+        self._describer.describe_unknown(request.front, front, deadline_at_ms)
         servers = servers_for_record(
             front,
-            self._views.known(request.front),
+            self._views.for_front(request.front),
             request.key,
             self._board.local.data_centre,
             self._rng,
         )
-        staying = self._leaving.exclude_draining(servers)
-        if servers and not staying:
-            detail = 'every server of the record is leaving'
-            return Failed(not_run(FailureCode.DRAINING, detail, _RETRY_MS))
-        return Success(tuple(_target(named) for named in staying))
+        candidates = self._draining.exclude_draining(servers)
+        if servers and not candidates:
+            detail = 'every server that holds the record is draining'
+            return Failed(
+                not_run(FailureCode.DRAINING, detail, _RETRY_AFTER_MS)
+            )
+        return Success(tuple(_target(named) for named in candidates))
 
-    def forget(self, request: ExecuteRequest) -> None:
-        """Ask anew, as the servers that were named do not hold the record."""
-        self._views.keep_only(request.front, ())
+    def invalidate(self, request: ExecuteRequest) -> None:
+        """Discard the cached views of the front, which are outdated."""
+        self._views.retain_shards(request.front, ())
 
-    def note_leaving(self, target: ExecuteTarget) -> None:
-        """Leave a server out for a while, as it refuses as draining."""
-        self._leaving.record_refusal(f'{target.host}:{target.port}')
+    def record_draining(self, target: ExecuteTarget) -> None:
+        """Exclude a draining server temporarily."""
+        self._draining.record_refusal(f'{target.host}:{target.port}')
 
 
-def execute_targets(
+def home_target_finder(
     board: Blackboard,
     clock: Clock,
     home: Home,
-) -> ExecuteTargets:
-    """Build the search for servers, which asks homes and knows none yet."""
+) -> HomeTargetFinder:
+    """Build a target finder with an empty view cache."""
     health = peer_health(clock)
     views = ViewCache()
-    calls = HomeCalls(
+    homes = HomeClient(
         local_name=board.local.name,
         local=home,
         peers=PeerClient(),
         health=health,
-        doubted=board.unreachable_peers,
+        unreachable=board.unreachable_peers,
     )
-    describer = Describer(
+    describer = ShardDescriber(
         board=board,
-        calls=calls,
+        homes=homes,
         health=health,
         views=views,
         clock=clock,
     )
-    return ExecuteTargets(
+    return HomeTargetFinder(
         board=board,
         describer=describer,
         views=views,
         rng=random.Random(),
-        leaving=draining_servers(clock),
+        draining=draining_servers(clock),
     )
 
 
--- a/packages/fennelfork-daemon/tests/daemon_builders_answers.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_answers.py
@@ -1,4 +1,4 @@
-"""Builders of a root whose homes do what a test says."""
+"""Builders for a root scatter with fake home daemons."""
 
 import json
 
@@ -51,66 +51,71 @@
 
 
 @attrs.define(kw_only=True)
-class FakeCalls:
-    """Homes in the order in which they are asked.
+class FakeHomes:
+    """Fake client for home daemons.
 
     Attributes:
-        answers: what each home asked in turn replies; none never replies.
-        asked: the names of the homes that were asked.
+        replies: failure for each request, in order; none stands for a missing
+            reply.
+        asked: names of the home daemons that received requests or probes.
     """
 
-    answers: list[Failure | None]
+    replies: list[Failure | None]
     asked: list[str] = attrs.field(factory=list)
 
     def scatter(
         self,
         home: Member,
-        order: ScatterRequest,
+        request: ScatterRequest,
         timeout_ms: float,
     ) -> Result[ScatterOutcome, Failure]:
-        """Refuse each part, or the whole call."""
+        """Fail each sub-query if the reply is `SHED`, else the request."""
         self.asked.append(home.name)
-        answer = self.answers[len(self.asked) - 1]
-        if answer is not SHED:
-            return Bad(answer or NO_REPLY)
+        failure = self.replies[len(self.asked) - 1]
+        if failure is not SHED:
+            return Bad(failure or NO_REPLY)
         parts = tuple(
-            SubQueryOutcome(planned=planned, failure=answer)
-            for planned in order.planned
+            SubQueryOutcome(planned=planned, failure=failure)
+            for planned in request.planned
         )
         return Success(
             ScatterOutcome(parts=parts, shards=(), config_version=1),
         )
 
-    def lives(self, home: Member, front: str, timeout_ms: float) -> bool:
-        """Give no sign of life."""
+    def is_responsive(
+        self, home: Member, front: str, timeout_ms: float
+    ) -> bool:
+        """Report the home daemon as unresponsive."""
         return False
 
 
 @attrs.define(kw_only=True)
-class HalfShed(FakeCalls):
-    """Homes of which one sheds, and the others stay busy for ever."""
+class OneHomeSheds(FakeHomes):
+    """Fake client where shard `s0` is shed and other requests hang."""
 
     def scatter(
         self,
         home: Member,
-        order: ScatterRequest,
+        request: ScatterRequest,
         timeout_ms: float,
     ) -> Result[ScatterOutcome, Failure]:
-        """Refuse the parts of `s0`, work on all others."""
-        if order.planned[0].shard != 's0':
+        """Fail the sub-queries of `s0` and hang for other shards."""
+        if request.planned[0].shard != 's0':
             self.asked.append(home.name)
             eventlet.sleep(timeout_ms)
-        return FakeCalls.scatter(self, home, order, timeout_ms)
+        return FakeHomes.scatter(self, home, request, timeout_ms)
 
-    def lives(self, home: Member, front: str, timeout_ms: float) -> bool:
-        """Note that a sign of life was asked for."""
-        self.asked.append(f'{home.name} lives?')
+    def is_responsive(
+        self, home: Member, front: str, timeout_ms: float
+    ) -> bool:
+        """Record the probe and report the home daemon as responsive."""
+        self.asked.append(f'{home.name} probed')
         return True
 
 
-def half_shed(demand: CoverageDemand) -> tuple[HalfShed, Merge]:
-    """Run one round in which one of two shards is shed at once."""
-    calls = HalfShed(answers=[SHED, SHED])
+def scatter_with_one_shed(demand: CoverageDemand) -> tuple[OneHomeSheds, Merge]:
+    """Run a scatter in which one of two shards is shed immediately."""
+    homes = OneHomeSheds(replies=[SHED, SHED])
     halves = {'s0': key_range(0, 5), 's1': key_range(5, 10)}
     partition = PartitionMap(
         snapshot=1,
@@ -119,25 +124,27 @@
         ),
     )
     merge = plan_merge('r1', partition, _WHOLE)
-    root = _root(calls, demand, tuple(halves))
+    root = _root_scatter(homes, demand, tuple(halves))
     root.run(merge)
-    return calls, merge
+    return homes, merge
 
 
-def scattered(answers: list[Failure | None]) -> tuple[FakeCalls, Merge]:
-    """Run one round over homes that answer so."""
-    calls = FakeCalls(answers=answers)
+def scatter_over_homes(
+    replies: list[Failure | None],
+) -> tuple[FakeHomes, Merge]:
+    """Run a scatter over home daemons with the given replies."""
+    homes = FakeHomes(replies=replies)
     partition = PartitionMap(
         snapshot=1,
         assignments=(Assignment(shard='s0', span=_WHOLE),),
     )
     merge = plan_merge('r1', partition, _WHOLE)
-    _root(calls).run(merge)
-    return calls, merge
+    _root_scatter(homes).run(merge)
+    return homes, merge
 
 
-def _root(
-    calls: FakeCalls,
+def _root_scatter(
+    homes: FakeHomes,
     demand: CoverageDemand = _WHOLE_DEMAND,
     shards: tuple[str, ...] = ('s0',),
 ) -> RootScatter:
@@ -157,7 +164,7 @@
         request=request,
         query_text=json.dumps(request.query),
         board=_board(shards),
-        calls=calls,
+        homes=homes,
         health=peer_health(clock),
         views=ViewCache(),
         clock=clock,
--- a/packages/fennelfork-daemon/tests/test_backend_connection.py
+++ b/packages/fennelfork-daemon/tests/test_backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend server, over a real socket."""
+"""HTTP connection to a backend server over a real socket."""
 
 import socket
 import struct
@@ -11,106 +11,108 @@
 
 from fennelfork import FailureCode, Verdict
 from fennelfork_daemon._address import Address
-from fennelfork_daemon.backend._call import BackendCall
+from fennelfork_daemon.backend._call import JsonRequest
 from fennelfork_daemon.backend._connection import backend_connection
 
-_CAP_S = 20
+_TIMEOUT_S = 20
 _NO_LINGER = struct.pack('ii', 1, 0)
-_NOBODY = Address(host='127.0.0.1', port=1)
-_CALL = BackendCall(path='/v1/search', body={'keys': [1]}, timeout_ms=20_000)
-_FINE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}'
+_UNUSED_ADDRESS = Address(host='127.0.0.1', port=1)
+_REQUEST = JsonRequest(path='/v1/search', body={'keys': [1]}, timeout_ms=20_000)
+_VALID_RESPONSE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}'
 
 
-class _OneReply:
-    """A server that reads once and sends what a test says."""
+class _SingleResponseServer:
+    """Server that reads once and sends a fixed response."""
 
     def __init__(self) -> None:
-        self.reply = _FINE
+        self.response = _VALID_RESPONSE
         self.first_read = b''
         self.listener = socket.create_server(('127.0.0.1', 0))
-        self.listener.settimeout(_CAP_S)
+        self.listener.settimeout(_TIMEOUT_S)
         self.thread = threading.Thread(target=self.serve)
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """Address of the listener."""
         host, port = self.listener.getsockname()
         return Address(host=host, port=port)
 
     def serve(self) -> None:
-        """Answer one connection."""
+        """Serve one connection."""
         accepted, _ = self.listener.accept()
         with closing(accepted):
-            accepted.settimeout(_CAP_S)
+            accepted.settimeout(_TIMEOUT_S)
             self.first_read = accepted.recv(65_536)
-            accepted.sendall(self.reply)
+            accepted.sendall(self.response)
 
 
 @pytest.fixture
-def server() -> Iterator[_OneReply]:
-    """Give a server that ends with the test."""
-    own = _OneReply()
-    own.thread.start()
-    yield own
-    own.thread.join(_CAP_S)
-    own.listener.close()
+def server() -> Iterator[_SingleResponseServer]:
+    """Run a server for the duration of the test."""
+    test_server = _SingleResponseServer()
+    test_server.thread.start()
+    yield test_server
+    test_server.thread.join(_TIMEOUT_S)
+    test_server.listener.close()
 
 
 class TestBackendConnection:
-    """What goes over the wire, and what is made of what comes back."""
+    """Bytes on the wire and the classification of responses and errors."""
 
-    def test_request_goes_in_one_write(self, server: _OneReply) -> None:
-        """Head and body arrive with the first read of the server."""
+    def test_request_goes_in_one_write(
+        self, server: _SingleResponseServer
+    ) -> None:
+        """Head and body arrive in the first read of the server."""
         connection = backend_connection(server.address, 1000)
-        connection.open(_CALL.timeout_ms)
-        response = connection.carry(_CALL).unwrap()
+        connection.open(_REQUEST.timeout_ms)
+        response = connection.carry(_REQUEST).unwrap()
         assert (response.status, response.body) == (200, b'{}')
         assert server.first_read.endswith(b'{"keys": [1]}')
 
     @pytest.mark.parametrize(
-        ('reply', 'code'),
+        ('response', 'code'),
         [
             (b'no HTTP at all\r\n\r\n', FailureCode.UNREACHABLE),
-            (_FINE.replace(b': 2', b': 9'), FailureCode.UNREACHABLE),
+            (_VALID_RESPONSE.replace(b': 2', b': 9'), FailureCode.UNREACHABLE),
             (b'', FailureCode.UNREACHABLE),
-            (_FINE.replace(b'2\r', b'2000\r') + bytes(2000), None),
+            (_VALID_RESPONSE.replace(b'2\r', b'2000\r') + bytes(2000), None),
         ],
     )
-    def test_a_broken_reply_may_have_run(
+    def test_invalid_response_may_have_run(
         self,
-        server: _OneReply,
-        reply: bytes,
+        server: _SingleResponseServer,
+        response: bytes,
         code: FailureCode | None,
     ) -> None:
-        """Garbage, a body cut off, silence, a body that is too long."""
-        server.reply = reply
+        """Covers garbage, a truncated body, no response and a long body."""
+        server.response = response
         connection = backend_connection(server.address, 1000)
-        connection.open(_CALL.timeout_ms)
-        failure = connection.carry(_CALL).failure()
+        connection.open(_REQUEST.timeout_ms)
+        failure = connection.carry(_REQUEST).failure()
         assert failure.code is (code or FailureCode.BAD_REPLY)
         assert failure.verdict is Verdict.MAY_HAVE_RUN
 
-    def test_extra_bytes_spoil_the_connection(self) -> None:
-        """What follows a whole reply belongs to no call of ours."""
+    def test_extra_bytes_invalidate_the_connection(self) -> None:
+        """Bytes after a complete response belong to no request."""
         with socket.create_server(('127.0.0.1', 0)) as listener:
             host, port = listener.getsockname()
             connection = backend_connection(Address(host=host, port=port), 1000)
-            connection.open(_CALL.timeout_ms)
-            far = listener.accept()[0]
-        with closing(far):
-            far.sendall(_FINE)
-            assert connection.carry(_CALL).unwrap().body == b'{}'
-            assert connection.alive
-            far.sendall(_FINE)
-            assert not connection.alive
+            connection.open(_REQUEST.timeout_ms)
+            peer_socket = listener.accept()[0]
+        with closing(peer_socket):
+            peer_socket.sendall(_VALID_RESPONSE)
+            assert connection.carry(_REQUEST).unwrap().body == b'{}'
+            assert connection.is_open
+            peer_socket.sendall(_VALID_RESPONSE)
+            assert not connection.is_open
         connection.close()
 
-    def test_a_refused_connection_is_not_run(self) -> None:
-        """No byte was sent where nobody listens."""
+    def test_refused_connection_is_not_run(self) -> None:
+        """No byte is sent to an address without a listener."""
         with closing(socket.create_server(('127.0.0.1', 0))) as closed:
             host, port = closed.getsockname()
         connection = backend_connection(Address(host=host, port=port), 1000)
-        failure = connection.open(_CALL.timeout_ms).failure()
+        failure = connection.open(_REQUEST.timeout_ms).failure()
         assert failure.verdict is Verdict.NOT_RUN
 
     @pytest.mark.parametrize(
@@ -121,19 +123,19 @@
             (TimeoutError, FailureCode.UNREACHABLE),
         ],
     )
-    def test_a_reset_is_no_refusal(
+    def test_reset_differs_from_refusal(
         self,
         monkeypatch: pytest.MonkeyPatch,
         error: type[OSError],
         code: FailureCode,
     ) -> None:
-        """A server at its limit resets; where nobody listens, it refuses."""
+        """A full server resets connections; a closed port refuses them."""
         monkeypatch.setattr(
             socket.socket,
             'connect',
             mock.Mock(side_effect=error),
         )
-        connection = backend_connection(_NOBODY, 1000)
+        connection = backend_connection(_UNUSED_ADDRESS, 1000)
         failure = connection.open(500).failure()
         assert failure.code is code
         assert failure.verdict is Verdict.NOT_RUN
@@ -144,21 +146,21 @@
     )
     def test_reset_after_the_request(
         self,
-        answered: bool,  # a parameter of the test
+        answered: bool,
         code: FailureCode,
     ) -> None:
-        """A new connection is reset for a limit, one in use for a crash."""
+        """A reset means a full server only before the first response."""
         with socket.create_server(('127.0.0.1', 0)) as listener:
             host, port = listener.getsockname()
             connection = backend_connection(Address(host=host, port=port), 1000)
-            connection.open(_CALL.timeout_ms)
-            far = listener.accept()[0]
+            connection.open(_REQUEST.timeout_ms)
+            peer_socket = listener.accept()[0]
         if answered:
-            far.sendall(_FINE)
-            connection.carry(_CALL)
-        # Closed at once, with bytes unread, which resets it.
-        far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
-        far.close()
-        failure = connection.carry(_CALL).failure()
+            peer_socket.sendall(_VALID_RESPONSE)
+            connection.carry(_REQUEST)
+        # A close with zero linger resets the connection.
+        peer_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
+        peer_socket.close()
+        failure = connection.carry(_REQUEST).failure()
         assert failure.code is code
         assert failure.verdict is Verdict.MAY_HAVE_RUN
--- a/packages/fennelfork-daemon/tests/test_execute_order.py
+++ b/packages/fennelfork-daemon/tests/test_execute_received_request.py
@@ -1,4 +1,4 @@
-"""Reading and passing on of non-idempotent requests."""
+"""Parsing and forwarding of non-idempotent requests."""
 
 import pytest
 from daemon_builders_once import build_gate
@@ -10,15 +10,18 @@
 from fennelfork import Verdict
 from fennelfork.once import bind_request_id, unknown_outcome
 from fennelfork_daemon.execute._codec import (
-    order_from_peer,
-    order_to_peer,
     reply_from_peer,
     reply_to_peer,
+    request_from_peer,
+    request_to_peer,
+)
+from fennelfork_daemon.execute._received_request import (
+    read_execute,
+    with_unknown_verdict,
 )
-from fennelfork_daemon.execute._order import doubted, read_execute
 from fennelfork_daemon.peer._idl import peer
 
-_LONGEST_MS = 60_000
+_MAX_DEADLINE_MS = 60_000
 
 
 def _body(**members):
@@ -36,19 +39,19 @@
 
 
 def _read(body):
-    return read_execute('registry', body, 100, _LONGEST_MS)
+    return read_execute('registry', body, 100, _MAX_DEADLINE_MS)
 
 
 class TestReadExecute:
-    """Bodies of callers."""
+    """Validation of request bodies."""
 
-    def test_takes_the_deadline_from_now(self) -> None:
-        """A proper body becomes a request with its end on our clock."""
+    def test_computes_the_deadline(self) -> None:
+        """A valid body becomes a request with a deadline on the local clock."""
         body = _body()
-        order = _read(body).unwrap()
-        assert order.deadline_at_ms == 5100
-        assert order.request.request_id == body['request_id']
-        assert order.request.front == 'registry'
+        received = _read(body).unwrap()
+        assert received.deadline_at_ms == 5100
+        assert received.request.request_id == body['request_id']
+        assert received.request.front == 'registry'
 
     @pytest.mark.parametrize(
         'wrong',
@@ -61,21 +64,21 @@
             {'key': -1},
             {'key': True},
             {'deadline_ms': 0},
-            {'deadline_ms': _LONGEST_MS + 1},
+            {'deadline_ms': _MAX_DEADLINE_MS + 1},
             {'deadline_ms': 1.5},
             {'extra': 1},
         ],
     )
-    def test_refuses_in_doubt(self, wrong) -> None:
-        """A wrong body is refused, without denying an earlier proper one."""
+    def test_refuses_invalid_body_as_may_have_run(self, wrong) -> None:
+        """An earlier request with the same id and a valid body may have run."""
         refused = _read(_body(**wrong))
         assert isinstance(refused, Failed)
         assert refused.failure().verdict is Verdict.MAY_HAVE_RUN
 
-    def test_takes_back_a_verdict_on_the_attempt(self) -> None:
-        """What is refused unread says nothing of the id."""
+    def test_replaces_the_verdict_of_an_unread_body(self) -> None:
+        """An unread body proves nothing about earlier requests."""
         failure = unknown_outcome('x').with_verdict(Verdict.NOT_RUN)
-        assert doubted(failure).verdict is Verdict.MAY_HAVE_RUN
+        assert with_unknown_verdict(failure).verdict is Verdict.MAY_HAVE_RUN
 
     @given(
         member=st.sampled_from(sorted(_body())),
@@ -87,36 +90,38 @@
             st.lists(st.integers(), max_size=2),
         ),
     )
-    def test_anything_ends_as_a_value(self, member, found) -> None:
-        """No member, whatever it holds, raises on the way to the table."""
+    def test_any_member_value_is_handled(self, member, found) -> None:
+        """No value of a member raises an exception in parser or gate."""
         gate = build_gate()
-        order = _read(_body(**{member: found}))
-        if isinstance(order, Success):
-            request = order.unwrap().request
+        received = _read(_body(**{member: found}))
+        if isinstance(received, Success):
+            request = received.unwrap().request
             assert gate.route(request) is not None
             assert gate.admit(request) is not None
 
 
 class TestPeerMessages:
-    """The way to the daemon of the ticket and back."""
-
-    def test_a_request_keeps_its_content(self) -> None:
-        """What arrives is what was sent, with the rest of its deadline."""
-        order = _read(_body()).unwrap()
-        message = order_to_peer(order.request, order.traffic_class, 40.9)
-        arrived = order_from_peer(message, 1000)
-        assert arrived.request == order.request
+    """Round trips through the messages of the peer RPC."""
+
+    def test_request_round_trip(self) -> None:
+        """The content is unchanged and the remaining time is truncated."""
+        received = _read(_body()).unwrap()
+        message = request_to_peer(
+            received.request, received.traffic_class, 40.9
+        )
+        arrived = request_from_peer(message, 1000)
+        assert arrived.request == received.request
         assert arrived.deadline_at_ms == 1040
 
     @pytest.mark.parametrize(
         'answer',
         [Success('certificate 5'), Failed(unknown_outcome('gone'))],
     )
-    def test_an_answer_keeps_its_verdict(self, answer) -> None:
-        """Outcomes and failures come back as they were."""
+    def test_answer_round_trip(self, answer) -> None:
+        """Outcomes and failures are unchanged."""
         assert reply_from_peer(reply_to_peer(answer)) == answer
 
-    def test_an_empty_reply_is_doubtful(self) -> None:
-        """A reply with neither outcome nor fault proves nothing."""
+    def test_empty_reply_may_have_run(self) -> None:
+        """A reply without outcome and fault does not prove `NOT_RUN`."""
         read = reply_from_peer(peer.ExecuteReply())
         assert read.failure().verdict is Verdict.MAY_HAVE_RUN
--- a/packages/fennelfork-daemon/tests/test_root_scatter.py
+++ b/packages/fennelfork-daemon/tests/test_root_scatter.py
@@ -1,20 +1,20 @@
-"""A root whose homes are lost, and what it says of what ran."""
+"""Scatter of a root daemon to failing or unresponsive home daemons."""
 
 import pytest
 from daemon_builders_answers import (
     NO_CONNECT,
     NO_REPLY,
     SHED,
-    half_shed,
-    scattered,
+    scatter_over_homes,
+    scatter_with_one_shed,
 )
 
 from fennelfork import Failure, Verdict
 from fennelfork.gather import CompleteCoverage, PartialCoverage
 
 
-class TestLostHomes:
-    """The next home is asked, and the doubt stays."""
+class TestFailedHomes:
+    """Fallback to another home daemon and the resulting verdict."""
 
     @pytest.mark.parametrize(
         ('first', 'verdict'),
@@ -23,35 +23,35 @@
             (NO_CONNECT, Verdict.NOT_RUN),
         ],
     )
-    def test_a_refusal_is_true_of_all_homes(
+    def test_verdict_includes_failed_home(
         self,
         first: Failure,
         verdict: Verdict,
     ) -> None:
-        """A home that got the work may still run it when it wakes."""
-        calls, merge = scattered([first, SHED])
-        assert len(set(calls.asked)) == 2
+        """Guards against `NOT_RUN` for work that an earlier home may run."""
+        homes, merge = scatter_over_homes([first, SHED])
+        assert len(set(homes.asked)) == 2
         assert merge.verdict is verdict
 
-    def test_gives_up_when_all_homes_are_lost(self) -> None:
-        """After a few homes it stops, and says that the work may have run."""
-        calls, merge = scattered([NO_REPLY, NO_REPLY, NO_REPLY])
-        assert len(calls.asked) == 3
+    def test_stops_after_all_homes_fail(self) -> None:
+        """The fallback is bounded, and the verdict is `MAY_HAVE_RUN`."""
+        homes, merge = scatter_over_homes([NO_REPLY, NO_REPLY, NO_REPLY])
+        assert len(homes.asked) == 3
         assert merge.verdict is Verdict.MAY_HAVE_RUN
 
 
-class TestGivenUp:
-    """A query whose demand can no longer be met."""
+class TestUnsatisfiableDemand:
+    """Queries whose coverage demand may become unsatisfiable."""
 
-    def test_is_answered_at_once(self) -> None:
-        """No home is waited for, or asked for a sign of life, after that."""
-        calls, merge = half_shed(CompleteCoverage())
-        assert len(calls.asked) == 2
+    def test_ends_immediately(self) -> None:
+        """No home is awaited or probed once the demand is unsatisfiable."""
+        homes, merge = scatter_with_one_shed(CompleteCoverage())
+        assert len(homes.asked) == 2
         assert len(merge.pending) == 1
         assert merge.verdict is Verdict.MAY_HAVE_RUN
 
-    def test_half_is_waited_for_if_wanted(self) -> None:
-        """Where half is enough, the busy home is waited for and asked."""
-        calls, merge = half_shed(PartialCoverage(floor=0.5))
-        assert any(asked.endswith('lives?') for asked in calls.asked)
+    def test_probes_busy_home_for_partial_coverage(self) -> None:
+        """A busy home is awaited and probed if the floor can be reached."""
+        homes, merge = scatter_with_one_shed(PartialCoverage(floor=0.5))
+        assert any(asked.endswith('probed') for asked in homes.asked)
         assert len(merge.pending) == 1
