--- a/packages/fennelfork-daemon/src/fennelfork_daemon/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The fennelforkd daemon: caller, operator and peer faces."""
+"""The fennelforkd daemon: caller API, operator API and peer RPC."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_address.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_address.py
@@ -1,4 +1,4 @@
-"""Addresses of daemons, backend servers and the platform."""
+"""Network addresses of daemons, backend servers and the platform."""
 
 import ipaddress
 from typing import Final
@@ -10,27 +10,28 @@
 
 @attrs.frozen(kw_only=True)
 class Address:
-    """An IP number and a port.
+    """IP address and port.
 
     Attributes:
-        host: the IP number, without brackets.
-        port: the port; 0 lets the system choose where listening.
+        host: IP address without brackets.
+        port: port number; a listener on port 0 gets a free port from the
+            operating system.
     """
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Give `ip:port`, with brackets round an IPv6 number."""
+        """Return `ip:port`, with brackets around an IPv6 address."""
         host = f'[{self.host}]' if ':' in self.host else self.host
         return f'{host}:{self.port}'
 
 
 def address(text: str) -> Address:
-    """Read `ip:port` or `[ip]:port`.
+    """Parse `ip:port` or `[ip]:port`.
 
     Raises:
-        ValueError: if `text` is not an IP number and a port.
+        ValueError: if `text` is not an IP address and a port.
     """
     host, _, port = text.rpartition(':')
     try:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_cli.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_cli.py
@@ -1,4 +1,4 @@
-"""The command line of a program that serves by a settings file."""
+"""Command line of a program that is configured by a settings file."""
 
 import importlib
 import pathlib
@@ -11,17 +11,17 @@
 
 
 def run_program(tokens: Sequence[str], program: Program) -> int:
-    """Run a program with the words after its name.
+    """Run a program with command-line arguments.
 
-    The usual start is understood here, so that a serving daemon does not
-    keep the command-line library in memory (3 MB).
+    `--config PATH` is parsed here without the command-line library, which
+    would otherwise stay in the memory of a serving daemon.
 
     Args:
-        tokens: the words of the command line.
-        program: what to check a settings file for, and to serve.
+        tokens: command-line arguments without the program name.
+        program: program to run.
 
     Returns:
-        The exit code; nothing was started if it is 2.
+        Exit code of the process; 2 means that nothing was started.
     """
     if len(tokens) == 2 and tokens[0] == _CONFIG:
         return program.serve_file(pathlib.Path(tokens[1]))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_cli_app.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_cli_app.py
@@ -1,4 +1,4 @@
-"""The full command line of a program, with help and usage errors."""
+"""Full command-line parser of a program, with help and usage errors."""
 
 import pathlib
 from collections.abc import Sequence
@@ -12,14 +12,14 @@
 
 
 def run_app(tokens: Sequence[str], program: Program) -> int:
-    """Understand the command line and do what it says.
+    """Parse command-line arguments and run the selected command.
 
     Args:
-        tokens: the words after the command's name.
-        program: what is run.
+        tokens: command-line arguments without the program name.
+        program: program to run.
 
     Returns:
-        The exit code of the process.
+        Exit code of the process.
     """
     commands = _Commands(program=program)
     app = App(
@@ -32,15 +32,15 @@
     app.default(commands.serve)
     app.command(commands.check)
     try:
-        found = app(tokens, exit_on_error=False)
+        exit_code = app(tokens, exit_on_error=False)
     except CycloptsError:
         return int(ExitCode.BAD_SETTINGS)
-    return int(ExitCode.DONE) if found is None else int(found)
+    return int(ExitCode.DONE) if exit_code is None else int(exit_code)
 
 
 @attrs.frozen(kw_only=True)
 class _Commands:
-    """What the words of the command line ask for."""
+    """Commands of the command line."""
 
     _program: Program
 
@@ -53,7 +53,7 @@
         return self._program.serve_file(config)
 
     def check(self, path: pathlib.Path, /) -> int:
-        """Check a settings file, name all that is wrong, start nothing.
+        """Check a settings file, list all errors and start nothing.
 
         Example: check settings.toml
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_daemon.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_daemon.py
@@ -1,4 +1,4 @@
-"""One daemon: its facts, services and faces, put together."""
+"""Composition of a daemon: blackboard, services, HTTP APIs and peer RPC."""
 
 import sys
 
@@ -16,7 +16,7 @@
 from fennelfork_daemon.http._router import Router, router
 from fennelfork_daemon.http._wsgi_server import serve_http
 from fennelfork_daemon.membership._local_member import local_member
-from fennelfork_daemon.operator._face import operator_router
+from fennelfork_daemon.operator._api import operator_router
 from fennelfork_daemon.peer._server import peer_server
 from fennelfork_daemon.root._service import root_service
 from fennelfork_daemon.settings._tables import Settings
@@ -25,7 +25,7 @@
 
 @attrs.define(kw_only=True)
 class Daemon:
-    """Everything that one process runs."""
+    """Services and listeners of one daemon process."""
 
     _settings: Settings
     _clock: Clock
@@ -38,10 +38,10 @@
     _execute: ExecuteParts
 
     def serve(self) -> int:
-        """Serve until the process is told to stop.
+        """Serve until the process is requested to stop.
 
         Returns:
-            The exit status.
+            Exit status of the process.
         """
         self._fleet.start()
         self._serve_peers()
@@ -51,17 +51,17 @@
         eventlet.spawn_n(
             serve_http,
             self._listeners.operator,
-            self._operator(),
+            self._operator_router(),
             self._settings,
         )
-        callers = eventlet.spawn(
+        caller_thread = eventlet.spawn(
             serve_http,
             self._listeners.caller,
-            self._fleet.counted(self._caller()),
+            self._fleet.count_requests(self._caller_router()),
             self._settings,
         )
         self._announce()
-        return self._fleet.see_through(callers)
+        return self._fleet.run_until_stopped(caller_thread)
 
     def _serve_peers(self) -> None:
         handler = PeerHandler(
@@ -77,7 +77,7 @@
         sys.stdout.write(f'{self._listeners.ready_line}\n')
         sys.stdout.flush()
 
-    def _operator(self) -> Router:
+    def _operator_router(self) -> Router:
         return operator_router(
             self._board,
             self._home,
@@ -87,8 +87,8 @@
             self._fleet.operator_routes,
         )
 
-    def _caller(self) -> Router:
-        caller = CallerFace(
+    def _caller_router(self) -> Router:
+        caller_api = CallerFace(
             root=root_service(self._board, self._clock, self._home),
             clock=self._clock,
             settings=self._settings,
@@ -96,7 +96,7 @@
         )
         return router(
             (
-                *caller.routes,
+                *caller_api.routes,
                 *self._fleet.entry_routes(self._execute.issuer),
                 *self._execute.face.routes,
             ),
@@ -104,25 +104,25 @@
 
 
 def daemon(settings: Settings, listeners: Listeners) -> Daemon:
-    """Build a daemon that serves on open sockets."""
+    """Build a daemon that serves on open listening sockets."""
     clock = system_clock()
     board = blackboard(local_member(settings, listeners))
     board.routing = settings.routing.mode
-    seen = observer(board, clock, settings.limits)
-    home = home_service(board, clock, settings.limits, seen.metrics)
+    request_observer = observer(board, clock, settings.limits)
+    home = home_service(board, clock, settings.limits, request_observer.metrics)
     return Daemon(
         settings=settings,
         clock=clock,
         board=board,
         listeners=listeners,
         home=home,
-        observer=seen,
+        observer=request_observer,
         config=config_service(
             board,
             clock,
             settings,
-            seen.metrics.count_control,
+            request_observer.metrics.count_control,
         ),
-        fleet=fleet(settings, clock, board, seen.metrics),
-        execute=execute_parts(board, clock, home, settings, seen),
+        fleet=fleet(settings, clock, board, request_observer.metrics),
+        execute=execute_parts(board, clock, home, settings, request_observer),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_exit_code.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_exit_code.py
@@ -1,11 +1,11 @@
-"""How a program that serves ends."""
+"""Exit codes of a serving program."""
 
 import enum
 
 
 @enum.unique
 class ExitCode(enum.IntEnum):
-    """The exit code of the process."""
+    """Exit code of the process."""
 
     DONE = 0
     CANNOT_SERVE = 1
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_fennelforkd.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_fennelforkd.py
@@ -1,4 +1,4 @@
-"""The command line of `fennelforkd`."""
+"""Command line of `fennelforkd`."""
 
 from collections.abc import Callable, Sequence
 from typing import Final
@@ -10,7 +10,7 @@
 
 _ABOUT: Final = """Serve queries of fennelfork as one daemon of a fleet.
 
-Exit codes: 0 stopped gracefully; 1 could not serve, or a stop cut requests;
+Exit codes: 0 stopped gracefully; 1 could not serve, or a stop aborted requests;
 2 bad usage or settings, nothing was started.
 
 Example: fennelforkd --config fennelforkd.toml
@@ -21,14 +21,14 @@
 
 
 def run_command(tokens: Sequence[str], serve: Serve) -> int:
-    """Run `fennelforkd` with the words after its name.
+    """Run `fennelforkd` with command-line arguments.
 
     Args:
-        tokens: the words of the command line.
-        serve: serves until stopped and gives the exit code.
+        tokens: command-line arguments without the program name.
+        serve: function that serves until stopped and returns the exit code.
 
     Returns:
-        The exit code; nothing was started if it is 2.
+        Exit code of the process; 2 means that nothing was started.
     """
     program = Program(
         name='fennelforkd',
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
@@ -1,4 +1,4 @@
-"""This daemon's part in the fleet: membership, VM list and its own stop."""
+"""Fleet services of a daemon: membership, VM list and graceful stop."""
 
 import random
 
@@ -30,12 +30,12 @@
 
 @attrs.frozen(kw_only=True)
 class Fleet:
-    """What keeps this daemon a member, and lets it leave.
+    """Membership of this daemon in the fleet, and the stop of this daemon.
 
     Attributes:
-        members: the membership.
-        in_progress: requests that a stop must not cut.
-        operator_routes: what operators may ask of it.
+        members: membership service.
+        in_progress: counter of the requests that a graceful stop waits for.
+        operator_routes: routes of the stop on the operator API.
     """
 
     members: MembershipService
@@ -47,13 +47,13 @@
     _stop: StopService
 
     def start(self) -> None:
-        """Take part from now on."""
+        """Start the membership, the VM list reader and signal handling."""
         self._stop.listen_to_signals()
         eventlet.spawn_n(self.members.run)
         eventlet.spawn_n(self._vm_list.run)
 
     def entry_routes(self, issuer: TicketIssuer) -> tuple[Route, ...]:
-        """Give the routes by which callers ask where to connect."""
+        """Return the routes that list daemon addresses for callers."""
         self._stop.on_leave.append(issuer.stop)
         return EntriesFace(
             board=self._board,
@@ -62,17 +62,17 @@
             issuer=issuer,
         ).routes
 
-    def counted(self, application: Application) -> CountedApplication:
-        """Have the requests of the caller face finished before a stop."""
+    def count_requests(self, application: Application) -> CountedApplication:
+        """Wrap the caller API so that a stop waits for requests in progress."""
         return CountedApplication(
             application=application,
             in_progress=self.in_progress,
             is_leaving=self._stop.is_leaving,
         )
 
-    def see_through(self, callers: GreenThread) -> int:
-        """Wait for the stop of the daemon; see `StopService`."""
-        return self._stop.see_through(callers)
+    def run_until_stopped(self, caller_thread: GreenThread) -> int:
+        """Run the graceful stop once requested; see `StopService`."""
+        return self._stop.see_through(caller_thread)
 
 
 def fleet(
@@ -81,7 +81,7 @@
     board: Blackboard,
     metrics: DaemonMetrics,
 ) -> Fleet:
-    """Build the part of the daemon that `board` describes."""
+    """Build the fleet services of the daemon that `board` describes."""
     log = state_log(daemon=board.local.name)
     in_progress = InProgress()
     members = membership_service(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_green.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_green.py
@@ -1,10 +1,10 @@
-"""Cooperative sockets for the whole process; imported before all else.
+"""Monkey patching by eventlet; must be the first import of the process.
 
-eventlet announces its own deprecation when it is imported. The users ask for
-eventlet (docs/STYLE.md), so that one warning is quieted and no other.
+The deprecation warning that eventlet emits on import is suppressed, because
+the project uses eventlet on purpose (docs/STYLE.md).
 
-Its cooperative resolver of names is left out: every address here is an IP
-number, and the resolver's library takes 7 MB of memory.
+The cooperative DNS resolver of eventlet is disabled: all addresses are IP
+addresses, and the resolver library would only use memory.
 """
 
 import os
@@ -14,14 +14,14 @@
 
 warnings.filterwarnings('ignore', message=r'\s*Eventlet is deprecated')
 
-from fennelfork_daemon._left_out import (  # noqa: E402  # after the filter
-    asyncio_left_out,
+from fennelfork_daemon._blocked_imports import (  # noqa: E402  # after the filter
+    block_asyncio,
 )
 
-with asyncio_left_out():
+with block_asyncio():
     import eventlet
 
-# Threads stay as they are: the daemon has none, and to replace every lock there
-# is takes 50 ms of each start. So does `os`, whose cooperative write would wait
-# for the reader of the log.
+# `thread` is not patched: the daemon has no threads, and replacing all locks
+# slows the start. `os` is not patched: a cooperative `os.write` would block
+# until the reader of the log reads.
 eventlet.monkey_patch(socket=True, select=True, time=True)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_in_progress.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_in_progress.py
@@ -1,4 +1,4 @@
-"""Counts requests in progress, for a stop that cuts none."""
+"""Counter of requests in progress, for the graceful stop."""
 
 from collections.abc import Callable, Iterable, Iterator
 from contextlib import contextmanager
@@ -13,17 +13,18 @@
 
 @attrs.define(kw_only=True)
 class InProgress:
-    """How many requests are being served.
+    """Counter of requests in progress.
 
     Attributes:
-        count: from when a request was read to when its answer was written.
+        count: number of requests that were read and whose answers are not
+            completely written.
     """
 
     count: int = 0
 
     @contextmanager
-    def one(self) -> Iterator[None]:
-        """Count one request for the length of a block."""
+    def count_one(self) -> Iterator[None]:
+        """Count one request as in progress within a `with` block."""
         self.begin()
         try:
             yield
@@ -31,35 +32,35 @@
             self.finish()
 
     def begin(self) -> None:
-        """Count a request as being served."""
+        """Count a request as in progress."""
         self.count += 1
 
     def finish(self) -> None:
-        """Count a request as done."""
+        """Count a request as finished."""
         self.count -= 1
 
 
 @attrs.frozen(kw_only=True)
 class _Body:
-    """The body of an answer; eventlet closes it once it is written."""
+    """Body of an answer; eventlet closes the body after the last write."""
 
-    _parts: Iterable[bytes]
-    _done: Callable[[], None]
+    _chunks: Iterable[bytes]
+    _on_close: Callable[[], None]
 
     def __iter__(self) -> Iterator[bytes]:
-        return iter(self._parts)
+        return iter(self._chunks)
 
     def close(self) -> None:
-        """Note that the answer was written, or that it cannot be."""
-        self._done()
+        """Report that the answer is written or that writing failed."""
+        self._on_close()
 
 
 @attrs.frozen(kw_only=True)
 class CountedApplication:
-    """A WSGI application whose requests are counted.
+    """WSGI application that counts requests in progress.
 
-    While the daemon leaves, each answer ends its connection, so that no
-    caller sends a request into a connection that is about to be closed.
+    While the daemon leaves, each answer closes the connection, so that no
+    caller sends a request on a connection that is about to be closed.
     """
 
     _application: Application
@@ -71,13 +72,13 @@
         environ: dict[str, Any],
         start_response: Callable[..., Any],
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Answer a request and count the request until the body is closed."""
         if self._is_leaving():
             environ[CLOSE_KEY]()
         self._in_progress.begin()
         try:
-            parts = self._application(environ, start_response)
+            chunks = self._application(environ, start_response)
         except BaseException:
             self._in_progress.finish()
             raise
-        return _Body(parts=parts, done=self._in_progress.finish)
+        return _Body(chunks=chunks, on_close=self._in_progress.finish)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_listeners.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_listeners.py
@@ -1,4 +1,4 @@
-"""The three listening sockets of a daemon."""
+"""Listening sockets of a daemon."""
 
 import errno
 import json
@@ -13,7 +13,7 @@
 from fennelfork_daemon.http._wsgi_server import listening_address, open_listener
 from fennelfork_daemon.settings._tables import ListenSettings
 
-_WORDS: Final = {
+_REASONS: Final = {
     errno.EADDRINUSE: 'the address is already in use',
     errno.EADDRNOTAVAIL: 'this machine does not have that IP number',
     errno.EACCES: 'the port is not allowed for this user',
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class Listeners:
-    """The open sockets of the three faces."""
+    """Listening sockets of the caller API, the operator API and the peer RPC."""
 
     caller: socket.socket
     operator: socket.socket
@@ -30,7 +30,7 @@
 
     @property
     def ready_line(self) -> str:
-        """What a daemon prints once it serves."""
+        """JSON line that a daemon prints when the daemon is ready to serve."""
         addresses = {
             'caller': str(listening_address(self.caller)),
             'operator': str(listening_address(self.operator)),
@@ -45,29 +45,33 @@
 
 
 def open_listeners(settings: ListenSettings) -> Result[Listeners, str]:
-    """Open the sockets of all three faces, or none.
+    """Open all three listening sockets, or none.
 
     Returns:
-        The sockets, or one line that names the setting and the reason.
+        Open sockets, or an error line with the setting and the reason.
     """
     opened: dict[str, socket.socket] = {}
-    for name, at in attrs.asdict(settings, recurse=False).items():
-        listener = _open(name, at)
+    for name, listen_address in attrs.asdict(settings, recurse=False).items():
+        listener = _open_named(name, listen_address)
         if isinstance(listener, Failure):
-            _close(opened)
+            _close_all(opened)
             return listener
         opened[name] = listener.unwrap()
     return Success(Listeners(**opened))
 
 
-def _open(name: str, at: Address) -> Result[socket.socket, str]:
+def _open_named(
+    name: str, listen_address: Address
+) -> Result[socket.socket, str]:
     try:
-        return Success(open_listener(at))
+        return Success(open_listener(listen_address))
     except OSError as err:
-        reason = _WORDS.get(err.errno or 0, str(err))
-        return Failure(f'listen.{name}: cannot listen on {at}: {reason}')
+        reason = _REASONS.get(err.errno or 0, str(err))
+        return Failure(
+            f'listen.{name}: cannot listen on {listen_address}: {reason}'
+        )
 
 
-def _close(opened: dict[str, socket.socket]) -> None:
+def _close_all(opened: dict[str, socket.socket]) -> None:
     for listener in opened.values():
         listener.close()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_peer_handler.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_peer_handler.py
@@ -1,4 +1,4 @@
-"""What this daemon does on the calls of its peers."""
+"""Handler of the peer RPC."""
 
 from typing import Any
 
@@ -16,7 +16,7 @@
 
 @attrs.frozen(kw_only=True)
 class PeerHandler:
-    """A method for each call of `peer.thrift`."""
+    """Implementation of the service that `peer.thrift` defines."""
 
     _home: Home
     _config: ConfigExchange
@@ -25,25 +25,25 @@
     _in_progress: InProgress
 
     def scatter(self, request: Any) -> Any:
-        """Run sub-queries as the home of their shards."""
-        with self._in_progress.one():
+        """Run sub-queries as the home daemon of the shards."""
+        with self._in_progress.count_one():
             outcome = self._home.scatter(order_from_peer(request))
             return outcome_to_peer(outcome)
 
     def describe(self, request: Any) -> Any:
-        """Tell what shards hold."""
+        """Return the snapshots and key ranges of shards."""
         views = self._home.describe(request.front, tuple(request.shards))
         return peer.DescribeReply(shards=views_to_peer(views))
 
     def fetch_config(self, request: Any) -> Any:
-        """Give the configuration to a peer that has an older one."""
+        """Return the active configuration to a peer with an older version."""
         return self._config.answer(request)
 
     def execute(self, request: Any) -> Any:
-        """Answer a non-idempotent request under a ticket of this daemon."""
-        with self._in_progress.one():
+        """Run a non-idempotent request with a ticket of this daemon."""
+        with self._in_progress.count_one():
             return self._execute.execute(request)
 
     def probe(self, request: Any) -> Any:
-        """Answer that this daemon lives, and exchange news of the members."""
+        """Acknowledge a membership probe and exchange membership updates."""
         return self._members.probe(request)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_program.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_program.py
@@ -1,4 +1,4 @@
-"""A program that serves by a settings file, and what it says of the file."""
+"""Program that is configured by a settings file."""
 
 import pathlib
 import sys
@@ -10,17 +10,17 @@
 
 from fennelfork_daemon._exit_code import ExitCode
 
-# The settings, or everything that is wrong with the file.
+# Settings, or all problems of the settings file.
 Loaded = Result[Any, tuple[Any, ...]]
 
 
 @attrs.frozen(kw_only=True)
 class Program:
-    """One binary.
+    """Program with a settings file and a serve function.
 
     Attributes:
-        name: as it is called on a command line.
-        about: what `--help` says.
+        name: name of the program on the command line.
+        about: description that `--help` prints.
     """
 
     name: str
@@ -29,26 +29,26 @@
     _serve: Callable[[Any, pathlib.Path], int]
 
     def serve_file(self, path: pathlib.Path) -> int:
-        """Serve by a settings file, or say all that is wrong with it.
+        """Serve with a settings file, or print all problems of the file.
 
         Returns:
-            The exit code of the process.
+            Exit code of the process.
         """
         settings = self._load(path)
         if isinstance(settings, Failure):
-            return _refuse(settings)
+            return _report_problems(settings)
         return self._serve(settings.unwrap(), path)
 
     def check_file(self, path: pathlib.Path) -> int:
-        """Check a settings file and start nothing."""
+        """Check a settings file without starting to serve."""
         settings = self._load(path)
         if isinstance(settings, Failure):
-            return _refuse(settings)
+            return _report_problems(settings)
         sys.stdout.write(f'{path}: good\n')
         return int(ExitCode.DONE)
 
 
-def _refuse(settings: Loaded) -> int:
+def _report_problems(settings: Loaded) -> int:
     for problem in settings.failure():
         sys.stderr.write(f'{problem}\n')
     return int(ExitCode.BAD_SETTINGS)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_readiness.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_readiness.py
@@ -1,4 +1,4 @@
-"""Whether callers should come to this daemon, and why not."""
+"""Readiness of a daemon for requests of callers."""
 
 from fennelfork import Blackboard
 from fennelfork.membership import MemberStatus
@@ -8,17 +8,18 @@
     board: Blackboard,
     platform_failure: str = '',
 ) -> tuple[str, ...]:
-    """Give every reason why callers should not come here.
+    """Return all reasons why this daemon is not ready for callers.
 
-    An unreachable platform alone is none: a daemon that has a configuration
-    serves on without it.
+    An unavailable platform alone is not a reason: a daemon with a
+    configuration continues to serve without the platform.
 
     Args:
-        board: configuration, and whether this daemon is leaving.
-        platform_failure: why the platform could not be read; empty if it was.
+        board: blackboard with the configuration and the local member.
+        platform_failure: error of the last read of the platform; empty after
+            a successful read.
 
     Returns:
-        Reasons in words; none if the daemon is ready.
+        Reasons as text; empty if the daemon is ready.
     """
     reasons = []
     if not board.config_version:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_serve.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_serve.py
@@ -1,4 +1,4 @@
-"""The serving process: logs, sockets, then the daemon."""
+"""Start of the serving process: logs, sockets and the daemon."""
 
 import sys
 
@@ -12,10 +12,10 @@
 
 
 def serve(settings: Settings) -> int:
-    """Serve as one daemon until told to stop.
+    """Serve as a daemon until the process is requested to stop.
 
     Returns:
-        The exit code of the process.
+        Exit code of the process.
     """
     configure_logs(settings.logs, sys.stderr)
     opened = open_listeners(settings.listen)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_sockets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_sockets.py
@@ -1,4 +1,4 @@
-"""Socket options and reading that every connection of the daemon has."""
+"""Socket options and reset detection for connections of a daemon."""
 
 import functools
 import socket
@@ -10,14 +10,14 @@
 
 
 class ConnectionBroken(HTTPException):
-    """The other end reset a connection, so what was read may be cut short."""
+    """Connection that the remote end reset; received data may be truncated."""
 
 
 class _ResetAwareSocket(GreenSocket):  # type: ignore[misc]
-    """A cooperative socket that reports a reset.
+    """Cooperative socket whose reads raise an error on a reset.
 
-    The library's own reads take a reset for an orderly end, and a reply that
-    has no length would pass for whole when its server crashed in the middle.
+    eventlet reads a reset as the end of the stream, so that a truncated
+    response without a length would be accepted as complete.
     """
 
     def _recv_loop(
@@ -27,38 +27,39 @@
         *args: Any,
     ) -> Any:
         return super()._recv_loop(
-            functools.partial(_read, read),
+            functools.partial(_read_or_raise, read),
             empty,
             *args,
         )
 
 
 def reset_aware(sock: Any) -> Any:
-    """Give a socket whose reads fail where the connection was reset.
+    """Return a socket whose reads raise `ConnectionBroken` on a reset.
 
     Args:
-        sock: a connected socket; it is not to be used any more itself. Where
-            sockets are not cooperative, it is given back as it is.
+        sock: connected socket, which the caller must not use afterwards;
+            a socket that is not cooperative is returned unchanged.
     """
     if not isinstance(sock, GreenSocket):
         return sock
-    aware = _ResetAwareSocket(sock.fd, set_nonblocking=False)
-    aware.settimeout(sock.gettimeout())
-    # Collected, the first wrapper would close the connection.
-    aware.wrapped = sock
-    return aware
+    wrapper = _ResetAwareSocket(sock.fd, set_nonblocking=False)
+    wrapper.settimeout(sock.gettimeout())
+    # Keeps the original socket object alive: its finaliser closes the
+    # connection.
+    wrapper.wrapped = sock
+    return wrapper
 
 
 def no_delay(sock: socket.socket) -> None:
-    """Send small writes at once.
+    """Set TCP_NODELAY on a socket.
 
-    Without it the buffered transport's writes meet delayed acknowledgement
-    and a call between daemons takes 40 ms.
+    Otherwise Nagle's algorithm and delayed acknowledgements add latency to
+    each call between daemons.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def _read(read: Callable[..., Any], *args: Any) -> Any:
+def _read_or_raise(read: Callable[..., Any], *args: Any) -> Any:
     try:
         return read(*args)
     except ConnectionResetError as error:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_state_watch.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_state_watch.py
@@ -1,4 +1,4 @@
-"""Looks at the blackboard and logs what changed."""
+"""Periodic check of the blackboard that logs changes."""
 
 from typing import Final
 
@@ -10,25 +10,25 @@
 from fennelfork_daemon.logs._logs import StateLog, state_log
 from fennelfork_daemon.metrics._metrics import DaemonMetrics
 
-_PERIOD_S: Final = 0.5
+_CHECK_INTERVAL_S: Final = 0.5
 
 
 @attrs.frozen(kw_only=True)
 class StateWatch:
-    """Turns changes of facts into log lines and metrics."""
+    """Logs changes of the blackboard and updates metrics."""
 
     _board: Blackboard
     _metrics: DaemonMetrics
     _log: StateLog
 
     def run(self) -> None:
-        """Look again and again, as long as the daemon runs."""
+        """Check the blackboard periodically until the process ends."""
         while True:  # noqa: WPS457  # as long as the daemon runs
-            self.look()
-            eventlet.sleep(_PERIOD_S)
+            self.log_changes()
+            eventlet.sleep(_CHECK_INTERVAL_S)
 
-    def look(self) -> None:
-        """Log each fact that is not as it was at the last look."""
+    def log_changes(self) -> None:
+        """Log each state that changed since the previous check."""
         board = self._board
         self._metrics.follow(board.document)
         reasons = unready_reasons(board)
@@ -47,7 +47,7 @@
 
 
 def state_watch(board: Blackboard, metrics: DaemonMetrics) -> StateWatch:
-    """Build the watch of a daemon."""
+    """Build the state watch of a daemon."""
     return StateWatch(
         board=board,
         metrics=metrics,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_stop_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_stop_service.py
@@ -1,4 +1,4 @@
-"""Runs the graceful stop of a daemon: signals, listeners, requests."""
+"""Graceful stop of a daemon: signals, listeners and requests."""
 
 import signal
 from collections.abc import Callable
@@ -24,26 +24,26 @@
     json_reply,
 )
 
-_STEP_S: Final = 0.05
+_POLL_INTERVAL_S: Final = 0.05
 _SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
 
 
 class Membership(Protocol):
-    """What tells the other daemons of a leave."""
+    """Membership operations that a graceful stop needs."""
 
     @property
     def leave_is_told(self) -> bool:
-        """Whether nobody is left who should know and does not."""
+        """Whether all members are informed of the leave."""
 
     def leave(self) -> None:
-        """Tell that this daemon leaves; asked again, do nothing more."""
+        """Announce that this daemon leaves; idempotent."""
 
     def say_goodbye(self) -> None:
-        """Tell that it ends now."""
+        """Announce that this daemon exits now."""
 
 
 class StepLog(Protocol):
-    """Where the steps of a stop are told."""
+    """Log of the phases of a stop."""
 
     def change(
         self,
@@ -53,15 +53,16 @@
         running: int,
         cut: int,
     ) -> bool:
-        """Tell that the subject is in a state; see `StateLog`."""
+        """Log the state of a subject; see `StateLog`."""
 
 
 @attrs.define(kw_only=True)
 class StopService:
-    """Takes requests to stop and sees them through.
+    """Handles stop requests and runs the graceful stop.
 
     Attributes:
-        on_leave: called once the daemon leaves, before members are told.
+        on_leave: callbacks that run once when the daemon starts to leave,
+            before the members are informed.
     """
 
     on_leave: list[Callable[[], None]] = attrs.field(factory=list)
@@ -74,25 +75,25 @@
 
     @property
     def cut(self) -> int:
-        """How many requests the end of the time for a stop has cut."""
+        """Number of requests that the stop timeout aborted."""
         return self._stop.aborted_requests
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """The routes on the operator face."""
+        """Routes of the operator API."""
         return (Route(method='POST', path='/v1/drain', handler=self.drain),)
 
     def is_leaving(self) -> bool:
-        """Tell whether callers should go elsewhere."""
+        """Return whether callers should connect to other daemons."""
         return self._stop.is_draining
 
     def listen_to_signals(self) -> None:
-        """Stop gracefully on SIGTERM or SIGINT, at once on the second."""
-        for number in _SIGNALS:
-            signal.signal(number, self._on_signal)
+        """Stop gracefully on SIGTERM or SIGINT, immediately on the second."""
+        for signum in _SIGNALS:
+            signal.signal(signum, self._handle_signal)
 
     def drain(self, request: HttpRequest) -> HttpReply:
-        """Send callers elsewhere, and serve on until told to end."""
+        """Start to drain; continue to serve until termination is requested."""
         self._stop.drain(self._clock.now_ms())
         return json_reply(
             {
@@ -101,31 +102,32 @@
             },
         )
 
-    def see_through(self, callers: GreenThread) -> int:
-        """Wait for a stop to be asked for, and carry it out.
+    def see_through(self, caller_thread: GreenThread) -> int:
+        """Wait for a stop request and run the graceful stop.
 
         Args:
-            callers: serves the caller face; killed, it listens no more and
-                ends when the requests in progress are answered.
+            caller_thread: green thread that serves the caller API; after
+                `kill` the listener is closed, and the thread ends when all
+                requests in progress are answered.
 
         Returns:
-            The exit status.
+            Exit status of the process.
         """
-        while self._step(callers) is not StopPhase.ENDED:
+        while self._step(caller_thread) is not StopPhase.ENDED:
             if self._stop.phase is StopPhase.CLOSING and not self._closed:
-                # Only once: a second kill would cut what the first waits for.
+                # A second kill would abort the requests in progress.
                 self._closed = True
-                eventlet.spawn_n(callers.kill)
-            eventlet.sleep(_STEP_S)
+                eventlet.spawn_n(caller_thread.kill)
+            eventlet.sleep(_POLL_INTERVAL_S)
         self._members.say_goodbye()
         return self._stop.exit_status
 
-    def _step(self, callers: GreenThread) -> StopPhase:
-        before = self._stop.phase
+    def _step(self, caller_thread: GreenThread) -> StopPhase:
+        previous = self._stop.phase
         if self._stop.is_draining:
             self._leave()
-        phase = self._stop.step(self._facts(callers))
-        if phase is not before:
+        phase = self._stop.step(self._conditions(caller_thread))
+        if phase is not previous:
             self._log.change(
                 'stop',
                 phase.value,
@@ -135,20 +137,20 @@
         return phase
 
     def _leave(self) -> None:
-        for act in self.on_leave:
-            act()
+        for callback in self.on_leave:
+            callback()
         self.on_leave.clear()
         self._members.leave()
 
-    def _facts(self, callers: GreenThread) -> StopConditions:
-        answering = 0 if callers.dead else 1
+    def _conditions(self, caller_thread: GreenThread) -> StopConditions:
+        serving = 0 if caller_thread.dead else 1
         return StopConditions(
             now_ms=self._clock.now_ms(),
             announced=self._members.leave_is_told,
-            running=max(self._in_progress.count, answering),
+            running=max(self._in_progress.count, serving),
         )
 
-    def _on_signal(self, number: int, frame: Any) -> None:
+    def _handle_signal(self, signum: int, frame: Any) -> None:
         self._stop.end(self._clock.now_ms())
 
 
@@ -159,7 +161,7 @@
     in_progress: InProgress,
     log: StepLog,
 ) -> StopService:
-    """Build the stop of a daemon that was not asked to stop."""
+    """Build the stop service of a serving daemon."""
     return StopService(
         stop=graceful_stop(policy),
         clock=clock,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_version.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_version.py
@@ -1,7 +1,7 @@
-"""The version of the program.
+"""Version of the program.
 
-Stands here and not in the metadata of the package: a daemon that runs from a
-copy of the sources has none.
+The version is not read from package metadata, because a daemon that runs from
+a source tree has no metadata.
 """
 
 from typing import Final
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/__init__.py
@@ -1,1 +1,1 @@
-"""Serving over HTTP: reading, writing, routes, problem documents."""
+"""HTTP server: connections, bodies, routes and problem documents."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_body.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_body.py
@@ -1,4 +1,4 @@
-"""What the HTTP faces have in common when they read bodies."""
+"""Body limits and refusals that the HTTP APIs share."""
 
 from fennelfork_daemon.http._router import (
     HttpReply,
@@ -11,7 +11,7 @@
 
 
 def body_limits(settings: Settings) -> BodyLimits:
-    """Take the limits of bodies from the settings."""
+    """Return the limits of request bodies from the settings."""
     return BodyLimits(
         body_bytes=settings.limits.body_bytes,
         read_ms=settings.timeouts.request_read_ms,
@@ -19,12 +19,12 @@
 
 
 def refused_body(request: HttpRequest, refusal: Refusal) -> HttpReply:
-    """Answer a request whose body was not taken.
+    """Return the answer to a request with a refused body.
 
     Args:
-        request: the request; its connection ends if the rest of the body
-            cannot be read any more.
-        refusal: why.
+        request: refused request; the connection is closed after the answer
+            if the refusal requires closing.
+        refusal: reason of the refusal.
     """
     if refusal.close:
         request.environ[CLOSE_KEY]()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_problem.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_problem.py
@@ -1,4 +1,4 @@
-"""Errors of the HTTP faces as RFC 9457 problem documents."""
+"""Errors of the HTTP APIs as RFC 9457 problem documents."""
 
 import http
 import json
@@ -37,12 +37,12 @@
 
 @attrs.frozen(kw_only=True)
 class ProblemReply:
-    """An error answer, ready for a WSGI server.
+    """Error answer for a WSGI server.
 
     Attributes:
-        status: the HTTP status code.
+        status: HTTP status code.
         headers: name and value of each header.
-        body: the JSON document.
+        body: encoded JSON document.
     """
 
     status: int
@@ -51,12 +51,12 @@
 
     @property
     def status_line(self) -> str:
-        """Code and reason, as WSGI's `start_response` takes them."""
+        """Status code and reason phrase for `start_response` of WSGI."""
         return f'{self.status} {_title(self.status)}'
 
 
 def problem_status(code: FailureCode) -> int:
-    """Give the HTTP status that a failure code is answered with."""
+    """Return the default HTTP status of a failure code."""
     return int(_STATUS[code])
 
 
@@ -68,18 +68,18 @@
     """Build the problem document of a failure.
 
     Args:
-        failure: what went wrong and what is known of it.
-        request_id: the caller's request id, if one was read.
-        status: the HTTP status, if not the usual one of the code.
+        failure: failure that the document describes.
+        request_id: request ID of the caller, if known.
+        status: HTTP status that overrides the default of the failure code.
 
     Returns:
-        A document for JSON; absent members are left out.
+        JSON object; members without a value are omitted.
     """
-    found_status = status or problem_status(failure.code)
+    effective_status = status or problem_status(failure.code)
     document: dict[str, Any] = {
         'type': f'urn:fennelfork:problem:{failure.code.value}',
-        'title': _title(found_status),
-        'status': found_status,
+        'title': _title(effective_status),
+        'status': effective_status,
         'detail': failure.detail,
         'code': failure.code.value,
         'verdict': failure.verdict.value,
@@ -96,7 +96,7 @@
     request_id: str | None,
     status: int | None = None,
 ) -> ProblemReply:
-    """Build the whole error answer; arguments as in `problem_body`."""
+    """Build an error answer; see `problem_body` for the arguments."""
     document = problem_body(failure, request_id, status)
     headers = [('Content-Type', PROBLEM_TYPE)]
     if failure.retry_after_ms is not None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_router.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_router.py
@@ -1,4 +1,4 @@
-"""Routes of an HTTP face: method and path to a function."""
+"""Routing of HTTP requests to handlers by method and path."""
 
 import http
 import json
@@ -16,12 +16,13 @@
 
 @attrs.frozen(kw_only=True)
 class HttpRequest:
-    """One request of an HTTP face.
+    """Request to an HTTP API.
 
     Attributes:
-        environ: the WSGI environment, for reading the body.
-        names: the parts of the path that the route names.
-        options: the query string, the last value of each name.
+        environ: WSGI environment, from which the body is read.
+        names: path parameters by name.
+        options: query parameters by name; of repeated parameters the last
+            value.
     """
 
     environ: dict[str, Any]
@@ -31,7 +32,7 @@
 
 @attrs.frozen(kw_only=True)
 class HttpReply:
-    """One answer of an HTTP face."""
+    """Answer of an HTTP API."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -39,7 +40,7 @@
 
     @property
     def status_line(self) -> str:
-        """Code and reason, as WSGI's `start_response` takes them."""
+        """Status code and reason phrase for `start_response` of WSGI."""
         try:
             return f'{self.status} {http.HTTPStatus(self.status).phrase}'
         except ValueError:
@@ -51,7 +52,7 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """A method and a path whose `{name}` segments match any segment."""
+    """Handler of a method and a path; `{name}` matches any path segment."""
 
     method: str
     path: str
@@ -60,7 +61,7 @@
 
 @attrs.frozen(kw_only=True)
 class Router:
-    """A WSGI application over routes."""
+    """WSGI application that dispatches requests to routes."""
 
     _routes: tuple[Route, ...]
 
@@ -69,15 +70,15 @@
         environ: dict[str, Any],
         start_response: Callable[..., Any],
     ) -> Iterable[bytes]:
-        """Answer one request."""
-        reply = self._answer(environ)
+        """Answer a WSGI request."""
+        reply = self._dispatch(environ)
         length = ('Content-Length', str(len(reply.body)))
         start_response(reply.status_line, [*reply.headers, length])
         return [reply.body]
 
-    def _answer(self, environ: dict[str, Any]) -> HttpReply:
-        # As sent: a decoded slash would split a segment, and decoding
-        # twice would change a name that has a percent sign.
+    def _dispatch(self, environ: dict[str, Any]) -> HttpReply:
+        # The raw path: a decoded slash would split a segment, and decoding
+        # twice would change a name that contains a percent sign.
         path = environ['RAW_PATH_INFO']
         methods: set[str] = set()
         for route in self._routes:
@@ -88,22 +89,22 @@
                 return route.handler(_request(environ, names))
             methods.add(route.method)
         if methods:
-            return _wrong_method(environ['REQUEST_METHOD'], methods)
+            return _method_not_allowed(environ['REQUEST_METHOD'], methods)
         failure = not_run(FailureCode.BAD_REQUEST, f'there is no path {path}')
         return failure_reply(failure, status=http.HTTPStatus.NOT_FOUND)
 
 
 def router(routes: Iterable[Route]) -> Router:
-    """Build the application of a face."""
+    """Build the WSGI application of an HTTP API."""
     return Router(routes=tuple(routes))
 
 
-def json_reply(tree: Any, status: int = http.HTTPStatus.OK) -> HttpReply:
-    """Answer with a JSON document."""
+def json_reply(document: Any, status: int = http.HTTPStatus.OK) -> HttpReply:
+    """Build an answer with a JSON document."""
     return HttpReply(
         status=status,
         headers=(('Content-Type', _JSON),),
-        body=json.dumps(tree).encode(),
+        body=json.dumps(document).encode(),
     )
 
 
@@ -112,7 +113,7 @@
     request_id: str | None = None,
     status: int | None = None,
 ) -> HttpReply:
-    """Answer with the problem document of a failure."""
+    """Build an answer with the problem document of a failure."""
     problem = problem_reply(failure, request_id, status)
     return HttpReply(
         status=problem.status,
@@ -121,23 +122,23 @@
     )
 
 
-def _wrong_method(method: str, methods: set[str]) -> HttpReply:
+def _method_not_allowed(method: str, methods: set[str]) -> HttpReply:
     allowed = ', '.join(sorted(methods))
     failure = not_run(
         FailureCode.BAD_REQUEST,
-        f'{method} is not allowed here, only {allowed}',
+        f'the method {method} is not allowed, expected {allowed}',
     )
     reply = failure_reply(failure, status=http.HTTPStatus.METHOD_NOT_ALLOWED)
     return attrs.evolve(reply, headers=(*reply.headers, ('Allow', allowed)))
 
 
 def _match(pattern: str, path: str) -> dict[str, str] | None:
-    wanted = pattern.split('/')
-    found = path.split('/')
-    if len(wanted) != len(found):
+    pattern_segments = pattern.split('/')
+    path_segments = path.split('/')
+    if len(pattern_segments) != len(path_segments):
         return None
     names: dict[str, str] = {}
-    for segment, text in zip(wanted, found, strict=True):
+    for segment, text in zip(pattern_segments, path_segments, strict=True):
         if segment.startswith('{'):
             names[segment[1:-1]] = unquote(text)
         elif segment != text:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_protocol.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_protocol.py
@@ -1,4 +1,4 @@
-"""HTTP connections of callers and operators, bounded in bytes and time."""
+"""HTTP connections with limits on size and time."""
 
 import http
 from typing import Any, BinaryIO, Final, cast
@@ -22,13 +22,14 @@
 
 @attrs.define(kw_only=True)
 class ConnectionLimits:
-    """What one connection may cost; a change holds for open ones as well.
+    """Limits of one connection; changes also apply to open connections.
 
     Attributes:
-        header_bytes: request line aside, all headers of a request.
-        request_read_ms: for all headers of one request, and for the client
-            to take the answer.
-        idle_ms: for the next request to begin.
+        header_bytes: maximum size of all headers of a request, without the
+            request line.
+        request_read_ms: timeout for reading all headers of a request, and
+            for writing the answer.
+        idle_ms: timeout for the start of the next request.
     """
 
     header_bytes: int
@@ -37,36 +38,36 @@
 
 
 class BoundedProtocol(wsgi.HttpProtocol):
-    """Serves one connection and gives up on clients that stall.
+    """HTTP protocol that closes connections of stalled clients.
 
-    An application ends the connection after its answer by calling what it
-    finds under `CLOSE_KEY` in the WSGI environment. Under `CONNECTION_KEY` it
-    finds the socket, to see the client leave, and under `TARGET_KEY` path and
-    query as they were sent.
+    The WSGI environment contains under `CLOSE_KEY` a function that closes the
+    connection after the answer, under `CONNECTION_KEY` the socket, by which an
+    application detects that the client disconnects, and under `TARGET_KEY` the
+    undecoded path and query.
     """
 
     limits: ConnectionLimits
 
     def setup(self) -> None:
-        """Prepare the connection; answers are written within a time."""
+        """Prepare the connection with a timeout for writing answers."""
         super().setup()
         self.wfile = BoundedWriter(
             target=self.wfile,
             connection=self.connection,
-            seconds=self.limits.request_read_ms / _MS_PER_SECOND,
+            timeout_s=self.limits.request_read_ms / _MS_PER_SECOND,
         )
 
     def parse_request(self) -> bool:
-        """Read the headers, or answer why they are refused."""
+        """Read the request headers, or answer with an error."""
         self.rfile = _HeaderReader(
             source=self.rfile.fp,
-            left=self.limits.header_bytes,
+            remaining_bytes=self.limits.header_bytes,
         )
-        seconds = self.limits.request_read_ms / _MS_PER_SECOND
+        timeout_s = self.limits.request_read_ms / _MS_PER_SECOND
         parsed = False
-        with Timeout(seconds, exception=False):
+        with Timeout(timeout_s, exception=False):
             try:
-                return super().parse_request() and self._is_framed()
+                return super().parse_request() and self._has_clear_length()
             except wsgi.HeadersTooLarge:
                 self.send_error(
                     http.HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE,
@@ -75,7 +76,8 @@
                 return False
         self.send_error(
             http.HTTPStatus.REQUEST_TIMEOUT,
-            f'no whole headers within {self.limits.request_read_ms} ms',
+            'the headers did not arrive within '
+            f'{self.limits.request_read_ms} ms',
         )
         return parsed
 
@@ -85,101 +87,103 @@
         message: str | None = None,
         explain: str | None = None,
     ) -> None:
-        """Answer with a problem document and end the connection."""
+        """Answer with a problem document and close the connection."""
         detail = message or http.HTTPStatus(code).phrase
         failure = not_run(FailureCode.BAD_REQUEST, detail)
         reply = problem_reply(failure, None, status=int(code))
-        self.wfile.write(_raw(reply))
+        self.wfile.write(_raw_response(reply))
         self.wfile.flush()
-        self._end()
+        self._close_after_reply()
 
     def get_environ(self) -> dict[str, Any]:
-        """Build the WSGI environment with a way to end the connection."""
+        """Build the WSGI environment with the keys of this module."""
         return super().get_environ() | {
-            CLOSE_KEY: self._end,
+            CLOSE_KEY: self._close_after_reply,
             CONNECTION_KEY: self.connection,
             TARGET_KEY: self.path,
         }
 
     def finish(self) -> None:
-        """Close; what a refused client still sends is read for a moment.
+        """Close the connection; read remaining input of a refused request.
 
-        Closing with unread input resets the connection, and the client may
-        then never see why it was refused.
+        Closing a connection with unread input resets the connection, and the
+        client may not receive the error answer.
         """
         if getattr(self, '_linger', False):
             with Timeout(_LINGER_MS / _MS_PER_SECOND, False):
-                _drain_input(self.connection)
+                _shut_down_and_drain(self.connection)
         super().finish()
 
-    def _is_framed(self) -> bool:
-        """Refuse a request whose end can be read in two ways."""
+    def _has_clear_length(self) -> bool:
+        """Refuse a request with an ambiguous body length."""
         lengths = self.headers.get_all('Content-Length', ())
         codings = self.headers.get_all('Transfer-Encoding', ())
-        digits = all(text.isascii() and text.isdigit() for text in lengths)
-        chunked = [text.strip().lower() for text in codings]
-        if digits and len(lengths) + len(codings) <= 1:
-            if chunked in ([], ['chunked']):
+        has_numeric_lengths = all(
+            text.isascii() and text.isdigit() for text in lengths
+        )
+        coding_names = [text.strip().lower() for text in codings]
+        if has_numeric_lengths and len(lengths) + len(codings) <= 1:
+            if coding_names in ([], ['chunked']):
                 return True
         self.send_error(
             http.HTTPStatus.BAD_REQUEST,
-            'the length of the body is not clear',
+            'the length of the body is ambiguous',
         )
         return False
 
     def _read_request_line(self) -> bytes:
-        seconds = self.limits.idle_ms / _MS_PER_SECOND
-        with Timeout(seconds, exception=False):
+        timeout_s = self.limits.idle_ms / _MS_PER_SECOND
+        with Timeout(timeout_s, exception=False):
             return super()._read_request_line() or b''
         return b''
 
-    def _end(self) -> None:
+    def _close_after_reply(self) -> None:
         self.close_connection = 1
         self._linger = True
 
 
 @attrs.define(kw_only=True)
 class _HeaderReader:
-    """Gives lines of headers until their bytes are used up."""
+    """Reader of header lines with a limit on the total size."""
 
     _source: BinaryIO
-    _left: int
+    _remaining_bytes: int
 
     def readline(self, size: int = -1) -> bytes:
-        """Read one line, as a file would."""
-        line = self._source.readline(self._left + 1)
-        self._left -= len(line)
-        if self._left < 0:
+        """Read one line, like `readline` of a file."""
+        line = self._source.readline(self._remaining_bytes + 1)
+        self._remaining_bytes -= len(line)
+        if self._remaining_bytes < 0:
             raise wsgi.HeadersTooLarge
         return line
 
 
 def bounded_protocol(limits: ConnectionLimits) -> type[BoundedProtocol]:
-    """Build the protocol class for a face with these limits."""
+    """Build the protocol class of an HTTP API with these limits."""
     return cast(
         'type[BoundedProtocol]',
-        type('_FaceProtocol', (BoundedProtocol,), {'limits': limits}),
+        type('_LimitedProtocol', (BoundedProtocol,), {'limits': limits}),
     )
 
 
-def _drain_input(connection: socket.socket) -> None:
+def _shut_down_and_drain(connection: socket.socket) -> None:
     try:
         connection.shutdown(socket.SHUT_WR)
-        _read_away(connection)
+        _discard_input(connection)
     except OSError:
         return
 
 
-def _read_away(connection: socket.socket) -> None:
-    left = _LINGER_BYTES
-    while left > 0:
+def _discard_input(connection: socket.socket) -> None:
+    remaining_bytes = _LINGER_BYTES
+    while remaining_bytes > 0:
         chunk = connection.recv(_CHUNK_BYTES)
         if not chunk:
             return
-        left -= len(chunk)
+        remaining_bytes -= len(chunk)
 
 
-def _raw(reply: ProblemReply) -> bytes:
+def _raw_response(reply: ProblemReply) -> bytes:
     lines = [f'HTTP/1.1 {reply.status_line}']
     lines.extend(f'{name}: {text}' for name, text in reply.headers)
     lines.append(f'Content-Length: {len(reply.body)}')
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_request.py
@@ -1,4 +1,4 @@
-"""Reading of request bodies, bounded in bytes and in time."""
+"""Reading of request bodies with limits on size and time."""
 
 import http
 import json
@@ -17,12 +17,13 @@
 
 @attrs.frozen(kw_only=True)
 class Refusal:
-    """Why a request was refused before anything was done for it.
+    """Reason why a request is refused before processing.
 
     Attributes:
-        failure: what is wrong; its verdict is always that nothing ran.
-        status: the HTTP status of the answer.
-        close: whether the rest of the connection can no longer be read.
+        failure: failure with the verdict that the request did not run.
+        status: HTTP status of the answer.
+        close: whether the connection must be closed after the answer,
+            because the body was not read completely.
     """
 
     failure: RequestFailure
@@ -32,12 +33,12 @@
 
 @attrs.frozen(kw_only=True)
 class BodyLimits:
-    """How much body is read, and for how long.
+    """Limits on the size and the read time of a request body.
 
     Attributes:
-        body_bytes: the largest body.
-        read_ms: the time for all of it, so that a client that sends a byte
-            now and then holds nothing for longer.
+        body_bytes: maximum size of a body.
+        read_ms: timeout for the whole body, so that slow clients do not hold
+            resources.
     """
 
     body_bytes: int
@@ -51,14 +52,14 @@
     environ: dict[str, Any],
     limits: BodyLimits,
 ) -> Result[JsonObject, Refusal]:
-    """Read a request's body as one JSON object.
+    """Read the body of a request as a JSON object.
 
     Args:
-        environ: the WSGI environment of the request.
-        limits: what bounds the read.
+        environ: WSGI environment of the request.
+        limits: limits on the size and the read time of the body.
 
     Returns:
-        The object, or why the request is refused.
+        JSON object, or the refusal of the request.
     """
     return _declared_length(environ, limits).bind(
         lambda length: _read_bytes(environ, length, limits).bind(_parse),
@@ -67,23 +68,23 @@
 
 def read_in_time(
     environ: dict[str, Any],
-    most_bytes: int,
+    max_bytes: int,
     read_ms: float,
 ) -> bytes | None:
-    """Read the body of a request as far as it comes within a time.
+    """Read the body of a request with a timeout.
 
     Args:
-        environ: the WSGI environment of the request.
-        most_bytes: how much to read at most.
-        read_ms: the time for all of it.
+        environ: WSGI environment of the request.
+        max_bytes: maximum number of bytes to read.
+        read_ms: timeout for the whole read.
 
     Returns:
-        The bytes, fewer if the body ends before; none if they did not arrive
-        in time, the connection broke, or they are no body.
+        Bytes of the body, fewer than `max_bytes` if the body ends earlier;
+        None after a timeout, a connection error or invalid chunks.
     """
     with eventlet.Timeout(read_ms / _MS_PER_SECOND, exception=False):
         try:
-            return bytes(environ['wsgi.input'].read(most_bytes))
+            return bytes(environ['wsgi.input'].read(max_bytes))
         except (OSError, ValueError, ChunkReadError):
             return None
     return None
@@ -107,7 +108,7 @@
     if int(text) > limits.body_bytes:
         return _refuse(
             http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
-            f'the body is longer than {limits.body_bytes} bytes',
+            f'the body exceeds {limits.body_bytes} bytes',
         )
     return Success(int(text))
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_server.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_server.py
@@ -1,4 +1,4 @@
-"""Serving of the HTTP faces."""
+"""HTTP server of the caller API and the operator API."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -20,20 +20,20 @@
 _MS_PER_SECOND: Final = 1000
 
 
-def open_listener(at: Address) -> socket.socket:
-    """Open a listening socket with TCP_NODELAY for its connections.
+def open_listener(address: Address) -> socket.socket:
+    """Open a listening socket whose connections use TCP_NODELAY.
 
     Raises:
-        OSError: if the address is in use or not of this machine.
+        OSError: if the address is in use or not an address of this machine.
     """
-    family = socket.AF_INET6 if ':' in at.host else socket.AF_INET
-    listener = listen((at.host, at.port), family, _BACKLOG)
+    family = socket.AF_INET6 if ':' in address.host else socket.AF_INET
+    listener = listen((address.host, address.port), family, _BACKLOG)
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return listener
 
 
 def listening_address(listener: socket.socket) -> Address:
-    """Give the address that a socket really listens on."""
+    """Return the address of a listening socket, with the assigned port."""
     host, port = listener.getsockname()[:2]
     return Address(host=host, port=port)
 
@@ -42,23 +42,23 @@
     listener: socket.socket,
     application: Application,
     limits: ConnectionLimits,
-    connections: int,
+    max_connections: int,
 ) -> None:
-    """Serve an HTTP face until the calling green thread is killed.
+    """Serve an HTTP API until the calling green thread is killed.
 
-    Killed, it closes idle connections and returns once the requests in
-    progress are answered.
+    After the kill, idle connections are closed, and the function returns when
+    the requests in progress are answered.
 
     Args:
-        listener: the listening socket.
-        application: the WSGI application.
-        limits: what one connection may cost.
-        connections: the most that are open at a time.
+        listener: listening socket.
+        application: WSGI application.
+        limits: limits of one connection.
+        max_connections: maximum number of open connections.
     """
     wsgi.server(
         listener,
         application,
-        max_size=connections,
+        max_size=max_connections,
         protocol=bounded_protocol(limits),
         keepalive=limits.idle_ms / _MS_PER_SECOND,
         socket_timeout=limits.request_read_ms / _MS_PER_SECOND,
@@ -73,12 +73,12 @@
     application: Application,
     settings: Settings,
 ) -> None:
-    """Serve an HTTP face by the settings of a daemon; see `serve_face`.
+    """Serve an HTTP API with the settings of a daemon; see `serve_face`.
 
     Args:
-        listener: the listening socket.
-        application: the WSGI application.
-        settings: what bounds connections, headers and time.
+        listener: listening socket.
+        application: WSGI application.
+        settings: settings with the limits of connections.
     """
     limits = ConnectionLimits(
         header_bytes=settings.limits.header_bytes,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_writer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_writer.py
@@ -1,4 +1,4 @@
-"""Writing of answers, bounded in time."""
+"""Writing of answers with a timeout."""
 
 import contextlib
 import struct
@@ -15,15 +15,15 @@
 
 @attrs.define(kw_only=True)
 class BoundedWriter:
-    """The buffered file of a connection, given up on if its reader stalls.
+    """Buffered writer that resets the connection of a stalled client.
 
-    The time is for each whole answer, so that a client that takes a byte now
-    and then holds nothing for longer.
+    The timeout applies to each whole write, so that a client that reads
+    slowly does not hold resources.
     """
 
     _target: BufferedIOBase
     _connection: socket.socket
-    _seconds: float
+    _timeout_s: float
 
     @property
     def closed(self) -> bool:
@@ -31,42 +31,42 @@
         return self._target.closed
 
     def write(self, chunk: bytes) -> None:
-        """Write bytes, as a file would.
+        """Write bytes, like `write` of a file.
 
         Raises:
-            TimeoutError: if they are not taken in time.
+            TimeoutError: if the client does not read in time.
         """
         self.writelines((chunk,))
 
     def writelines(self, chunks: Iterable[bytes]) -> None:
-        """Write several pieces.
+        """Write several chunks.
 
         Raises:
-            TimeoutError: if they are not taken in time.
+            TimeoutError: if the client does not read in time.
         """
-        with Timeout(self._seconds, exception=False):
+        with Timeout(self._timeout_s, exception=False):
             self._target.writelines(chunks)
             return
-        self._give_up()
+        self._abort()
 
     def flush(self) -> None:
-        """Send what is buffered.
+        """Send the buffered bytes.
 
         Raises:
-            TimeoutError: if it is not taken in time.
+            TimeoutError: if the client does not read in time.
         """
-        with Timeout(self._seconds, exception=False):
+        with Timeout(self._timeout_s, exception=False):
             self._target.flush()
             return
-        self._give_up()
+        self._abort()
 
     def close(self) -> None:
         """Close the file."""
         self._target.close()
 
-    def _give_up(self) -> None:
-        # A reset on closing frees what the system still buffers, and later
-        # writes, such as the flush on closing, fail at once.
+    def _abort(self) -> None:
+        # A reset on close discards the send buffer of the socket; the
+        # shutdown makes later writes, such as the flush on close, fail.
         self._connection.setsockopt(
             socket.SOL_SOCKET,
             socket.SO_LINGER,
@@ -74,4 +74,4 @@
         )
         with contextlib.suppress(OSError):
             self._connection.shutdown(socket.SHUT_RDWR)
-        raise TimeoutError('the client did not take its answer in time')
+        raise TimeoutError('the client did not read the answer in time')
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/logs/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/logs/__init__.py
@@ -1,1 +1,1 @@
-"""Log lines: written without waiting, bounded in volume."""
+"""Logging with non-blocking output and rate limits."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/logs/_budget.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/logs/_budget.py
@@ -1,4 +1,4 @@
-"""A log of decisions whose volume is bounded."""
+"""Log of decisions with a rate limit for each event."""
 
 from typing import Any, ClassVar, Final, Protocol
 
@@ -8,31 +8,31 @@
 from fennelfork.config import TokenBucket, token_bucket
 from fennelfork_daemon.logs._logs import structlog
 
-# Lines of one kind: 50 at once, then 10 a second. A busy daemon has some 60
-# requests a second, of which a tenth or so is hedged, late or partial.
-_PER_SECOND: Final = 10
-_BURST: Final = 50
+# Rate limit of each event.
+_LINES_PER_SECOND: Final = 10
+_BURST_LINES: Final = 50
 _LINES_DROPPED: Final = 'lines_dropped'
 
 
 class Decision(Protocol):
-    """An attrs class whose fields are the facts of one kind of line."""
+    """attrs class whose fields are the values of a log line."""
 
     event: ClassVar[str]
 
 
 class CountDecision(Protocol):
-    """Counts decisions of one kind."""
+    """Function that counts decisions by event."""
 
     def __call__(self, event: str, *, logged: bool, times: int) -> None:
-        """Count some of them, whose lines were written or not."""
+        """Count decisions whose lines were written or suppressed."""
 
 
 class LogOutput(Protocol):
-    """Where the lines go.
+    """Output of log lines.
 
     Attributes:
-        dropped: lines that found no room, since the start.
+        dropped: number of lines that were dropped since the start of the
+            process.
     """
 
     dropped: int
@@ -40,54 +40,56 @@
 
 @attrs.define(kw_only=True)
 class DecisionLog:
-    """Writes one line a decision, up to a rate for each kind of decision."""
+    """Log of one line per decision, with a rate limit for each event."""
 
     _logger: Any
     _clock: Clock
     _count: CountDecision
     _output: LogOutput
-    _told_dropped: int = 0
-    _budgets: dict[str, TokenBucket] = attrs.field(factory=dict)
-    _held_back: dict[str, int] = attrs.field(factory=dict)
+    _reported_drops: int = 0
+    _rate_limits: dict[str, TokenBucket] = attrs.field(factory=dict)
+    _suppressed: dict[str, int] = attrs.field(factory=dict)
 
     def tell(self, decision: Decision) -> bool:
-        """Write a line, or count it as held back.
+        """Write the log line of a decision, unless the rate is exceeded.
 
         Args:
-            decision: what was decided, by which facts.
+            decision: decision with the values of the log line.
 
         Returns:
-            Whether the line was written.
+            True if the line was written, False if it was suppressed.
         """
         event = decision.event
-        logged = self._budget(event).try_acquire()
+        logged = self._rate_limit(event).try_acquire()
         self._count(event, logged=logged, times=1)
         if not logged:
-            self._held_back[event] = self._held_back.get(event, 0) + 1
+            self._suppressed[event] = self._suppressed.get(event, 0) + 1
             return False
         facts = attrs.asdict(decision, recurse=False)
-        held_back = self._held_back.pop(event, 0)
-        if held_back:
-            facts['dropped_before'] = held_back
+        suppressed = self._suppressed.pop(event, 0)
+        if suppressed:
+            facts['dropped_before'] = suppressed
         dropped = self._output.dropped
         self._logger.info(event, **facts)
         if self._output.dropped == dropped:
-            self._tell_dropped(dropped)
+            self._report_drops(dropped)
         return True
 
-    def _budget(self, event: str) -> TokenBucket:
-        budget = self._budgets.get(event)
-        if budget is None:
-            budget = token_bucket(self._clock, _PER_SECOND, _BURST)
-            self._budgets[event] = budget
-        return budget
-
-    def _tell_dropped(self, dropped: int) -> None:
-        """Say how many lines found no room, now that there is room again."""
-        lines = dropped - self._told_dropped
+    def _rate_limit(self, event: str) -> TokenBucket:
+        rate_limit = self._rate_limits.get(event)
+        if rate_limit is None:
+            rate_limit = token_bucket(
+                self._clock, _LINES_PER_SECOND, _BURST_LINES
+            )
+            self._rate_limits[event] = rate_limit
+        return rate_limit
+
+    def _report_drops(self, dropped: int) -> None:
+        """Log the number of lines that the output dropped."""
+        lines = dropped - self._reported_drops
         if not lines:
             return
-        self._told_dropped = dropped
+        self._reported_drops = dropped
         self._count(_LINES_DROPPED, logged=True, times=lines)
         self._logger.info(_LINES_DROPPED, lines=lines)
 
@@ -101,11 +103,10 @@
     """Build a log of decisions.
 
     Args:
-        clock: bounds the rate.
-        count: told the kind of a decision, whether it was logged, and how
-            many there are.
-        output: where the lines go.
-        facts: what stands in each line, such as the daemon's name.
+        clock: clock of the rate limits.
+        count: function that counts decisions by event.
+        output: output of the log lines.
+        facts: values that each line contains, such as the daemon name.
     """
     return DecisionLog(
         logger=structlog.get_logger(**facts),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/logs/_logs.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/logs/_logs.py
@@ -1,47 +1,48 @@
-"""Log lines, written only where a state changes."""
+"""Configuration of structlog, and a log of state changes."""
 
 from typing import Any, Final, TextIO
 
 import attrs
 
-from fennelfork_daemon._left_out import asyncio_left_out, left_out
+from fennelfork_daemon._blocked_imports import block_asyncio, block_import
 from fennelfork_daemon.settings._tables import LogFormat, LogSettings
 
-_MOST_SUBJECTS: Final = 1024
+_MAX_SUBJECTS: Final = 1024
 
 
-# rich would cost 3.5 MB of memory.
-with left_out('rich'), asyncio_left_out():
+# structlog imports rich if present, which the daemon does not use.
+with block_import('rich'), block_asyncio():
     import structlog
 
 
 @attrs.define(kw_only=True)
 class StateLog:
-    """Remembers the state of each subject and logs only its changes.
+    """Log of the state changes of subjects.
 
-    The oldest subject is forgotten when there are too many; its next line
-    then repeats a state, which does no harm.
+    The number of subjects is limited. After the eviction of the oldest
+    subject, its unchanged state may be logged again.
     """
 
     _logger: Any
     _states: dict[str, str] = attrs.field(factory=dict)
 
     def change(self, subject: str, state: str, **facts: Any) -> bool:
-        """Log that a subject is in a state, if it was not before.
+        """Log the state of a subject if the state changed.
 
         Args:
-            subject: what changed, such as `platform` or `server raft-a`.
-            state: the state that it is in now.
-            facts: what belongs to the change, such as `config_version` or
-                `request_id`.
+            subject: name of the subject, such as `platform` or
+                `server raft-a`.
+            state: current state of the subject.
+            facts: further values of the log line, such as `config_version`
+                or `request_id`.
 
         Returns:
-            Whether a line was written.
+            True if a line was written.
         """
         if self._states.get(subject) == state:
             return False
         self._states.pop(subject, None)
-        if len(self._states) >= _MOST_SUBJECTS:
+        if len(self._states) >= _MAX_SUBJECTS:
             self._states.pop(next(iter(self._states)))
         self._states[subject] = state
         self._logger.info(
@@ -54,11 +55,12 @@
 
 
 def configure_logs(settings: LogSettings, stream: TextIO) -> None:
-    """Set up structlog for the whole process.
+    """Configure structlog for the whole process.
 
     Args:
-        settings: format and least severity.
-        stream: where lines go; standard output is kept for the ready line.
+        settings: format and minimum severity of log lines.
+        stream: output of log lines; standard output is reserved for the
+            ready line.
     """
     renderer: Any = structlog.processors.JSONRenderer()
     if settings.format is LogFormat.CONSOLE:
@@ -85,6 +87,6 @@
     """Build a log of state changes.
 
     Args:
-        facts: what stands in each line, such as the daemon's name.
+        facts: values that each line contains, such as the daemon name.
     """
     return StateLog(logger=structlog.get_logger(**facts))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/logs/_sink.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/logs/_sink.py
@@ -1,51 +1,52 @@
-"""Writes log lines without ever waiting for who reads them."""
+"""Non-blocking output of log lines."""
 
 import os
 from typing import Final
 
 import attrs
 
-# Lines that a slow reader has not taken yet; beyond that, lines are dropped.
-_MOST_WAITING: Final = 262_144
+# Maximum size of buffered lines; further lines are dropped.
+_MAX_PENDING_BYTES: Final = 262_144
 _NEWLINE: Final = '\n'
 
 
 @attrs.define(kw_only=True, eq=False)
 class NonBlockingSink:
-    """A file of log lines over a descriptor that does not block.
+    """File-like output of log lines to a non-blocking file descriptor.
 
     Attributes:
-        dropped: lines that found no room, since the start.
+        dropped: number of lines that were dropped since the start of the
+            process.
     """
 
     dropped: int = 0
     _descriptor: int
-    _waiting: bytearray = attrs.field(factory=bytearray)
+    _pending: bytearray = attrs.field(factory=bytearray)
 
     def write(self, text: str) -> int:
-        """Take a whole line, or drop it."""
+        """Buffer a whole line, or drop the line if the buffer is full."""
         line = text.encode(errors='replace')
-        if len(self._waiting) + len(line) > _MOST_WAITING:
+        if len(self._pending) + len(line) > _MAX_PENDING_BYTES:
             self.dropped += 1
             return 0
-        self._waiting += line
+        self._pending += line
         return len(text)
 
     def flush(self) -> None:
-        """Hand over as much as the reader takes now."""
+        """Write as many buffered bytes as the descriptor accepts."""
         try:
-            taken = os.write(self._descriptor, self._waiting)
+            written = os.write(self._descriptor, self._pending)
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more: a closed pipe must not stop a request.
-            self.dropped += self._waiting.count(_NEWLINE.encode())
-            self._waiting.clear()
+            # The pipe is closed, which must not fail a request.
+            self.dropped += self._pending.count(_NEWLINE.encode())
+            self._pending.clear()
             return
-        self._waiting = self._waiting[taken:]
+        self._pending = self._pending[written:]
 
 
 def non_blocking_sink(descriptor: int) -> NonBlockingSink:
-    """Build a sink over a descriptor, which does not block from now on."""
+    """Build a sink and set the file descriptor to non-blocking mode."""
     os.set_blocking(descriptor, False)
     return NonBlockingSink(descriptor=descriptor)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Counters and histograms, with bounded labels."""
+"""Prometheus metrics with a limit on label values."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_families.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_families.py
@@ -1,11 +1,11 @@
-"""The families of metrics that a daemon offers."""
+"""Metric families of a daemon."""
 
 from typing import Final
 
 import attrs
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-_SECONDS: Final = (
+_LATENCY_BUCKETS_S: Final = (
     0.002,
     0.005,
     0.01,
@@ -19,15 +19,15 @@
     2,
     5,
 )
-_SHARES: Final = (0, 0.5, 0.9, 0.95, 0.99, 0.999, 1)
-_EXTRA: Final = (0, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1)
+_COVERAGE_BUCKETS: Final = (0, 0.5, 0.9, 0.95, 0.99, 0.999, 1)
+_EXTRA_LOAD_BUCKETS: Final = (0, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1)
 _FRONT: Final = 'front'
-_BY_QUERY: Final = (_FRONT, 'tenant', 'class')
+_QUERY_LABELS: Final = (_FRONT, 'tenant', 'class')
 
 
 @attrs.frozen(kw_only=True)
 class QueryFamilies:
-    """Histograms by front, tenant and class."""
+    """Histograms of queries, by front, tenant and traffic class."""
 
     latency: Histogram
     queue_wait: Histogram
@@ -37,9 +37,9 @@
 
 @attrs.frozen(kw_only=True)
 class CounterFamilies:
-    """Counters of answers, of work by front, and of control."""
+    """Counters of answers, attempts by front, and control traffic."""
 
-    verdicts: Counter
+    answers: Counter
     hedges: Counter
     retries: Counter
     sheds: Counter
@@ -50,25 +50,25 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteFamilies:
-    """What is told of non-idempotent requests."""
+    """Metrics of non-idempotent requests."""
 
     latency: Histogram
-    remembered: Gauge
+    remembered_ids: Gauge
 
 
 def execute_families(registry: CollectorRegistry) -> ExecuteFamilies:
-    """Build the families of non-idempotent requests."""
+    """Build the metrics of non-idempotent requests."""
     return ExecuteFamilies(
         latency=Histogram(
             'fennelfork_execute_latency_seconds',
             'From reading a non-idempotent request to its answer.',
-            _BY_QUERY,
+            _QUERY_LABELS,
             registry=registry,
-            buckets=_SECONDS,
+            buckets=_LATENCY_BUCKETS_S,
         ),
-        remembered=Gauge(
+        remembered_ids=Gauge(
             'fennelfork_execute_remembered',
-            'Ids of non-idempotent requests kept in memory.',
+            'IDs of non-idempotent requests kept in memory.',
             registry=registry,
         ),
     )
@@ -80,63 +80,61 @@
         latency=Histogram(
             'fennelfork_query_latency_seconds',
             'From reading a query to its answer.',
-            _BY_QUERY,
+            _QUERY_LABELS,
             registry=registry,
-            buckets=_SECONDS,
+            buckets=_LATENCY_BUCKETS_S,
         ),
         queue_wait=Histogram(
             'fennelfork_query_queue_wait_seconds',
             'Longest wait of a sub-query of a query for a slot.',
-            _BY_QUERY,
+            _QUERY_LABELS,
             registry=registry,
-            buckets=_SECONDS,
+            buckets=_LATENCY_BUCKETS_S,
         ),
         coverage=Histogram(
             'fennelfork_query_coverage_ratio',
             'Share of the keys that an answer covers; 1 is complete.',
-            _BY_QUERY,
+            _QUERY_LABELS,
             registry=registry,
-            buckets=_SHARES,
+            buckets=_COVERAGE_BUCKETS,
         ),
         extra_load=Histogram(
             'fennelfork_query_extra_load_ratio',
-            'Hedges, retries and reruns for each sub-query needed.',
-            _BY_QUERY,
+            'Extra attempts for each sub-query that a query needs.',
+            _QUERY_LABELS,
             registry=registry,
-            buckets=_EXTRA,
+            buckets=_EXTRA_LOAD_BUCKETS,
         ),
     )
 
 
 def counter_families(registry: CollectorRegistry) -> CounterFamilies:
-    """Build the counters."""
+    """Build the counters of answers, attempts and control traffic."""
     return CounterFamilies(
-        verdicts=Counter(
+        answers=Counter(
             'fennelfork_answers',
             'Answers to callers by verdict and code.',
-            (*_BY_QUERY, 'verdict', 'code'),
+            (*_QUERY_LABELS, 'verdict', 'code'),
             registry=registry,
         ),
-        hedges=_by_front(
-            'hedges', 'Second copies of slow sub-queries', registry
-        ),
-        retries=_by_front('retries', 'Sub-queries sent again', registry),
+        hedges=_by_front('hedges', 'Hedges of slow sub-queries', registry),
+        retries=_by_front('retries', 'Retries of sub-queries', registry),
         sheds=_by_front('sheds', 'Sub-queries shed by servers', registry),
         dropped_replies=Counter(
             'fennelfork_dropped_replies',
-            'Replies of servers thrown away, by what was wrong with them.',
+            'Discarded responses of backend servers, by reason.',
             (_FRONT, 'reason'),
             registry=registry,
         ),
         control_bytes=Counter(
             'fennelfork_control_bytes',
-            'Bytes of control, by channel and direction.',
+            'Bytes of control traffic, by channel and direction.',
             ('channel', 'direction'),
             registry=registry,
         ),
         control_processor=Counter(
             'fennelfork_control_processor_seconds',
-            'Processor time of control, by channel.',
+            'Processor time of control traffic, by channel.',
             ('channel',),
             registry=registry,
         ),
@@ -144,10 +142,10 @@
 
 
 def config_gauge(registry: CollectorRegistry) -> Gauge:
-    """Build the gauge of the configuration version in force."""
+    """Build the gauge of the active configuration version."""
     return Gauge(
         'fennelfork_config_version',
-        'Version of the configuration in force.',
+        'Version of the active configuration.',
         registry=registry,
     )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_labels.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_labels.py
@@ -1,4 +1,4 @@
-"""Label values of metrics, bounded whatever callers send."""
+"""Limits on the label values of metrics."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -8,30 +8,30 @@
 from fennelfork.config import Document
 
 OTHER: Final = 'other'
-_COMBINATIONS: Final = 4
+_COMBINATIONS_PER_NAME: Final = 4
 
 
 @attrs.frozen(kw_only=True)
 class Labels:
-    """Under which labels a query is counted."""
+    """Label values of a query."""
 
     front: str
     tenant: str
     traffic_class: str
 
     @property
-    def words(self) -> tuple[str, str, str]:
-        """The values in the order of the families' label names."""
+    def label_values(self) -> tuple[str, str, str]:
+        """Label values in the order of the label names of the metrics."""
         return (self.front, self.tenant, self.traffic_class)
 
 
 @attrs.define(kw_only=True)
 class KnownNames:
-    """Names that may be label values of one kind.
+    """Names that may be values of one label.
 
-    A name counts under itself while the configuration has it, and as `other`
-    else. A series once made stays until the process ends, so names that come
-    and go with the configuration are bounded as well.
+    A name in the configuration is its own label value; any other name maps
+    to `other`. Time series exist until the process ends, so the number of
+    names is also limited across configuration changes.
     """
 
     _most: int
@@ -39,11 +39,11 @@
     _used: set[str] = attrs.field(factory=set)
 
     def allow(self, names: Iterable[str]) -> None:
-        """Replace the names that the configuration has."""
+        """Replace the set of configured names."""
         self._allowed = frozenset(names)
 
     def label(self, name: str) -> str:
-        """Give the label value for a name that a caller sent."""
+        """Return the label value of a name that a caller sent."""
         if name not in self._allowed:
             return OTHER
         if name not in self._used:
@@ -55,31 +55,31 @@
 
 @attrs.define(kw_only=True)
 class LabelGuard:
-    """Bounds the label values of a kind, and their combinations."""
+    """Limits the values of each label and the number of combinations."""
 
     fronts: KnownNames
     tenants: KnownNames
     classes: KnownNames
-    _most: int
+    _max_combinations: int
     _used: set[Labels] = attrs.field(factory=set)
-    _followed: Document | None = None
+    _document: Document | None = None
 
     def follow(self, document: Document) -> bool:
-        """Take the known names from a configuration.
+        """Replace the configured names with the names of a configuration.
 
         Returns:
-            Whether it is another one than before.
+            True if the configuration differs from the previous one.
         """
-        if document is self._followed:
+        if document is self._document:
             return False
-        self._followed = document
+        self._document = document
         self.fronts.allow(document.fronts)
         self.tenants.allow(document.tenants)
         self.classes.allow(document.classes)
         return True
 
     def labels(self, front: str, tenant: str, traffic_class: str) -> Labels:
-        """Give the labels for what a caller sent."""
+        """Return the labels for names that a caller sent."""
         found = Labels(
             front=self.fronts.label(front),
             tenant=self.tenants.label(tenant),
@@ -87,22 +87,23 @@
         )
         if found in self._used:
             return found
-        if len(self._used) >= self._most:
+        if len(self._used) >= self._max_combinations:
             return Labels(front=OTHER, tenant=OTHER, traffic_class=OTHER)
         self._used.add(found)
         return found
 
 
-def label_guard(most_names: int) -> LabelGuard:
-    """Build a guard that knows no names yet.
+def label_guard(max_names: int) -> LabelGuard:
+    """Build a label guard without configured names.
 
     Args:
-        most_names: distinct fronts, tenants and classes each; four times as
-            many combinations get series of their own.
+        max_names: maximum number of distinct fronts, of tenants and of
+            traffic classes; four times as many combinations get time series
+            of their own.
     """
     return LabelGuard(
-        fronts=KnownNames(most=most_names),
-        tenants=KnownNames(most=most_names),
-        classes=KnownNames(most=most_names),
-        most=_COMBINATIONS * most_names,
+        fronts=KnownNames(most=max_names),
+        tenants=KnownNames(most=max_names),
+        classes=KnownNames(most=max_names),
+        max_combinations=_COMBINATIONS_PER_NAME * max_names,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_metrics.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a daemon, through prometheus_client."""
+"""Metrics of a daemon in the Prometheus format."""
 
 import enum
 from collections.abc import Callable
@@ -26,13 +26,13 @@
 from fennelfork_daemon.metrics._labels import LabelGuard, Labels, label_guard
 
 _MS_PER_SECOND: Final = 1000
-# How the check of replies begins what it says of a crossed one.
-_CROSSED: Final = 'crossed'
+# Prefix of the detail of a failure that reports a crossed reply.
+_CROSSED_PREFIX: Final = 'crossed'
 
 
 @enum.unique
 class Channel(enum.Enum):
-    """Whom control is exchanged with."""
+    """Channel of control traffic."""
 
     PLATFORM = 'platform'
     PEER = 'peer'
@@ -40,7 +40,7 @@
 
 @enum.unique
 class DropReason(enum.Enum):
-    """What was wrong with a reply of a backend server."""
+    """Reason why a response of a backend server was discarded."""
 
     CROSSED = 'crossed'
     INCOMPLETE = 'incomplete'
@@ -48,16 +48,16 @@
 
 
 @attrs.frozen(kw_only=True)
-class QueryFacts:
-    """One finished query, as it is counted.
+class QuerySample:
+    """Values of a finished query that the metrics record.
 
     Attributes:
-        labels: from `DaemonMetrics.labels`.
-        took_ms: from reading the request to its answer.
-        queue_ms: the longest wait of one of its sub-queries for a slot.
-        fraction: share of the keys that the answer covers.
-        sub_queries: how many were needed.
-        extra_runs: hedges, retries and reruns beyond them.
+        labels: label values from `DaemonMetrics.labels`.
+        took_ms: time from reading the request to the answer.
+        queue_ms: longest time that a sub-query waited for a slot.
+        fraction: fraction of the keys that the answer covers.
+        sub_queries: number of sub-queries that the query needs.
+        extra_attempts: number of hedges and retries.
     """
 
     labels: Labels
@@ -65,12 +65,12 @@
     queue_ms: float
     fraction: float
     sub_queries: int
-    extra_runs: int
+    extra_attempts: int
 
 
 @attrs.frozen(kw_only=True)
-class FrontWork:
-    """What was done for one front since it was last counted."""
+class FrontAttempts:
+    """Number of hedges and retries of one query on a front."""
 
     front: str
     hedges: int = 0
@@ -79,13 +79,13 @@
 
 @attrs.frozen(kw_only=True)
 class ControlCost:
-    """What one exchange of control cost.
+    """Cost of one exchange of control traffic.
 
     Attributes:
-        channel: whom it was with.
-        sent: bytes.
-        received: bytes.
-        processor_ms: processor time here.
+        channel: channel of the exchange.
+        sent: number of bytes sent.
+        received: number of bytes received.
+        processor_ms: processor time in this daemon.
     """
 
     channel: Channel
@@ -99,7 +99,7 @@
 
 @attrs.frozen(kw_only=True)
 class DaemonMetrics:
-    """All metrics of one daemon, with bounded labels."""
+    """All metrics of one daemon, with limited label values."""
 
     _registry: CollectorRegistry
     _guard: LabelGuard
@@ -110,58 +110,60 @@
 
     @property
     def registry(self) -> CollectorRegistry:
-        """Where further families of this daemon are registered."""
+        """Registry for further metrics of this daemon."""
         return self._registry
 
     def labels(self, front: str, tenant: str, traffic_class: str) -> Labels:
-        """Give the labels for names as a caller sent them."""
+        """Return the labels for names that a caller sent."""
         return self._guard.labels(front, tenant, traffic_class)
 
     def follow(self, document: Document) -> None:
-        """Take the known names and the version from a configuration."""
+        """Apply the names and the version of a configuration."""
         if self._guard.follow(document):
             self._config_version.set(document.version)
 
-    def observe_query(self, facts: QueryFacts) -> None:
-        """Count one finished query in the four histograms."""
-        words = facts.labels.words
+    def observe_query(self, sample: QuerySample) -> None:
+        """Record a finished query in the four histograms."""
+        label_values = sample.labels.label_values
         queries = self._queries
-        extra = facts.extra_runs / max(facts.sub_queries, 1)
-        queries.latency.labels(*words).observe(facts.took_ms / _MS_PER_SECOND)
-        queries.queue_wait.labels(*words).observe(
-            facts.queue_ms / _MS_PER_SECOND,
+        extra = sample.extra_attempts / max(sample.sub_queries, 1)
+        queries.latency.labels(*label_values).observe(
+            sample.took_ms / _MS_PER_SECOND
         )
-        queries.coverage.labels(*words).observe(facts.fraction)
-        queries.extra_load.labels(*words).observe(extra)
+        queries.queue_wait.labels(*label_values).observe(
+            sample.queue_ms / _MS_PER_SECOND,
+        )
+        queries.coverage.labels(*label_values).observe(sample.fraction)
+        queries.extra_load.labels(*label_values).observe(extra)
 
     def count_answer(self, labels: Labels, verdict: Verdict, code: str) -> None:
-        """Count one answer to a caller.
+        """Count an answer to a caller.
 
         Args:
-            labels: of the request.
-            verdict: whether a backend server may have run it.
-            code: the value of a failure code, or `complete` or `partial`.
+            labels: label values of the request.
+            verdict: whether a backend server may have run the request.
+            code: value of a failure code, or `complete` or `partial`.
         """
-        words = labels.words
-        self._counters.verdicts.labels(*words, verdict.value, code).inc()
+        label_values = labels.label_values
+        self._counters.answers.labels(*label_values, verdict.value, code).inc()
 
     def observe_execute(self, labels: Labels, took_ms: float) -> None:
-        """Count a non-idempotent request that was answered, in any way."""
-        latency = self._execute.latency.labels(*labels.words)
+        """Record the latency of a non-idempotent request."""
+        latency = self._execute.latency.labels(*labels.label_values)
         latency.observe(took_ms / _MS_PER_SECOND)
 
     def show_remembered(self, count: int) -> None:
-        """Show how many ids of non-idempotent requests are kept."""
-        self._execute.remembered.set(count)
+        """Set the number of stored IDs of non-idempotent requests."""
+        self._execute.remembered_ids.set(count)
 
-    def count_work(self, work: FrontWork) -> None:
-        """Add to the counters of a front."""
-        front = self._guard.fronts.label(work.front)
-        self._counters.hedges.labels(front).inc(work.hedges)
-        self._counters.retries.labels(front).inc(work.retries)
+    def count_attempts(self, attempts: FrontAttempts) -> None:
+        """Add hedges and retries to the counters of a front."""
+        front = self._guard.fronts.label(attempts.front)
+        self._counters.hedges.labels(front).inc(attempts.hedges)
+        self._counters.retries.labels(front).inc(attempts.retries)
 
     def count_failure(self, front: str, failure: Failure) -> None:
-        """Count a sub-query that a server shed or answered wrongly."""
+        """Count a sub-query that was shed or had an invalid response."""
         label = self._guard.fronts.label(front)
         if failure.code is FailureCode.SHED:
             self._counters.sheds.labels(label).inc()
@@ -170,7 +172,7 @@
             self._counters.dropped_replies.labels(label, reason).inc()
 
     def count_control(self, cost: ControlCost) -> None:
-        """Add the cost of one exchange of control."""
+        """Add the cost of one exchange of control traffic."""
         channel = cost.channel.value
         counters = self._counters
         counters.control_bytes.labels(channel, 'sent').inc(cost.sent)
@@ -180,35 +182,36 @@
         )
 
     def page(self) -> bytes:
-        """Render all metrics as Prometheus text."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
 
 def drop_reason(failure: Failure) -> DropReason:
-    """Tell what was wrong with a reply from the failure that says so.
+    """Return the reason why a response was discarded.
 
-    A reply of this very sub-query whose content does not fit it has the
-    verdict that it ran: truncated, doubled, or of another range or snapshot.
+    A response to the right sub-query with wrong content (truncated,
+    duplicated, or of another key range or snapshot) has the verdict `RAN`.
     """
     if failure.verdict is Verdict.RAN:
         return DropReason.INCOMPLETE
-    if failure.detail.startswith(_CROSSED):
+    if failure.detail.startswith(_CROSSED_PREFIX):
         return DropReason.CROSSED
     return DropReason.UNREADABLE
 
 
-def daemon_metrics(most_names: int) -> DaemonMetrics:
-    """Build the metrics of one daemon, in a registry of their own.
+def daemon_metrics(max_names: int) -> DaemonMetrics:
+    """Build the metrics of one daemon in a new registry.
 
     Args:
-        most_names: tenants, classes and fronts each that get series of their
-            own, from the settings (`limits.label_values`).
+        max_names: maximum number of fronts, of tenants and of traffic
+            classes that get time series of their own; the setting
+            `limits.label_values`.
     """
     registry = CollectorRegistry()
     ProcessCollector(registry=registry)
     return DaemonMetrics(
         registry=registry,
-        guard=label_guard(most_names),
+        guard=label_guard(max_names),
         queries=query_families(registry),
         counters=counter_families(registry),
         config_version=config_gauge(registry),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator face."""
+"""Operator API."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_api.py
@@ -1,4 +1,4 @@
-"""The operator face: health, metrics, members, fronts and explanations."""
+"""Operator API: health, metrics, members, fronts and request traces."""
 
 import http
 
@@ -29,8 +29,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class OperatorFace:
-    """Answers operators."""
+class OperatorApi:
+    """Handlers of the operator API."""
 
     _board: Blackboard
     _home: HomeService
@@ -39,7 +39,7 @@
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """The routes of this face."""
+        """Routes of the operator API."""
         pages = {
             '/healthz': self.health,
             '/readyz': self.readiness,
@@ -54,11 +54,11 @@
         )
 
     def health(self, request: HttpRequest) -> HttpReply:
-        """Tell that the process serves."""
+        """Answer that the process is alive."""
         return json_reply({'status': 'ok'})
 
     def readiness(self, request: HttpRequest) -> HttpReply:
-        """Tell whether callers should come, and why not."""
+        """Return whether the daemon is ready, with the reasons if not."""
         reasons = unready_reasons(self._board, self._reader.failure)
         return json_reply(
             {'ready': not reasons, 'reasons': reasons},
@@ -70,7 +70,7 @@
         )
 
     def metrics(self, request: HttpRequest) -> HttpReply:
-        """Give all metrics as Prometheus text."""
+        """Return all metrics in the Prometheus text format."""
         return HttpReply(
             status=http.HTTPStatus.OK,
             headers=(('Content-Type', CONTENT_TYPE_PLAIN_0_0_4),),
@@ -78,23 +78,23 @@
         )
 
     def members(self, request: HttpRequest) -> HttpReply:
-        """Give the daemons known here."""
+        """Return the known members of the fleet."""
         return json_reply(members_page(self._board))
 
     def fronts(self, request: HttpRequest) -> HttpReply:
-        """Give the fronts with homes and servers."""
+        """Return the fronts with home daemons and backend servers."""
         return json_reply(fronts_page(self._board, self._home.sights))
 
     def explain(self, request: HttpRequest) -> HttpReply:
-        """Give what was done for one request of the latest."""
+        """Return the stored trace of a recent request."""
         request_id = request.names['request_id']
-        story = self._observer.ring.find(request_id)
-        if story is not None:
-            return json_reply(story)
+        entry = self._observer.ring.find(request_id)
+        if entry is not None:
+            return json_reply(entry)
         failure = not_run(
             FailureCode.BAD_REQUEST,
-            f'nothing is kept here of request {request_id}; '
-            'ask the daemon that answered it, soon after',
+            f'this daemon has no trace of the request {request_id}; '
+            'query the daemon that answered, soon after the request',
         )
         return failure_reply(
             failure,
@@ -106,26 +106,26 @@
 def operator_router(
     board: Blackboard,
     home: HomeService,
-    seen: Observer,
+    observer: Observer,
     config: ConfigService,
     settings: Settings,
-    further: tuple[Route, ...],
+    extra_routes: tuple[Route, ...],
 ) -> Router:
-    """Build the application of the operator face.
+    """Build the WSGI application of the operator API.
 
     Args:
-        board: the facts of this daemon.
-        home: what it does as the home of shards.
-        seen: what was counted and remembered here.
-        config: follows and changes the configuration.
-        settings: what bounds requests.
-        further: routes of other parts of the daemon.
+        board: blackboard of this daemon.
+        home: service that schedules the requests of shards.
+        observer: metrics and traces of requests.
+        config: service that reads and changes the configuration.
+        settings: settings with the limits of requests.
+        extra_routes: routes of other parts of the daemon.
     """
-    face = OperatorFace(
+    operator_api = OperatorApi(
         board=board,
         home=home,
-        observer=seen,
+        observer=observer,
         reader=config.reader,
     )
     config_routes = config_face(board, config, settings).routes
-    return router((*face.routes, *config_routes, *further))
+    return router((*operator_api.routes, *config_routes, *extra_routes))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
@@ -1,4 +1,4 @@
-"""Pages of the operator face, from the facts of the blackboard."""
+"""JSON documents of the operator API."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,43 +10,43 @@
 from fennelfork.home import ServerStatus, route_homes
 from fennelfork.membership import Member
 
-Tree = dict[str, Any]
-# By front and shard.
+JsonTree = dict[str, Any]
+# Front name and shard name.
 ShardKey = tuple[str, str]
-Sights = Mapping[ShardKey, tuple[ServerStatus, ...]]
+StatusByShard = Mapping[ShardKey, tuple[ServerStatus, ...]]
 
 
-def members_page(board: Blackboard) -> Tree:
-    """List the daemons known here, by name."""
+def members_page(board: Blackboard) -> JsonTree:
+    """Return the known members of the fleet, sorted by name."""
     names = sorted(board.members)
     return {'members': [_member(board.members[name]) for name in names]}
 
 
 def fronts_page(
     board: Blackboard,
-    sights: Sights,
-) -> Tree:
-    """List the fronts with their shards, homes and backend servers.
+    statuses: StatusByShard,
+) -> JsonTree:
+    """Return the fronts with shards, home daemons and backend servers.
 
     Args:
-        board: configuration and members.
-        sights: what this daemon sees of servers as their home; of others
-            only the configuration is told.
+        board: blackboard with the configuration and the members.
+        statuses: status of the backend servers of those shards whose home
+            daemon is this daemon; the status of others is null.
     """
     return {
         'config_version': board.config_version,
         'fronts': [
-            _front(board, sights, name)
+            _front(board, statuses, name)
             for name in sorted(board.document.fronts)
         ],
     }
 
 
-def _member(member: Member) -> Tree:
+def _member(member: Member) -> JsonTree:
     return attrs.asdict(member) | {'state': member.state.value}
 
 
-def _front(board: Blackboard, sights: Sights, name: str) -> Tree:
+def _front(board: Blackboard, statuses: StatusByShard, name: str) -> JsonTree:
     front = board.document.fronts[name]
     homes = _homes(board, name, front)
     return {
@@ -59,7 +59,7 @@
                 'home': homes.get(shard_name),
                 'servers': _servers(
                     shard,
-                    sights.get((name, shard_name), ()),
+                    statuses.get((name, shard_name), ()),
                 ),
             }
             for shard_name, shard in sorted(front.shards.items())
@@ -75,25 +75,27 @@
     }
 
 
-def _servers(shard: Shard, sights: tuple[ServerStatus, ...]) -> list[Tree]:
-    seen = {sight.name: sight for sight in sights}
+def _servers(
+    shard: Shard, statuses: tuple[ServerStatus, ...]
+) -> list[JsonTree]:
+    status_by_name = {status.name: status for status in statuses}
     return [
         {
             'name': name,
             'address': server.address,
             'data_centre': server.data_centre,
             'slots': server.slots,
-            **_sight(seen.get(name)),
+            **_status_fields(status_by_name.get(name)),
         }
         for name, server in sorted(shard.servers.items())
     ]
 
 
-def _sight(sight: ServerStatus | None) -> Tree:
-    if sight is None:
+def _status_fields(status: ServerStatus | None) -> JsonTree:
+    if status is None:
         return {'state': None, 'busy': None, 'snapshots': None}
     return {
-        'state': sight.condition.value,
-        'busy': sight.busy,
-        'snapshots': sight.snapshots,
+        'state': status.condition.value,
+        'busy': status.busy,
+        'snapshots': status.snapshots,
     }
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/__init__.py
@@ -1,1 +1,1 @@
-"""What was done for single requests."""
+"""Traces of single requests."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_observer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_observer.py
@@ -1,4 +1,4 @@
-"""Counts and remembers finished requests."""
+"""Metrics and traces of finished requests."""
 
 from typing import Any
 
@@ -10,8 +10,8 @@
 from fennelfork_daemon.metrics._labels import Labels
 from fennelfork_daemon.metrics._metrics import (
     DaemonMetrics,
-    FrontWork,
-    QueryFacts,
+    FrontAttempts,
+    QuerySample,
     daemon_metrics,
 )
 from fennelfork_daemon.settings._tables import LimitSettings
@@ -24,14 +24,14 @@
 
 @attrs.frozen(kw_only=True)
 class Observer:
-    """Sees each request of callers begin and end.
+    """Records metrics and traces of the requests of callers.
 
     Attributes:
-        metrics: what operators scrape.
-        ring: what `explain` reads.
-        watch: logs changes of facts.
-        board: the facts of the daemon.
-        clock: its clock.
+        metrics: metrics of the daemon.
+        ring: stored traces of the latest requests.
+        watch: log of changes of the blackboard.
+        board: blackboard of the daemon.
+        clock: clock of the daemon.
     """
 
     metrics: DaemonMetrics
@@ -41,38 +41,38 @@
     clock: Clock
 
     def began(self) -> RequestTrace:
-        """Begin the trace of a request that was just read."""
+        """Start the trace of a request."""
         return request_trace(self.clock)
 
     def answered(
         self,
         query: QueryRequest,
-        answered: QueryAnswer,
+        query_answer: QueryAnswer,
         trace: RequestTrace,
     ) -> None:
-        """Count and remember a query that was answered, whole or partly."""
-        coverage = answered.answer.coverage
-        work = answered.work
+        """Record a query with a complete or partial answer."""
+        coverage = query_answer.answer.coverage
+        work = query_answer.work
         code = 'complete' if coverage.complete else 'partial'
-        labels = self._count(query, trace, Verdict.RAN, code)
+        labels = self._record_metrics(query, trace, Verdict.RAN, code)
         self.metrics.observe_query(
-            QueryFacts(
+            QuerySample(
                 labels=labels,
                 took_ms=trace.took_ms,
                 queue_ms=trace.longest_queue_ms,
                 fraction=coverage.fraction,
                 sub_queries=work.sub_queries,
-                extra_runs=work.hedges + work.retries,
+                extra_attempts=work.hedges + work.retries,
             ),
         )
-        self._remember(
+        self._store_entry(
             query,
             trace,
             {
                 'outcome': code,
                 'verdict': Verdict.RAN.value,
-                'snapshot': answered.answer.snapshot,
-                'config_version': answered.config_version,
+                'snapshot': query_answer.answer.snapshot,
+                'config_version': query_answer.config_version,
                 'coverage': coverage.fraction,
                 'work': attrs.asdict(work),
             },
@@ -84,10 +84,10 @@
         failure: Failure,
         trace: RequestTrace,
     ) -> None:
-        """Count and remember a query that failed."""
+        """Record a query that failed."""
         code = failure.code.value
-        self._count(query, trace, failure.verdict, code)
-        self._remember(
+        self._record_metrics(query, trace, failure.verdict, code)
+        self._store_entry(
             query,
             trace,
             {
@@ -97,14 +97,14 @@
             },
         )
 
-    def _count(
+    def _record_metrics(
         self,
         query: QueryRequest,
         trace: RequestTrace,
         verdict: Verdict,
         code: str,
     ) -> Labels:
-        # A front may be asked before anything else looked at its patch.
+        # A query may arrive before the state watch has seen a new front.
         self.metrics.follow(self.board.document)
         labels = self.metrics.labels(
             query.front,
@@ -112,34 +112,34 @@
             query.traffic_class,
         )
         self.metrics.count_answer(labels, verdict, code)
-        work = FrontWork(
+        attempts = FrontAttempts(
             front=query.front,
             hedges=trace.hedges,
             retries=trace.retries,
         )
-        self.metrics.count_work(work)
+        self.metrics.count_attempts(attempts)
         return labels
 
-    def _remember(
+    def _store_entry(
         self,
         query: QueryRequest,
         trace: RequestTrace,
-        outcome: dict[str, Any],
+        outcome_fields: dict[str, Any],
     ) -> None:
-        story = {
+        entry = {
             'request_id': query.request_id,
             'daemon': self.board.local.name,
             'front': query.front,
             'tenant': query.tenant,
             'class': query.traffic_class,
-            **outcome,
+            **outcome_fields,
             'took_ms': round(trace.took_ms, 1),
             'queue_ms': round(trace.longest_queue_ms, 1),
-            'slowest': _slowest(trace),
+            'slowest': _slowest_fields(trace),
             'events': trace.events,
-            'events_left_out': trace.left_out,
+            'events_left_out': trace.omitted_events,
         }
-        self.ring.remember(query.request_id, story)
+        self.ring.remember(query.request_id, entry)
 
 
 def observer(
@@ -147,23 +147,23 @@
     clock: Clock,
     limits: LimitSettings,
 ) -> Observer:
-    """Build the observer of a daemon."""
+    """Build the request observer of a daemon."""
     metrics = daemon_metrics(limits.label_values)
     return Observer(
         board=board,
         metrics=metrics,
         watch=state_watch(board, metrics),
-        ring=ExplainRing(most=limits.explain_entries),
+        ring=ExplainRing(max_entries=limits.explain_entries),
         clock=clock,
     )
 
 
-def _slowest(trace: RequestTrace) -> dict[str, Any] | None:
-    part = trace.slowest
-    if part is None:
+def _slowest_fields(trace: RequestTrace) -> dict[str, Any] | None:
+    slowest = trace.slowest
+    if slowest is None:
         return None
     return {
-        'shard': part.planned.shard,
-        'server': part.server,
-        'server_ms': round(part.server_ms, 1),
+        'shard': slowest.planned.shard,
+        'server': slowest.server,
+        'server_ms': round(slowest.server_ms, 1),
     }
--- a/packages/fennelfork-daemon/tests/conftest.py
+++ b/packages/fennelfork-daemon/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of every test of the daemon."""
+"""Hypothesis profiles of the tests of the daemon."""
 
 import os
 
--- a/packages/fennelfork-daemon/tests/daemon_builders_product.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_product.py
@@ -1,4 +1,4 @@
-"""Builders of settings and WSGI requests."""
+"""Builders of settings, configurations and WSGI requests."""
 
 import copy
 import io
@@ -32,10 +32,10 @@
 
 
 def settings_document(**changes: dict[str, Any]) -> dict[str, Any]:
-    """Build a valid settings document with some tables changed.
+    """Build a valid settings document with changed values.
 
     Args:
-        changes: by table, the values to set; None takes a value out.
+        changes: values to set, by table; None removes a value.
     """
     document = copy.deepcopy(_DOCUMENT)
     for table, values in changes.items():
@@ -57,7 +57,7 @@
 
 
 def echo_application(environ: dict[str, Any], start_response: Any) -> Any:
-    """Answer a POST with its JSON object, or with why it is refused."""
+    """Answer a POST with the JSON object of the body, or a refusal."""
     limits = BodyLimits(body_bytes=2048, read_ms=100)
     return json_answer(
         read_json_object(environ, limits),
@@ -70,21 +70,21 @@
     environ: dict[str, Any],
     start_response: Any,
 ) -> list[bytes]:
-    """Answer with more than any socket buffers."""
+    """Answer with a body that exceeds all socket buffers."""
     start_response('200 OK', [('Content-Type', 'application/json')])
     return [b' ' * LARGE_BYTES]
 
 
 def json_answer(
-    found: Any,
+    result: Any,
     environ: dict[str, Any],
     start_response: Any,
 ) -> list[bytes]:
-    """Send what was read, or its refusal."""
-    if is_successful(found):
+    """Answer with a JSON object that was read, or with a refusal."""
+    if is_successful(result):
         start_response('200 OK', [('Content-Type', 'application/json')])
-        return [json.dumps(found.unwrap()).encode()]
-    refusal = found.failure()
+        return [json.dumps(result.unwrap()).encode()]
+    refusal = result.failure()
     if refusal.close:
         environ[CLOSE_KEY]()
     reply = problem_reply(refusal.failure, None, status=refusal.status)
@@ -96,7 +96,7 @@
     fronts: tuple[str, ...],
     tenants: tuple[str, ...],
 ) -> Document:
-    """Build a configuration of which only the names matter."""
+    """Build a configuration with these front and tenant names."""
     front = Front(keys=10, shards={})
     return Document(
         version=3,
@@ -107,7 +107,7 @@
 
 
 def settings_toml(caller: str = '127.0.0.1:0') -> str:
-    """Write settings whose platform is not there."""
+    """Return TOML settings with an unreachable platform."""
     return '\n'.join(
         (
             '[daemon]',
--- a/packages/fennelfork-daemon/tests/test_decision_log.py
+++ b/packages/fennelfork-daemon/tests/test_decision_log.py
@@ -1,4 +1,4 @@
-"""Log lines of decisions: bounded, and never waited for."""
+"""Tests of the decision log and the non-blocking sink."""
 
 import io
 import json
@@ -17,10 +17,10 @@
 
 
 class TestDecisionLog:
-    """One line a decision, up to a rate for each kind."""
+    """Rate limit of the decision log."""
 
-    def test_bounded(self) -> None:
-        """What is dropped is counted, and said in the next line."""
+    def test_rate_limit(self) -> None:
+        """Suppressed lines are counted and reported in the next line."""
         stream = io.StringIO()
         configure_logs(LogSettings(), stream)
         time = ManualTime()
@@ -45,10 +45,10 @@
 
 
 class TestNonBlockingSink:
-    """A reader that stalls or goes away stops nothing."""
+    """A stalled or closed pipe does not block the daemon."""
 
     def test_full_pipe(self) -> None:
-        """Lines wait, then are dropped; what is read is whole lines."""
+        """A full buffer drops lines, and the reader gets only whole lines."""
         reader, writer = os.pipe()
         sink = non_blocking_sink(writer)
         line = f'{"x" * 1023}\n'
@@ -64,7 +64,7 @@
         assert received == line.encode() * (1000 - sink.dropped)
 
     def test_closed_pipe(self) -> None:
-        """A closed pipe drops lines and raises nothing."""
+        """A closed pipe drops lines without an exception."""
         reader, writer = os.pipe()
         os.close(reader)
         sink = non_blocking_sink(writer)
--- a/packages/fennelfork-daemon/tests/test_green.py
+++ b/packages/fennelfork-daemon/tests/test_green.py
@@ -1,4 +1,4 @@
-"""What is cooperative in the process of a daemon."""
+"""Tests of the monkey patching of a daemon process."""
 
 import subprocess
 import sys
@@ -23,16 +23,16 @@
 """
 
 
-class TestGreen:
-    """In a process of its own, as patches cannot be taken back."""
+class TestMonkeyPatching:
+    """Runs in a subprocess, because patches cannot be undone."""
 
     def test_patches(self) -> None:
-        """Sockets and sleep are cooperative; a full pipe is not waited for."""
-        found = subprocess.run(
+        """Sockets and sleep are cooperative, `os.write` is not patched."""
+        completed = subprocess.run(
             [sys.executable, '-W', 'ignore', '-c', _CODE],
             capture_output=True,
             text=True,
             check=True,
             timeout=20,
         )
-        assert found.stdout.split() == ['True', 'True', 'full', 'False']
+        assert completed.stdout.split() == ['True', 'True', 'full', 'False']
--- a/packages/fennelfork-daemon/tests/test_http_problem.py
+++ b/packages/fennelfork-daemon/tests/test_http_problem.py
@@ -1,4 +1,4 @@
-"""Problem documents."""
+"""Tests of problem documents."""
 
 import json
 
@@ -13,19 +13,19 @@
 
 
 class TestProblemStatus:
-    """The HTTP status of a failure."""
+    """HTTP status of a failure code."""
 
     @pytest.mark.parametrize('code', list(FailureCode))
     def test_every_code_has_an_error_status(self, code: FailureCode) -> None:
-        """No failure is answered with a status of success."""
+        """Every failure code has a 4xx or 5xx status."""
         assert 400 <= problem_status(code) < 600
 
 
 class TestProblemBody:
-    """The RFC 9457 document."""
+    """Members of the RFC 9457 document."""
 
     def test_carries_verdict_and_retry(self) -> None:
-        """The document says whether it ran and when to ask again."""
+        """The document contains the verdict and the retry delay."""
         body = problem_body(not_run(FailureCode.SHED, 'busy', 1500), 'r1')
         assert body == {
             'type': 'urn:fennelfork:problem:shed',
@@ -38,8 +38,8 @@
             'retry_after_ms': 1500,
         }
 
-    def test_leaves_out_what_is_unknown(self) -> None:
-        """Neither a request id nor a time is made up."""
+    def test_omits_unknown_members(self) -> None:
+        """The document omits an unknown request ID and retry delay."""
         body = problem_body(may_have_run(FailureCode.CANCELLED, 'x'), None)
         assert body['verdict'] == Verdict.MAY_HAVE_RUN.value
         assert 'request_id' not in body
@@ -47,17 +47,17 @@
 
 
 class TestProblemReply:
-    """The whole answer."""
+    """Headers and status of an error answer."""
 
     def test_rounds_retry_after_up(self) -> None:
-        """The header is in whole seconds and never too short."""
+        """`Retry-After` is rounded up to whole seconds."""
         reply = problem_reply(not_run(FailureCode.SHED, 'busy', 1500), 'r1')
         assert ('Retry-After', '2') in reply.headers
         assert reply.status_line == '503 Service Unavailable'
         assert json.loads(reply.body)['status'] == 503
 
-    def test_takes_another_status(self) -> None:
-        """A refusal of reading brings its own status."""
+    def test_status_override(self) -> None:
+        """An explicit status overrides the status of the failure code."""
         failure = not_run(FailureCode.BAD_REQUEST, 'too long')
         reply = problem_reply(failure, None, status=413)
         assert reply.status == 413
--- a/packages/fennelfork-daemon/tests/test_http_wsgi_server.py
+++ b/packages/fennelfork-daemon/tests/test_http_wsgi_server.py
@@ -1,4 +1,4 @@
-"""The HTTP faces under clients that send too much or too slowly."""
+"""Tests of the HTTP server with oversized and slow requests."""
 
 import contextlib
 import json
@@ -23,24 +23,24 @@
 )
 from fennelfork_daemon.settings._settings import read_settings
 
-_PATIENCE_S = 20
+_TIMEOUT_S = 20
 _CONNECTIONS = 3
 _HEAD = b'POST / HTTP/1.1\r\nHost: x\r\n'
 
 
 @pytest.fixture
 def port() -> Iterator[int]:
-    """Serve the echo application with small limits."""
-    yield from _served(echo_application)
+    """Serve the echo application with low limits."""
+    yield from _serve_port(echo_application)
 
 
 @pytest.fixture
 def large_port() -> Iterator[int]:
-    """Serve large answers with small limits."""
-    yield from _served(large_application)
+    """Serve large answers with low limits."""
+    yield from _serve_port(large_application)
 
 
-def _served(application: Any) -> Iterator[int]:
+def _serve_port(application: Any) -> Iterator[int]:
     settings = read_settings(
         settings_document(
             limits={'header_bytes': 1024, 'connections': _CONNECTIONS},
@@ -54,20 +54,20 @@
     server.kill()
 
 
-def _talk(port: int, *pieces: bytes, gap_s: float = 0) -> bytes:
-    """Send pieces with pauses and give all that comes back."""
-    with eventlet.Timeout(_PATIENCE_S):
+def _exchange(port: int, *chunks: bytes, gap_s: float = 0) -> bytes:
+    """Send chunks with pauses and return all received bytes."""
+    with eventlet.Timeout(_TIMEOUT_S):
         with socket.create_connection(('127.0.0.1', port)) as connection:
-            for piece in pieces:
+            for chunk in chunks:
                 try:
-                    connection.sendall(piece)
+                    connection.sendall(chunk)
                 except OSError:
                     break
                 eventlet.sleep(gap_s)
-            return _until_end(connection)
+            return _read_until_end(connection)
 
 
-def _until_end(connection: socket.socket) -> bytes:
+def _read_until_end(connection: socket.socket) -> bytes:
     parts = []
     while True:
         part = connection.recv(65_536)
@@ -76,7 +76,7 @@
         parts.append(part)
 
 
-def _posted(body: bytes, *headers: bytes) -> bytes:
+def _post(body: bytes, *headers: bytes) -> bytes:
     length = b'Content-Length: %d' % len(body)
     return _request(body, length, *headers)
 
@@ -96,68 +96,68 @@
 
 
 class TestServeHttp:
-    """Requests that are served."""
+    """Requests on persistent connections."""
 
     def test_keeps_a_connection(self, port: int) -> None:
         """Two requests on one connection are both answered."""
-        answer = _talk(port, _posted(b'{"a": 1}'), _posted(b'{"b": 2}'))
+        answer = _exchange(port, _post(b'{"a": 1}'), _post(b'{"b": 2}'))
         assert answer.count(b'HTTP/1.1 200 OK') == 2
         assert b'{"b": 2}' in answer
 
     def test_keeps_a_connection_after_bad_json(self, port: int) -> None:
-        """A whole body that is not JSON does not cost the connection."""
-        answer = _talk(port, _posted(b'{'), _posted(b'{"b": 2}'))
+        """A complete body that is not JSON does not close the connection."""
+        answer = _exchange(port, _post(b'{'), _post(b'{"b": 2}'))
         assert b'400 Bad Request' in answer
         assert b'{"b": 2}' in answer
 
 
 class TestConnections:
-    """How many connections are served at once."""
+    """Limit on open connections."""
 
-    def test_more_wait_for_idle_ones_to_end(self, port: int) -> None:
-        """Idle connections above the limit delay a request, not for ever."""
+    def test_waits_for_idle_connections_to_close(self, port: int) -> None:
+        """Idle connections at the limit delay a request only until timeout."""
         with contextlib.ExitStack() as idle:
             for _ in range(_CONNECTIONS):
                 place = ('127.0.0.1', port)
                 idle.enter_context(socket.create_connection(place))
-            answer = _talk(port, _posted(b'{"a": 1}'))
+            answer = _exchange(port, _post(b'{"a": 1}'))
         assert b'200 OK' in answer
 
 
 class TestRefusals:
-    """Requests that cost too much are answered and end the connection."""
+    """Requests beyond a limit get an error and a closed connection."""
 
     def test_oversize_headers(self, port: int) -> None:
         """More header bytes than allowed are answered with 431."""
-        answer = _talk(port, _posted(b'{}', b'X-Long: %s' % (b'x' * 2000)))
+        answer = _exchange(port, _post(b'{}', b'X-Long: %s' % (b'x' * 2000)))
         assert _problem(answer) == (431, 'the headers exceed 1024 bytes')
 
     def test_oversize_body(self, port: int) -> None:
-        """A body above the limit is answered with 413, unread."""
-        answer = _talk(port, _posted(b'x' * 300_000))
+        """A body above the limit is answered with 413 without reading."""
+        answer = _exchange(port, _post(b'x' * 300_000))
         assert _problem(answer)[0] == 413
 
     def test_slow_headers(self, port: int) -> None:
-        """Headers that trickle in are cut off as a whole with 408."""
-        pieces = [b'X-%d: 1\r\n' % at for at in range(40)]
-        answer = _talk(port, _HEAD, *pieces, gap_s=0.03)
+        """The timeout covers all headers together and answers 408."""
+        chunks = [b'X-%d: 1\r\n' % index for index in range(40)]
+        answer = _exchange(port, _HEAD, *chunks, gap_s=0.03)
         assert _problem(answer)[0] == 408
 
     def test_slow_body(self, port: int) -> None:
-        """A body that trickles in is cut off as a whole with 408."""
-        pieces = [b' ' for _ in range(40)]
+        """The timeout covers the whole body and answers 408."""
+        chunks = [b' ' for _ in range(40)]
         head = _request(b'', b'Content-Length: 40')
-        answer = _talk(port, head, *pieces, gap_s=0.03)
+        answer = _exchange(port, head, *chunks, gap_s=0.03)
         assert _problem(answer)[0] == 408
 
     def test_no_request(self, port: int) -> None:
-        """A connection that asks nothing is closed without an answer."""
-        assert _talk(port) == b''
+        """A connection without a request is closed without an answer."""
+        assert _exchange(port) == b''
 
     def test_chunked_body(self, port: int) -> None:
         """A body of unknown length is refused with 411."""
         chunked = b'Transfer-Encoding: chunked'
-        answer = _talk(port, _request(b'2\r\n{}\r\n0\r\n\r\n', chunked))
+        answer = _exchange(port, _request(b'2\r\n{}\r\n0\r\n\r\n', chunked))
         assert _problem(answer)[0] == 411
 
     @pytest.mark.parametrize(
@@ -174,41 +174,41 @@
             (b'Content-Length: +2',),
         ],
     )
-    def test_unclear_length(
+    def test_ambiguous_length(
         self,
         port: int,
         headers: tuple[bytes, ...],
     ) -> None:
-        """A request whose end can be read in two ways; nothing follows it."""
+        """An ambiguous length is refused, and no smuggled request runs."""
         smuggled = b'{}GET /smuggled HTTP/1.1\r\nHost: x\r\n\r\n'
-        answer = _talk(port, _request(smuggled, *headers))
+        answer = _exchange(port, _request(smuggled, *headers))
         status, detail = _problem(answer)
         assert status == 400
         assert 'length' in detail
         assert answer.count(b'HTTP/1.1 ') == 1
 
     def test_not_http(self, port: int) -> None:
-        """Bytes that are no HTTP request get a problem document."""
-        assert _problem(_talk(port, b'what is this\r\n\r\n'))[0] == 400
+        """Bytes that are not HTTP are answered with a problem document."""
+        assert _problem(_exchange(port, b'what is this\r\n\r\n'))[0] == 400
 
 
 class TestSlowReader:
-    """A client that hardly reads its answer."""
+    """Clients that read an answer slowly."""
 
-    def test_is_cut_off(self, large_port: int) -> None:
-        """An answer not taken in time as a whole ends the connection."""
+    def test_connection_is_closed(self, large_port: int) -> None:
+        """The timeout covers the whole answer and closes the connection."""
         received = 0
-        with eventlet.Timeout(_PATIENCE_S), socket.socket() as connection:
+        with eventlet.Timeout(_TIMEOUT_S), socket.socket() as connection:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             connection.connect(('127.0.0.1', large_port))
-            connection.sendall(_posted(b'{}'))
-            while part := _next_part(connection):
-                received += len(part)
+            connection.sendall(_post(b'{}'))
+            while chunk := _receive(connection):
+                received += len(chunk)
                 eventlet.sleep(0.03)
         assert 0 < received < LARGE_BYTES
 
 
-def _next_part(connection: socket.socket) -> bytes:
+def _receive(connection: socket.socket) -> bytes:
     try:
         return connection.recv(1024)
     except ConnectionResetError:
--- a/packages/fennelfork-daemon/tests/test_in_progress.py
+++ b/packages/fennelfork-daemon/tests/test_in_progress.py
@@ -1,4 +1,4 @@
-"""Counting of requests in progress."""
+"""Tests of counting requests in progress."""
 
 from typing import Any
 
@@ -9,69 +9,72 @@
 
 
 class _CountingApplication:
-    """Remembers how many requests were counted while it ran."""
+    """Application that records the count of requests in progress."""
 
     def __init__(self, in_progress: InProgress) -> None:
         self.in_progress = in_progress
-        self.seen = 0
+        self.observed_count = 0
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Any:
-        """Answer, or fail if the request says so."""
-        self.seen = self.in_progress.count
+        """Answer, or raise an error if the request has the key `fails`."""
+        self.observed_count = self.in_progress.count
         if environ.get('fails'):
             raise ValueError
         return [b'answer']
 
 
-class _Case:
-    """One counted application and what became of connections."""
+class _Harness:
+    """Counted application and the number of closed connections."""
 
     def __init__(self, *, leaving: bool = False) -> None:
         self.in_progress = InProgress()
         self.inner = _CountingApplication(self.in_progress)
-        self.ended = 0
+        self.closed_connections = 0
         self.counted = CountedApplication(
             application=self.inner,
             in_progress=self.in_progress,
             is_leaving=lambda: leaving,
         )
 
-    def end_connection(self) -> None:
-        """Count an end of a connection."""
-        self.ended += 1
+    def close_connection(self) -> None:
+        """Count a closed connection."""
+        self.closed_connections += 1
 
-    def ask(self, **extra: Any) -> Any:
-        """Make one request."""
-        environ = {CLOSE_KEY: self.end_connection, **extra}
+    def send_request(self, **extra: Any) -> Any:
+        """Send one request to the application."""
+        environ = {CLOSE_KEY: self.close_connection, **extra}
         return self.counted(environ, None)
 
 
 class TestCountedApplication:
-    """What a stop has to wait for."""
+    """Requests that a graceful stop waits for."""
 
     def test_counts_until_the_answer_is_written(self) -> None:
-        """The server closes the body after the last byte."""
-        case = _Case()
-        body = case.ask()
+        """A request counts until the server closes the body."""
+        harness = _Harness()
+        body = harness.send_request()
         assert list(body) == [b'answer']
-        assert (case.inner.seen, case.in_progress.count) == (1, 1)
+        assert (harness.inner.observed_count, harness.in_progress.count) == (
+            1,
+            1,
+        )
         body.close()
-        assert case.in_progress.count == 0
+        assert harness.in_progress.count == 0
 
-    def test_failed_request_is_not_counted_for_ever(self) -> None:
-        """An error leaves the count as it was."""
-        case = _Case()
+    def test_failed_request_is_uncounted(self) -> None:
+        """A request that raises an error is not counted afterwards."""
+        harness = _Harness()
         with pytest.raises(ValueError):
-            case.ask(fails=True)
-        assert case.in_progress.count == 0
+            harness.send_request(fails=True)
+        assert harness.in_progress.count == 0
 
     @pytest.mark.parametrize('leaving', [True, False])
-    def test_answers_end_connections_while_leaving(
+    def test_answers_close_connections_while_leaving(
         self,
         *,
         leaving: bool,
     ) -> None:
-        """Only then, so that keep-alive works at other times."""
-        case = _Case(leaving=leaving)
-        case.ask().close()
-        assert case.ended == int(leaving)
+        """Answers close connections only while the daemon leaves."""
+        harness = _Harness(leaving=leaving)
+        harness.send_request().close()
+        assert harness.closed_connections == int(leaving)
--- a/packages/fennelfork-daemon/tests/test_listeners.py
+++ b/packages/fennelfork-daemon/tests/test_listeners.py
@@ -1,4 +1,4 @@
-"""The listening sockets of a daemon."""
+"""Tests of the listening sockets of a daemon."""
 
 import attrs
 from daemon_builders_product import settings_document
@@ -12,19 +12,19 @@
 
 
 class TestOpenListeners:
-    """All three sockets, or one line."""
+    """Opening of all three sockets, or one error line."""
 
     def test_opens_three(self) -> None:
-        """Each face gets a port of its own from the system."""
+        """Each listener gets a different free port."""
         opened = open_listeners(_LISTEN).unwrap()
         sockets = (opened.caller, opened.operator, opened.peer)
-        ports = {listening_address(found).port for found in sockets}
-        for found in sockets:
-            found.close()
+        ports = {listening_address(sock).port for sock in sockets}
+        for sock in sockets:
+            sock.close()
         assert len(ports) == 3
 
     def test_port_in_use(self) -> None:
-        """A taken port is named, and the others are closed again."""
+        """The error names a port in use, and other sockets are closed."""
         taken = open_listener(address('127.0.0.1:0'))
         free = open_listener(address('127.0.0.1:0'))
         wanted = attrs.evolve(
@@ -41,7 +41,7 @@
         open_listener(wanted.caller).close()
 
     def test_foreign_address(self) -> None:
-        """An IP number of another machine is named."""
+        """The error names an IP address of another machine."""
         wanted = attrs.evolve(_LISTEN, caller=address('192.0.2.1:80'))
-        words = 'this machine does not have that IP number'
-        assert words in open_listeners(wanted).failure()
+        reason = 'this machine does not have that IP number'
+        assert reason in open_listeners(wanted).failure()
--- a/packages/fennelfork-daemon/tests/test_logs.py
+++ b/packages/fennelfork-daemon/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines."""
+"""Tests of the state log and the log configuration."""
 
 import io
 import json
@@ -17,7 +17,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _restore() -> None:
+def _reset_structlog() -> None:
     structlog.reset_defaults()
 
 
@@ -31,15 +31,15 @@
 
 
 class TestStateLog:
-    """Lines only for changes."""
+    """Log lines of state changes."""
 
-    def test_repeats_write_nothing(self) -> None:
-        """A state that lasts is one line, with what it belongs to."""
+    def test_unchanged_state_writes_nothing(self) -> None:
+        """An unchanged state is logged once, with all values."""
         lines = _lines(LogSettings(), 'up up down down up')
         assert len(lines) == 3
-        found = json.loads(lines[1])
-        assert found.pop('timestamp').endswith('Z')
-        assert found == {
+        line = json.loads(lines[1])
+        assert line.pop('timestamp').endswith('Z')
+        assert line == {
             'event': 'state changed',
             'level': 'info',
             'daemon': 'vm-1',
@@ -48,18 +48,18 @@
             'config_version': 4,
         }
 
-    def test_forgets_the_oldest_subject(self) -> None:
-        """Subjects are bounded; a forgotten one may be told again."""
+    def test_evicts_the_oldest_subject(self) -> None:
+        """Subjects are limited; an evicted subject is logged again."""
         configure_logs(LogSettings(), io.StringIO())
         log = state_log()
-        for at in range(1025):
-            assert log.change(f'server {at}', 'up')
+        for index in range(1025):
+            assert log.change(f'server {index}', 'up')
         assert log.change('server 0', 'up')
         assert not log.change('server 1024', 'up')
 
 
 class TestConfigureLogs:
-    """Format and level."""
+    """Format and level of log lines."""
 
     def test_console(self) -> None:
         """The console format is plain text without escape codes."""
@@ -68,11 +68,11 @@
         assert '\x1b' not in lines[0]
 
     def test_level(self) -> None:
-        """Lines below the level are left out."""
+        """Lines below the configured level are not written."""
         assert not _lines(LogSettings(level=LogLevel.ERROR), 'up down')
 
-    def test_brings_no_rich(self) -> None:
-        """The daemon's log does not load rich, which costs memory."""
+    def test_does_not_import_rich(self) -> None:
+        """The log module does not import rich, which uses memory."""
         code = (
             'import fennelfork_daemon.logs._logs, sys; '
             'sys.exit("rich" in sys.modules)'
--- a/packages/fennelfork-daemon/tests/test_metrics.py
+++ b/packages/fennelfork-daemon/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics and the bounds of their labels."""
+"""Tests of metrics and the limits on label values."""
 
 from typing import Any
 
@@ -14,37 +14,37 @@
     ControlCost,
     DaemonMetrics,
     DropReason,
-    FrontWork,
-    QueryFacts,
+    FrontAttempts,
+    QuerySample,
     daemon_metrics,
     drop_reason,
 )
 
 
-def _metrics(most_names: int = 8) -> DaemonMetrics:
-    metrics = daemon_metrics(most_names)
+def _metrics(max_names: int = 8) -> DaemonMetrics:
+    metrics = daemon_metrics(max_names)
     metrics.follow(labelled_document(fronts=('f',), tenants=('t',)))
     return metrics
 
 
 def _observe(metrics: DaemonMetrics, tenant: str, fraction: float = 1) -> None:
     metrics.observe_query(
-        QueryFacts(
+        QuerySample(
             labels=metrics.labels('f', tenant, 'counter'),
             took_ms=40,
             queue_ms=3,
             fraction=fraction,
             sub_queries=50,
-            extra_runs=2,
+            extra_attempts=2,
         ),
     )
 
 
 class TestPage:
-    """What operators scrape."""
+    """Metrics page that operators scrape."""
 
     def test_queries_by_front_tenant_and_class(self) -> None:
-        """Each of the four histograms has the query under its labels."""
+        """Each histogram records the query with front, tenant and class."""
         metrics = _metrics()
         _observe(metrics, 't', fraction=0.5)
         lines = metrics.page().decode().splitlines()
@@ -59,11 +59,11 @@
             assert f'{start}tenant="t"}} 1.0' in lines
 
     def test_counters(self) -> None:
-        """Answers, work, dropped replies and control cost add up."""
+        """Counters include answers, attempts, sheds and control cost."""
         metrics = _metrics()
         labels = metrics.labels('f', 't', 'counter')
         metrics.count_answer(labels, Verdict.NOT_RUN, 'shed')
-        metrics.count_work(FrontWork(front='f', hedges=2, retries=1))
+        metrics.count_attempts(FrontAttempts(front='f', hedges=2, retries=1))
         metrics.count_failure('f', not_run(FailureCode.SHED, 'busy'))
         metrics.count_failure('f', not_run(FailureCode.DRAINING, 'leaving'))
         cost = ControlCost(channel=Channel.PEER, sent=70, processor_ms=250)
@@ -82,7 +82,7 @@
 
 
 class TestDroppedReplies:
-    """Replies thrown away, by what was wrong with them."""
+    """Reasons of discarded replies."""
 
     @pytest.mark.parametrize(
         ('changes', 'reason'),
@@ -93,12 +93,12 @@
             ({'snapshot': 6}, DropReason.INCOMPLETE),
         ],
     )
-    def test_by_the_check_of_replies(
+    def test_reason_of_reply_check(
         self,
         changes: dict[str, Any],
         reason: DropReason,
     ) -> None:
-        """What the check of replies says is counted under its reason."""
+        """A reply that `check_reply` rejects is counted with the reason."""
         span = KeyRange(lo=0, hi=5)
         expected = ExpectedReply(
             request_id='r1',
@@ -114,56 +114,58 @@
             count=0,
             records=(),
         )
-        crossed = check_reply(expected, attrs.evolve(reply, **changes))
+        rejected = check_reply(expected, attrs.evolve(reply, **changes))
         metrics = _metrics()
-        metrics.count_failure('f', crossed.failure())
+        metrics.count_failure('f', rejected.failure())
         line = f'dropped_replies_total{{front="f",reason="{reason.value}"}} 1.0'
         assert line in metrics.page().decode()
 
     def test_unreadable(self) -> None:
-        """A reply that is no JSON has a reason of its own."""
+        """A reply that is not JSON has the reason `UNREADABLE`."""
         failure = may_have_run(FailureCode.BAD_REPLY, 'the body is not JSON')
         assert drop_reason(failure) is DropReason.UNREADABLE
 
 
-class TestBounds:
-    """Series do not grow with what callers send."""
+class TestLabelLimits:
+    """Names that callers send do not add time series without limit."""
 
     def test_unknown_names_are_other(self) -> None:
-        """A name that the configuration lacks is counted as `other`."""
+        """A name that is not in the configuration is counted as `other`."""
         metrics = _metrics()
-        found = metrics.labels('x', 'y', 'z')
-        assert found.words == (OTHER, OTHER, OTHER)
+        unknown = metrics.labels('x', 'y', 'z')
+        assert unknown.label_values == (OTHER, OTHER, OTHER)
 
     def test_unknown_tenants_do_not_grow_the_page(self) -> None:
-        """A thousand unknown tenants make as many series as one."""
+        """A thousand unknown tenants share the time series of one."""
         metrics = _metrics()
         _observe(metrics, 'nobody-0')
-        metrics.count_work(FrontWork(front='front-0', hedges=1))
+        metrics.count_attempts(FrontAttempts(front='front-0', hedges=1))
         before = len(metrics.page().splitlines())
-        for at in range(1000):
-            _observe(metrics, f'nobody-{at}')
-            metrics.count_work(FrontWork(front=f'front-{at}', hedges=1))
+        for index in range(1000):
+            _observe(metrics, f'nobody-{index}')
+            metrics.count_attempts(
+                FrontAttempts(front=f'front-{index}', hedges=1)
+            )
         assert len(metrics.page().splitlines()) == before
 
-    def test_names_that_come_and_go(self) -> None:
-        """Names replaced by patches stop at the bound."""
+    def test_replaced_names(self) -> None:
+        """The limit also applies to names that patches replace."""
         metrics = daemon_metrics(4)
-        seen = set()
-        for at in range(50):
-            document = labelled_document(fronts=(f'f{at}',), tenants=('t',))
+        observed = set()
+        for index in range(50):
+            document = labelled_document(fronts=(f'f{index}',), tenants=('t',))
             metrics.follow(document)
-            seen.add(metrics.labels(f'f{at}', 't', 'counter').front)
-        assert seen == {'f0', 'f1', 'f2', 'f3', OTHER}
+            observed.add(metrics.labels(f'f{index}', 't', 'counter').front)
+        assert observed == {'f0', 'f1', 'f2', 'f3', OTHER}
 
     def test_combinations(self) -> None:
-        """Known names in new combinations stop at the bound, too."""
-        names = tuple(f'n{at}' for at in range(6))
+        """The number of combinations of known names is limited."""
+        names = tuple(f'n{index}' for index in range(6))
         metrics = daemon_metrics(6)
         metrics.follow(labelled_document(fronts=names, tenants=names))
-        seen = {
+        observed = {
             metrics.labels(front, tenant, 'counter')
             for front in names
             for tenant in names
         }
-        assert len(seen) == 25
+        assert len(observed) == 25
--- a/packages/fennelfork-daemon/tests/test_serve.py
+++ b/packages/fennelfork-daemon/tests/test_serve.py
@@ -1,4 +1,4 @@
-"""The process `fennelforkd` from outside."""
+"""Tests of the process `fennelforkd`."""
 
 import json
 import pathlib
@@ -15,25 +15,25 @@
 
 pytestmark = pytest.mark.process
 
-_PATIENCE_S = 30
+_TIMEOUT_S = 30
 
 
 @attrs.frozen(kw_only=True)
-class _Running:
-    """A daemon that serves, and its log."""
+class _RunningDaemon:
+    """Addresses and log file of a running daemon."""
 
     ready: dict[str, str]
     log: pathlib.Path
 
     def page(self, path: str) -> Any:
-        """Read a page of the operator face."""
+        """Request a page of the operator API."""
         url = f'http://{self.ready["operator"]}{path}'
         return urllib3.request('GET', url, retries=False)
 
     def lines(self, subject: str) -> list[dict[str, Any]]:
-        """Give the log lines on a subject."""
-        found = map(json.loads, self.log.read_text().splitlines())
-        return [line for line in found if line['subject'] == subject]
+        """Return the log lines of a subject."""
+        entries = map(json.loads, self.log.read_text().splitlines())
+        return [line for line in entries if line['subject'] == subject]
 
 
 def _command(path: pathlib.Path) -> list[str]:
@@ -41,8 +41,8 @@
 
 
 @pytest.fixture
-def running(tmp_path: pathlib.Path) -> Iterator[_Running]:
-    """Start a daemon whose platform is not there."""
+def running(tmp_path: pathlib.Path) -> Iterator[_RunningDaemon]:
+    """Start a daemon with an unreachable platform."""
     path = tmp_path / 'vm-1.toml'
     path.write_text(settings_toml())
     log = tmp_path / 'log'
@@ -55,73 +55,73 @@
         ) as process,
     ):
         ready = json.loads(process.stdout.readline())['ready']
-        yield _Running(ready=ready, log=log)
+        yield _RunningDaemon(ready=ready, log=log)
         process.kill()
 
 
 class TestServe:
-    """Starting with things missing."""
+    """Starts with unavailable dependencies."""
 
-    def test_unreachable_platform(self, running: _Running) -> None:
-        """It lives, is not ready, says why, and logs that in one line."""
-        until = time.monotonic() + _PATIENCE_S
+    def test_unreachable_platform(self, running: _RunningDaemon) -> None:
+        """The daemon is alive but not ready, and logs the reason once."""
+        deadline = time.monotonic() + _TIMEOUT_S
         while not running.lines('key-value service'):
-            assert time.monotonic() < until
+            assert time.monotonic() < deadline
             time.sleep(0.05)
         assert running.page('/healthz').status == 200
-        found = running.page('/readyz')
-        assert found.status == 503
-        assert len(found.json()['reasons']) == 2
+        readiness = running.page('/readyz')
+        assert readiness.status == 503
+        assert len(readiness.json()['reasons']) == 2
         lines = running.lines('key-value service')
         assert [line['state'] for line in lines] == ['fails']
         assert '127.0.0.1:1' in lines[0]['detail']
 
     def test_port_in_use(
         self,
-        running: _Running,
+        running: _RunningDaemon,
         tmp_path: pathlib.Path,
     ) -> None:
-        """A taken address is one line, exit 1, and no ready line."""
+        """An address in use prints one error line and exits 1."""
         taken = running.ready['caller']
         path = tmp_path / 'vm-2.toml'
         path.write_text(settings_toml(caller=taken))
-        found = subprocess.run(
+        completed = subprocess.run(
             _command(path),
             capture_output=True,
-            timeout=_PATIENCE_S,
+            timeout=_TIMEOUT_S,
         )
-        assert found.returncode == 1
-        assert found.stdout == b''
-        assert found.stderr.decode() == (
+        assert completed.returncode == 1
+        assert completed.stdout == b''
+        assert completed.stderr.decode() == (
             f'listen.caller: cannot listen on {taken}: '
             'the address is already in use\n'
         )
 
     def test_unreadable_file(self, tmp_path: pathlib.Path) -> None:
-        """A file that cannot be read is one line, exit 2."""
+        """An unreadable file prints one error line and exits 2."""
         path = tmp_path / 'none.toml'
-        found = subprocess.run(
+        completed = subprocess.run(
             _command(path),
             capture_output=True,
-            timeout=_PATIENCE_S,
+            timeout=_TIMEOUT_S,
         )
-        assert found.returncode == 2
-        assert found.stderr.decode().startswith(f'{path}: cannot be read')
-        assert found.stderr.count(b'\n') == 1
+        assert completed.returncode == 2
+        assert completed.stderr.decode().startswith(f'{path}: cannot be read')
+        assert completed.stderr.count(b'\n') == 1
 
 
 class TestImports:
-    """What a serving process keeps in memory."""
+    """Modules that a serving process imports."""
 
     def test_no_resolver_no_rich_no_command_line(self) -> None:
-        """Libraries that a daemon never needs are not loaded."""
+        """Libraries that a daemon does not need are not imported."""
         code = (
             'import sys, fennelfork_daemon.__main__; '
             'print({"dns", "rich", "cyclopts", "numpy"} & set(sys.modules))'
         )
-        found = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, '-c', code],
             capture_output=True,
-            timeout=_PATIENCE_S,
+            timeout=_TIMEOUT_S,
         )
-        assert found.stdout == b'set()\n'
+        assert completed.stdout == b'set()\n'
--- a/packages/fennelfork-daemon/tests/test_sockets.py
+++ b/packages/fennelfork-daemon/tests/test_sockets.py
@@ -1,4 +1,4 @@
-"""A reset is told from an orderly end, also where sockets are cooperative."""
+"""Tests of reset detection on cooperative sockets."""
 
 import socket as plain_socket
 import struct
@@ -13,7 +13,7 @@
 
 
 class TestResetAware:
-    """Reads from a connection whose other end sent a piece and went away."""
+    """Reads after the remote end sent a part and disconnected."""
 
     def setup_method(self) -> None:
         """Connect two cooperative sockets."""
@@ -26,27 +26,27 @@
         self.far.sendall(b'half')
 
     def test_orderly_end(self) -> None:
-        """An end is an end."""
+        """An orderly close reads as the end of the stream."""
         self.far.close()
-        aware = reset_aware(self.near)
-        assert (aware.recv(9), aware.recv(9)) == (b'half', b'')
+        wrapper = reset_aware(self.near)
+        assert (wrapper.recv(9), wrapper.recv(9)) == (b'half', b'')
 
     def test_reset(self) -> None:
-        """A reset after some bytes does not look like the end of them."""
+        """A reset raises an error and does not read as end of the stream."""
         self.far.setsockopt(
             plain_socket.SOL_SOCKET,
             plain_socket.SO_LINGER,
             _RESET_ON_CLOSE,
         )
-        aware = reset_aware(self.near)
-        assert aware.recv(9) == b'half'
+        wrapper = reset_aware(self.near)
+        assert wrapper.recv(9) == b'half'
         self.far.close()
         eventlet.sleep(0.05)
         with pytest.raises(ConnectionBroken):
-            aware.recv(9)
+            wrapper.recv(9)
 
-    def test_stays_open_once_the_first_wrapper_is_gone(self) -> None:
-        """The connection lives as long as the socket that is in use."""
-        aware = reset_aware(self.near)
+    def test_stays_open_without_the_first_wrapper(self) -> None:
+        """The connection stays open when the first socket is collected."""
+        wrapper = reset_aware(self.near)
         self.near = None
-        assert aware.recv(9) == b'half'
+        assert wrapper.recv(9) == b'half'
--- a/packages/fennelfork-daemon/tests/test_state_watch.py
+++ b/packages/fennelfork-daemon/tests/test_state_watch.py
@@ -1,4 +1,4 @@
-"""Log lines and readiness from the facts of the blackboard."""
+"""Tests of readiness and the log of blackboard changes."""
 
 import io
 import json
@@ -32,24 +32,24 @@
 
 
 class TestUnreadyReasons:
-    """Why callers should not come."""
+    """Reasons why a daemon is not ready."""
 
     def test_ready_once_configured(self) -> None:
-        """A daemon without a configuration says so; with one it is ready."""
+        """A daemon is ready only with a configuration."""
         board = _board()
         assert unready_reasons(board)[0].startswith('no configuration yet')
         board.document = labelled_document(fronts=('f',), tenants=())
         assert unready_reasons(board) == ()
 
     def test_platform_failure(self) -> None:
-        """An unreachable platform counts only without a configuration."""
+        """Platform failures are reasons only without a configuration."""
         board = _board()
         assert unready_reasons(board, 'at 127.0.0.1:1')[1].endswith(':1')
         board.document = labelled_document(fronts=('f',), tenants=())
         assert unready_reasons(board, 'at 127.0.0.1:1') == ()
 
     def test_leaving(self) -> None:
-        """A daemon that is about to stop is not ready."""
+        """A leaving daemon is not ready."""
         board = _board()
         board.document = labelled_document(fronts=('f',), tenants=())
         board.local = board.local.with_state(MemberStatus.LEAVING)
@@ -57,22 +57,22 @@
 
 
 class TestStateWatch:
-    """Lines for what changed between two looks."""
+    """Log lines and metrics of blackboard changes."""
 
     def test_logs_changes_once(self) -> None:
-        """Each change is one line with its version; rest is silence."""
+        """Each change is logged once, with the configuration version."""
         stream = io.StringIO()
         configure_logs(LogSettings(), stream)
         board = _board()
         watch = state_watch(board, daemon_metrics(4))
-        watch.look()
-        watch.look()
+        watch.log_changes()
+        watch.log_changes()
         board.document = labelled_document(fronts=('f',), tenants=())
         board.members = {
             'vm-1': attrs.evolve(board.local, state=MemberStatus.SUSPECT),
         }
-        watch.look()
-        watch.look()
+        watch.log_changes()
+        watch.log_changes()
         structlog.reset_defaults()
         lines = [json.loads(line) for line in stream.getvalue().splitlines()]
         assert [(line['subject'], line['state']) for line in lines] == [
@@ -88,8 +88,8 @@
         board = _board()
         metrics = daemon_metrics(4)
         watch = state_watch(board, metrics)
-        watch.look()
+        watch.log_changes()
         assert metrics.labels('f', 't', 'counter').front == 'other'
         board.document = labelled_document(fronts=('f',), tenants=('t',))
-        watch.look()
+        watch.log_changes()
         assert metrics.labels('f', 't', 'counter').front == 'f'
--- a/packages/fennelfork-daemon/tests/test_tracing_trace.py
+++ b/packages/fennelfork-daemon/tests/test_tracing_trace.py
@@ -1,4 +1,4 @@
-"""Traces of requests, and the ring that keeps them."""
+"""Tests of request traces and the explain ring."""
 
 from fennelfork import FailureCode, ManualTime, manual_clock, not_run
 from fennelfork.gather import (
@@ -10,7 +10,7 @@
 from fennelfork_daemon.tracing._trace import ExplainRing, request_trace
 
 
-def _part(**changes: object) -> SubQueryOutcome:
+def _outcome(**changes: object) -> SubQueryOutcome:
     expected = ExpectedReply(
         request_id='r1',
         sub_query='q1',
@@ -22,16 +22,16 @@
 
 
 class TestRequestTrace:
-    """Notes on one request."""
+    """Events of one request."""
 
-    def test_notes_only_the_unusual(self) -> None:
-        """A part that went well is not noted, a failed or repeated one is."""
+    def test_records_failures_and_extra_attempts(self) -> None:
+        """Only failed or repeated sub-queries are recorded as events."""
         time = ManualTime()
         trace = request_trace(manual_clock(time))
-        trace.part(_part(queue_ms=4, server_ms=9))
+        trace.part(_outcome(queue_ms=4, server_ms=9))
         time.advance(30)
-        trace.part(_part(hedges=1, server_ms=2))
-        trace.part(_part(failure=not_run(FailureCode.SHED, 'busy')))
+        trace.part(_outcome(hedges=1, server_ms=2))
+        trace.part(_outcome(failure=not_run(FailureCode.SHED, 'busy')))
         assert trace.longest_queue_ms == 4
         assert trace.slowest.server_ms == 9
         repeated, failed = trace.events
@@ -42,21 +42,21 @@
         )
         assert (failed['code'], failed['verdict']) == ('shed', 'not_run')
 
-    def test_is_bounded(self) -> None:
-        """Events beyond the bound are counted, not kept."""
+    def test_event_limit(self) -> None:
+        """Events beyond the limit are counted, not stored."""
         trace = request_trace(manual_clock(ManualTime()))
         for _ in range(40):
             trace.note('again')
         assert len(trace.events) == 32
-        assert trace.left_out == 8
+        assert trace.omitted_events == 8
 
 
 class TestExplainRing:
-    """Stories of the latest requests."""
+    """Storage of the latest traces."""
 
-    def test_forgets_the_oldest(self) -> None:
-        """The ring holds no more than its bound; a repeat is the newest."""
-        ring = ExplainRing(most=2)
+    def test_evicts_the_oldest(self) -> None:
+        """The ring evicts the oldest entry; a stored again ID is newest."""
+        ring = ExplainRing(max_entries=2)
         for name in ('a', 'b', 'a', 'c'):
             ring.remember(name, {'of': name})
         assert ring.find('b') is None
