--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
@@ -115,7 +115,7 @@
 
     def _send_request(self, send: Send) -> AttemptResult:
         left_ms = self._deadline_ms - self._parts.clock.now_ms()
-        call = self._parts.codec.write_call(
+        call = self._parts.codec.write_request(
             self._caller_request,
             send.server,
             max(_MIN_TIMEOUT_MS, left_ms),
@@ -124,7 +124,7 @@
             call = attrs.evolve(call, fresh=True)
         pool = self._parts.pools.for_server(send.server)
         response = pool.carry(call, Trace())
-        return response.bind(self._parts.codec.read_answer).alt(
+        return response.bind(self._parts.codec.read_response).alt(
             self._classify_reset
         )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_contact.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_availability.py
@@ -7,7 +7,7 @@
 import attrs
 
 from fennelfork import Clock, Failure
-from fennelfork_daemon.routes._board import RouteBoard
+from fennelfork_daemon.routes._board import RouteBlackboard
 from fennelfork_daemon.routes._store_reporter import StoreReporter
 
 # Shortest outage after which registrations may have expired: two missed
@@ -24,10 +24,10 @@
 
 
 @attrs.define(kw_only=True)
-class StoreContact:
+class StoreAvailability:
     """Tracks whether the store responds and how old its data is."""
 
-    _board: RouteBoard
+    _board: RouteBlackboard
     _clock: Clock
     _reporter: StoreReporter
     _responded_ms: float
@@ -82,13 +82,13 @@
 
 
 def store_availability(
-    board: RouteBoard,
+    board: RouteBlackboard,
     clock: Clock,
     reporter: StoreReporter,
-) -> StoreContact:
+) -> StoreAvailability:
     """Create the availability tracker of a daemon that starts now."""
     now_ms = clock.now_ms()
-    return StoreContact(
+    return StoreAvailability(
         board=board,
         clock=clock,
         reporter=reporter,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_board.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_board.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define(kw_only=True)
-class RouteBoard:
+class RouteBlackboard:
     """State that the components of one daemon share.
 
     Attributes:
@@ -62,10 +62,10 @@
         return self.table is not None and not self.is_leaving
 
 
-def route_blackboard(settings: RouteSettings, clock: Clock) -> RouteBoard:
+def route_blackboard(settings: RouteSettings, clock: Clock) -> RouteBlackboard:
     """Create the blackboard of a daemon that has not read the store yet."""
     fleet = FleetSize(clock=clock, window_ms=settings.repeats.window_ms)
-    return RouteBoard(
+    return RouteBlackboard(
         local=_local_member(settings),
         members=Registry(clock=clock, grace_ms=_MEMBER_GRACE_MS),
         fleet=fleet,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
@@ -5,12 +5,15 @@
 from fennelfork.routes import store_polling
 from fennelfork_daemon._in_progress import InProgress
 from fennelfork_daemon.logs._budget import LogOutput
+from fennelfork_daemon.routes._availability import (
+    StoreAvailability,
+    store_availability,
+)
 from fennelfork_daemon.routes._build_face import call_parts, route_face
 from fennelfork_daemon.routes._build_guard import request_watch
-from fennelfork_daemon.routes._contact import StoreContact, store_availability
+from fennelfork_daemon.routes._common_parts import CommonParts, common_parts
 from fennelfork_daemon.routes._entries import RouteEntries
 from fennelfork_daemon.routes._follower import StoreFollower, store_follower
-from fennelfork_daemon.routes._foundation import Foundation, foundation
 from fennelfork_daemon.routes._lag import lag_watch
 from fennelfork_daemon.routes._operator_face import operator_face
 from fennelfork_daemon.routes._ports import Ports
@@ -37,21 +40,21 @@
         read_settings: function that reads the settings again on a reload.
         log_output: destination of log lines.
     """
-    base = foundation(settings, ports, log_output)
+    base = common_parts(settings, ports, log_output)
     reporter = StoreReporter(log=base.log, metrics=base.metrics)
-    contact = store_availability(base.board, base.clock, reporter)
-    base.metrics.follow_store(lambda: contact.data_age_ms)
+    availability = store_availability(base.board, base.clock, reporter)
+    base.metrics.follow_store(lambda: availability.data_age_ms)
     base.metrics.follow_quarantine(base.board.quarantine)
     registration = Registration(
         store=ports.store,
         board=base.board,
         min_lease_ms=settings.least_lease_ms,
-        contact=contact,
+        availability=availability,
         clock=base.clock,
         reporter=reporter,
     )
     in_progress = InProgress()
-    follower = _follower(base, reporter, contact)
+    follower = _follower(base, reporter, availability)
     watch = request_watch(base, registration, reporter, follower.polling)
     calls = call_parts(base, watch)
     reload = SettingsReload(
@@ -64,7 +67,7 @@
         board=base.board,
         entries=RouteEntries(board=base.board, rng=random.Random()),
         settings=settings,
-        face=route_face(base, calls, contact),
+        face=route_face(base, calls, availability),
         operator_face=operator_face(
             base.metrics,
             base.board.quarantine,
@@ -75,7 +78,7 @@
             follower.run,
             registration.run,
             reload.run,
-            watch.teller.run,
+            watch.publisher.run,
             lag_watch(base.clock, base.limits, calls.reporter).run,
         ),
         pools=base.pools,
@@ -94,13 +97,13 @@
 
 
 def _follower(
-    base: Foundation,
+    base: CommonParts,
     reporter: StoreReporter,
-    contact: StoreContact,
+    availability: StoreAvailability,
 ) -> StoreFollower:
     return store_follower(
         base.ports.store,
-        contact,
+        availability,
         UpdateApplier(board=base.board, reporter=reporter, pools=base.pools),
         store_polling(base.board.fleet, base.settings.in_force_ms),
         random.Random(),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_face.py
@@ -9,14 +9,14 @@
     Selector,
 )
 from fennelfork_daemon.routes._attempt_runner import AttemptParts
+from fennelfork_daemon.routes._availability import StoreAvailability
 from fennelfork_daemon.routes._build_guard import CrashProtection
-from fennelfork_daemon.routes._contact import StoreContact
+from fennelfork_daemon.routes._common_parts import CommonParts
 from fennelfork_daemon.routes._face import RouteFace
-from fennelfork_daemon.routes._first_routes import FirstRoutes
-from fennelfork_daemon.routes._foundation import Foundation
+from fennelfork_daemon.routes._initial_routes import InitialRoutes
 
 
-def call_parts(base: Foundation, protection: CrashProtection) -> AttemptParts:
+def call_parts(base: CommonParts, protection: CrashProtection) -> AttemptParts:
     """Build the objects that the attempts of all requests share."""
     selector = Selector(
         directory=base.board.directory,
@@ -40,9 +40,9 @@
 
 
 def route_face(
-    base: Foundation,
+    base: CommonParts,
     parts: AttemptParts,
-    contact: StoreContact,
+    availability: StoreAvailability,
 ) -> RouteFace:
     """Build the caller API of a daemon.
 
@@ -52,9 +52,9 @@
         contact: state of the connection to the store.
     """
     return RouteFace(
-        first_routes=FirstRoutes(
+        initial_routes=InitialRoutes(
             board=base.board,
-            contact=contact,
+            availability=availability,
             clock=base.clock,
         ),
         clock=base.clock,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_guard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_guard.py
@@ -5,12 +5,12 @@
 import attrs
 
 from fennelfork.routes import StorePolling
-from fennelfork_daemon.routes._foundation import Foundation
+from fennelfork_daemon.routes._common_parts import CommonParts
 from fennelfork_daemon.routes._guard import RequestGuard
 from fennelfork_daemon.routes._registration import Registration
 from fennelfork_daemon.routes._request_reporter import RequestReporter
 from fennelfork_daemon.routes._store_reporter import StoreReporter
-from fennelfork_daemon.routes._suspicion_teller import SuspicionTeller
+from fennelfork_daemon.routes._suspicion_publisher import SuspicionPublisher
 
 
 @attrs.frozen(kw_only=True)
@@ -25,11 +25,11 @@
 
     reporter: RequestReporter
     guard: RequestGuard
-    teller: SuspicionTeller
+    publisher: SuspicionPublisher
 
 
 def request_watch(
-    base: Foundation,
+    base: CommonParts,
     registration: Registration,
     store_reporter: StoreReporter,
     polling: StorePolling,
@@ -48,11 +48,11 @@
         clock=base.clock,
         metrics=base.metrics,
     )
-    publisher = SuspicionTeller(
+    publisher = SuspicionPublisher(
         exchange=base.board.quarantine.exchange,
         store=base.ports.store,
         lease=lambda: registration.lease,
-        pace=polling,
+        polling=polling,
         fleet=base.board.fleet,
         clock=base.clock,
         rng=random.Random(),
@@ -64,4 +64,4 @@
         request_reporter=reporter,
         store_reporter=store_reporter,
     )
-    return CrashProtection(reporter=reporter, guard=guard, teller=publisher)
+    return CrashProtection(reporter=reporter, guard=guard, publisher=publisher)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_foundation.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_common_parts.py
@@ -5,7 +5,7 @@
 from fennelfork import Clock, system_clock
 from fennelfork.routes import ConcurrencyLimits, RetryBudgets, retry_budgets
 from fennelfork_daemon.logs._budget import DecisionLog, LogOutput, decision_log
-from fennelfork_daemon.routes._board import RouteBoard, route_blackboard
+from fennelfork_daemon.routes._board import RouteBlackboard, route_blackboard
 from fennelfork_daemon.routes._metrics import RouteMetrics, route_metrics
 from fennelfork_daemon.routes._pools import ServerPools
 from fennelfork_daemon.routes._ports import Ports
@@ -13,13 +13,13 @@
 
 
 @attrs.frozen(kw_only=True)
-class Foundation:
+class CommonParts:
     """Components that all parts of one daemon use."""
 
     settings: RouteSettings
     ports: Ports
     clock: Clock
-    board: RouteBoard
+    board: RouteBlackboard
     pools: ServerPools
     retry_budgets: RetryBudgets
     limits: ConcurrencyLimits
@@ -27,16 +27,16 @@
     log: DecisionLog
 
 
-def foundation(
+def common_parts(
     settings: RouteSettings,
     ports: Ports,
     log_output: LogOutput,
-) -> Foundation:
+) -> CommonParts:
     """Create the shared components of a daemon."""
     clock = system_clock()
     board = route_blackboard(settings, clock)
     metrics = route_metrics()
-    return Foundation(
+    return CommonParts(
         settings=settings,
         ports=ports,
         clock=clock,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_entries.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_entries.py
@@ -6,7 +6,7 @@
 import attrs
 
 from fennelfork import nearest_entries
-from fennelfork_daemon.routes._board import RouteBoard
+from fennelfork_daemon.routes._board import RouteBlackboard
 
 # Maximum number of addresses that callers read from an answer.
 _MAX_ADDRESSES: Final = 64
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class EntryAsk:
+class EntryQuery:
     """Location of a caller; unknown parts are empty."""
 
     region: str
@@ -35,10 +35,10 @@
 class RouteEntries:
     """Selects the daemons that a caller connects to."""
 
-    _board: RouteBoard
+    _board: RouteBlackboard
     _rng: random.Random
 
-    def answer(self, query: EntryAsk) -> EntryAnswer | None:
+    def answer(self, query: EntryQuery) -> EntryAnswer | None:
         """Return the nearest daemons, or None if no daemon is ready."""
         members = dict(self._board.members.entries)
         members.pop(self._board.local.name, None)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_face.py
@@ -28,7 +28,10 @@
 from fennelfork_daemon.routes._attempt_runner import AttemptParts, AttemptRunner
 from fennelfork_daemon.routes._body import read_body
 from fennelfork_daemon.routes._caller_watch import CallerWatch
-from fennelfork_daemon.routes._first_routes import FIRST_LIMITS, FirstRoutes
+from fennelfork_daemon.routes._initial_routes import (
+    INITIAL_LIMITS,
+    InitialRoutes,
+)
 from fennelfork_daemon.routes._ports import CallerCodec
 from fennelfork_daemon.routes._request import RunningRequest
 
@@ -54,7 +57,7 @@
     """
 
     limits: ConcurrencyLimits
-    _first_routes: FirstRoutes
+    _initial_routes: InitialRoutes
     _clock: Clock
     _codec: CallerCodec
     _attempt_parts: AttemptParts
@@ -83,9 +86,9 @@
 
     def _answer(self, environ: dict[str, Any]) -> Answer:
         received_ms = self._clock.now_ms()
-        table = self._first_routes.wait()
+        table = self._initial_routes.wait()
         parsed = self._read_request(
-            environ, FIRST_LIMITS if table is None else table.limits
+            environ, INITIAL_LIMITS if table is None else table.limits
         )
         if not is_successful(parsed):
             return self._refuse(parsed.failure(), None)
@@ -149,7 +152,7 @@
         )
         refused = Refused(failure=failure, request_id=request_id)
         self._attempt_parts.reporter.log_refusal(
-            refused, self._first_routes.version, caller_request
+            refused, self._initial_routes.version, caller_request
         )
         return refused
 
@@ -159,7 +162,9 @@
         limits: CallerLimits,
     ) -> Result[Ask, Failure]:
         body = read_body(environ, limits.body_bytes, limits.header_ms)
-        return body.bind(lambda content: self._codec.read_ask(environ, content))
+        return body.bind(
+            lambda content: self._codec.read_request(environ, content)
+        )
 
     def _build_request(
         self,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
@@ -13,11 +13,16 @@
 from fennelfork import Failure
 from fennelfork.config import Backoff
 from fennelfork.routes import STORE_RETRY_DELAY_MS, StorePolling
-from fennelfork_daemon.routes._contact import StoreCall, StoreContact
-from fennelfork_daemon.routes._facts import Fact
+from fennelfork_daemon.routes._availability import StoreAvailability, StoreCall
 from fennelfork_daemon.routes._pending_call import PendingCall
-from fennelfork_daemon.routes._ports import Changes, HistoryGone, Listing, Store
+from fennelfork_daemon.routes._ports import (
+    HistoryCompacted,
+    Listing,
+    Store,
+    UpdateBatch,
+)
 from fennelfork_daemon.routes._update_applier import UpdateApplier
+from fennelfork_daemon.routes._updates import StoreUpdate
 
 _MS_PER_SECOND: Final = 1000
 # Outages of the store are short, and rejected calls add load.
@@ -36,7 +41,7 @@
     """Lists the store once, then watches for updates."""
 
     _store: Store
-    _contact: StoreContact
+    _availability: StoreAvailability
     _applier: UpdateApplier
     _polling: StorePolling
     _rng: random.Random
@@ -66,10 +71,10 @@
             return 0
         if not is_successful(result):
             self._failures += 1
-            self._contact.record_failure(self._next_call, result.failure())
+            self._availability.record_failure(self._next_call, result.failure())
             return _BACKOFF.delay_ms(self._failures, self._rng)
         self._failures = 0
-        self._contact.record_response()
+        self._availability.record_response()
         return _apply_response(result.unwrap(), self)
 
     def abandon_call(self) -> None:
@@ -79,24 +84,24 @@
         """
         self._pending_call.give_up()
 
-    def apply_updates(self, updates: Iterable[Fact]) -> None:
+    def apply_updates(self, updates: Iterable[StoreUpdate]) -> None:
         """Apply updates from the store."""
         self._applier.apply(updates)
 
     def apply_listing(self, listing: Listing) -> None:
         """Replace the known entries by a listing."""
-        data_age_ms = self._contact.data_age_ms
-        self._contact.record_update()
+        data_age_ms = self._availability.data_age_ms
+        self._availability.record_update()
         self._applier.apply_listing(listing.updates, data_age_ms)
         self._revision = listing.revision
 
-    def apply_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: UpdateBatch) -> None:
         """Apply the response of a watch."""
-        self._contact.record_update()
+        self._availability.record_update()
         self.apply_updates(changes.updates)
         self._revision = changes.revision
 
-    def forget_history(self) -> None:
+    def discard_revision(self) -> None:
         """Discard the revision, so that the next step lists the store."""
         self._revision = None
 
@@ -107,13 +112,15 @@
             return StoreCall.LISTING
         return StoreCall.CHANGES
 
-    def _call_store(self) -> Result[Listing | Changes | HistoryGone, Failure]:
+    def _call_store(
+        self,
+    ) -> Result[Listing | UpdateBatch | HistoryCompacted, Failure]:
         if self._revision is None:
             return self._store.list_all(
                 self._polling.listing_timeout_ms(self._failures)
             )
         timeouts = self._polling.watch_timeouts(
-            self._contact.data_age_ms, self._failures
+            self._availability.data_age_ms, self._failures
         )
         wait_ms = timeouts.wait_ms * self._rng.uniform(_MIN_WAIT_RATIO, 1)
         jittered = attrs.evolve(timeouts, wait_ms=wait_ms)
@@ -122,7 +129,7 @@
 
 def store_follower(
     store: Store,
-    contact: StoreContact,
+    availability: StoreAvailability,
     applier: UpdateApplier,
     polling: StorePolling,
     rng: random.Random,
@@ -130,12 +137,12 @@
     """Create a follower that calls again when the store is available."""
     follower = StoreFollower(
         store=store,
-        contact=contact,
+        availability=availability,
         applier=applier,
         polling=polling,
         rng=rng,
     )
-    contact.add_listener(follower.abandon_call)
+    availability.add_listener(follower.abandon_call)
     return follower
 
 
@@ -152,12 +159,14 @@
 
 
 @_apply_response.register
-def _apply_changes(response: Changes, follower: StoreFollower) -> float:
+def _apply_changes(response: UpdateBatch, follower: StoreFollower) -> float:
     follower.apply_changes(response)
     return follower.polling.batch_delay_ms if response.updates else 0
 
 
 @_apply_response.register
-def _discard_history(response: HistoryGone, follower: StoreFollower) -> float:
-    follower.forget_history()
+def _discard_history(
+    response: HistoryCompacted, follower: StoreFollower
+) -> float:
+    follower.discard_revision()
     return 0
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
@@ -19,7 +19,7 @@
 from fennelfork_daemon.routes._ports import Store
 from fennelfork_daemon.routes._request_reporter import RequestReporter
 from fennelfork_daemon.routes._store_reporter import StoreReporter
-from fennelfork_daemon.routes._suspicion_teller import SuspicionTeller
+from fennelfork_daemon.routes._suspicion_publisher import SuspicionPublisher
 
 _NO_SERVICES: Final = frozenset[str]()
 # Minimum time until a trial can release a quarantined request.
@@ -34,7 +34,7 @@
 
     _quarantine: Quarantine
     _store: Store
-    _publisher: SuspicionTeller
+    _publisher: SuspicionPublisher
     _request_reporter: RequestReporter
     _store_reporter: StoreReporter
 
@@ -109,7 +109,7 @@
             if not self._quarantine.is_trial_due(fingerprint):
                 return False
             record = suspicion.to_trial_record(fingerprint)
-        claimed = self._store.claim(record, suspicion.stored[1])
+        claimed = self._store.claim_trial(record, suspicion.stored[1])
         if not is_successful(claimed) or not claimed.unwrap():
             return False
         suspicion.trials = max(suspicion.trials, record.trials)
@@ -119,7 +119,7 @@
         self, fingerprint: str, status: RequestStatus, by: str
     ) -> None:
         suspicion = self._quarantine.exchange.record_of(fingerprint)
-        self._store_reporter.request_judged(suspicion, status, by)
+        self._store_reporter.request_status_changed(suspicion, status, by)
         self._publisher.wake()
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_first_routes.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_initial_routes.py
@@ -11,19 +11,19 @@
     CallerLimits,
     RouteTable,
 )
+from fennelfork_daemon.routes._availability import StoreAvailability
 from fennelfork_daemon.routes._board import (
     INITIAL_HEADER_BYTES,
     INITIAL_IDLE_MS,
     INITIAL_READ_MS,
-    RouteBoard,
+    RouteBlackboard,
 )
-from fennelfork_daemon.routes._contact import StoreContact
 
 _MS_PER_SECOND: Final = 1000
 # Short compared with the duration of the initial listing.
 _POLL_INTERVAL_MS: Final = 4.0
 # Limits on requests that arrive before the initial configuration.
-FIRST_LIMITS: Final = CallerLimits(
+INITIAL_LIMITS: Final = CallerLimits(
     header_bytes=INITIAL_HEADER_BYTES,
     body_bytes=INITIAL_HEADER_BYTES,
     header_ms=INITIAL_READ_MS,
@@ -32,15 +32,15 @@
 
 
 @attrs.frozen(kw_only=True)
-class FirstRoutes:
+class InitialRoutes:
     """Provides the active routes and delays callers until they are known.
 
     After a power outage callers reconnect before the initial listing has
     arrived, and a rejected request would use up their only retry.
     """
 
-    _board: RouteBoard
-    _contact: StoreContact
+    _board: RouteBlackboard
+    _availability: StoreAvailability
     _clock: Clock
 
     @property
@@ -63,6 +63,6 @@
         is_before_deadline = self._clock.now_ms() < deadline_ms
         return (
             self._board.table is None
-            and self._contact.is_first_call_pending
+            and self._availability.is_first_call_pending
             and is_before_deadline
         )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
@@ -17,7 +17,7 @@
 from fennelfork_daemon.http._router import HttpReply
 from fennelfork_daemon.routes._answer import Answer
 from fennelfork_daemon.routes._ask import Ask, BackendAnswer
-from fennelfork_daemon.routes._facts import Fact
+from fennelfork_daemon.routes._updates import StoreUpdate
 
 
 @attrs.frozen(kw_only=True)
@@ -29,20 +29,20 @@
         revision: revision after which the store is watched.
     """
 
-    updates: tuple[Fact, ...]
+    updates: tuple[StoreUpdate, ...]
     revision: int
 
 
 @attrs.frozen(kw_only=True)
-class Changes:
+class UpdateBatch:
     """Updates of the store in order; attributes as in `Listing`."""
 
-    updates: tuple[Fact, ...]
+    updates: tuple[StoreUpdate, ...]
     revision: int
 
 
 @attrs.frozen(kw_only=True)
-class HistoryGone:
+class HistoryCompacted:
     """The store has compacted its history, so a new listing is needed."""
 
 
@@ -56,7 +56,7 @@
         self,
         after: int,
         timeouts: WatchTimeouts,
-    ) -> Result[Changes | HistoryGone, Failure]:
+    ) -> Result[UpdateBatch | HistoryCompacted, Failure]:
         """Wait for updates after a revision; none may arrive in time."""
 
     def open_lease(self, ttl_ms: float) -> Result[int, Failure]:
@@ -76,7 +76,7 @@
         Entries that are not durable are attached to the lease.
         """
 
-    def claim(
+    def claim_trial(
         self,
         record: SuspicionRecord,
         revision: int,
@@ -93,7 +93,7 @@
 class CallerCodec(Protocol):
     """Codec for the requests of callers and the answers to callers."""
 
-    def read_ask(
+    def read_request(
         self,
         environ: dict[str, Any],
         body: bytes | None,
@@ -107,7 +107,7 @@
 class BackendCodec(Protocol):
     """Codec for the requests to backend servers and their responses."""
 
-    def write_call(
+    def write_request(
         self,
         ask: Ask,
         server: BackendServer,
@@ -115,7 +115,7 @@
     ) -> ForwardCall:
         """Encode the attempt that forwards a request to a server."""
 
-    def read_answer(
+    def read_response(
         self,
         response: BackendResponse,
     ) -> Result[BackendAnswer, Failure]:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
@@ -8,8 +8,8 @@
 from returns.result import Result
 
 from fennelfork import Clock, Failure
-from fennelfork_daemon.routes._board import RouteBoard
-from fennelfork_daemon.routes._contact import StoreCall, StoreContact
+from fennelfork_daemon.routes._availability import StoreAvailability, StoreCall
+from fennelfork_daemon.routes._board import RouteBlackboard
 from fennelfork_daemon.routes._ports import Store
 from fennelfork_daemon.routes._store_reporter import StoreReporter
 
@@ -29,9 +29,9 @@
     """Maintains the entry of this daemon in the store."""
 
     _store: Store
-    _board: RouteBoard
+    _board: RouteBlackboard
     _min_lease_ms: float
-    _contact: StoreContact
+    _availability: StoreAvailability
     _clock: Clock
     _reporter: StoreReporter
     _renewed_ms: float = 0
@@ -113,9 +113,9 @@
         self, result: Result[_ResultT, Failure]
     ) -> Result[_ResultT, Failure]:
         if is_successful(result):
-            self._contact.record_response()
+            self._availability.record_response()
         else:
-            self._contact.record_failure(StoreCall.LEASE, result.failure())
+            self._availability.record_failure(StoreCall.LEASE, result.failure())
         return result
 
     def _end_lease(self) -> None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
@@ -13,7 +13,7 @@
 from fennelfork_daemon.http._router import Router
 from fennelfork_daemon.http._wsgi_server import open_listener, serve_face
 from fennelfork_daemon.logs._budget import DecisionLog
-from fennelfork_daemon.routes._board import RouteBoard
+from fennelfork_daemon.routes._board import RouteBlackboard
 from fennelfork_daemon.routes._entries import RouteEntries
 from fennelfork_daemon.routes._events_process import Started, Stopped
 from fennelfork_daemon.routes._face import RouteFace
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class FaceApplications:
+class AdapterApplications:
     """WSGI applications that the adapter to a platform provides.
 
     Attributes:
@@ -53,7 +53,7 @@
         follower: synchronisation of the blackboard with the store.
     """
 
-    board: RouteBoard
+    board: RouteBlackboard
     entries: RouteEntries
     face: RouteFace
     follower: StoreFollower
@@ -66,7 +66,7 @@
     _in_progress: InProgress
     _log: DecisionLog
 
-    def serve(self, applications: FaceApplications) -> int:
+    def serve(self, applications: AdapterApplications) -> int:
         """Serve until a signal stops the process.
 
         Args:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
@@ -14,8 +14,8 @@
 from fennelfork_daemon.routes import _events_requests as requests
 from fennelfork_daemon.routes import _events_servers as servers
 from fennelfork_daemon.routes import _events_store as store
-from fennelfork_daemon.routes._facts import UnreadableFact
 from fennelfork_daemon.routes._metrics import RouteMetrics
+from fennelfork_daemon.routes._updates import InvalidEntry
 
 
 @attrs.define(kw_only=True)
@@ -95,7 +95,7 @@
         """Log that the registration of a daemon was removed."""
         self._log.tell(store.DaemonGone(peer=name))
 
-    def request_judged(
+    def request_status_changed(
         self,
         record: SuspicionRecord,
         status: RequestStatus,
@@ -113,6 +113,6 @@
             ),
         )
 
-    def entry_rejected(self, update: UnreadableFact) -> None:
+    def entry_rejected(self, update: InvalidEntry) -> None:
         """Log an entry of the store with invalid content."""
         self._log.tell(store.ItemRefused(key=update.key, reason=update.problem))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_teller.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_publisher.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define(kw_only=True)
-class SuspicionTeller:
+class SuspicionPublisher:
     """Publishes changes of suspicions to the store in batches.
 
     Durable changes are published at once. Transient changes are delayed by a
@@ -40,7 +40,7 @@
     _exchange: SuspicionExchange
     _store: Store
     _lease: Callable[[], int | None]
-    _pace: StorePolling
+    _polling: StorePolling
     _fleet: FleetSize
     _clock: Clock
     _rng: random.Random
@@ -86,7 +86,7 @@
     def _wait_for_batch(self) -> None:
         """Wait for further changes unless a durable change is pending."""
         now_ms = self._clock.now_ms()
-        deadline_ms = now_ms + self._rng.uniform(0, self._pace.spread_ms)
+        deadline_ms = now_ms + self._rng.uniform(0, self._polling.spread_ms)
         while now_ms < deadline_ms and not self._exchange.has_durable_changes:
             self._wait_for_wake_up(deadline_ms - now_ms)
             now_ms = self._clock.now_ms()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
@@ -6,20 +6,20 @@
 
 import attrs
 
-from fennelfork_daemon.routes._board import RouteBoard
-from fennelfork_daemon.routes._facts import (
-    ConfigFact,
-    Fact,
-    MemberFact,
-    MemberGoneFact,
-    ServerFact,
-    ServerGoneFact,
-    SuspicionFact,
-    SuspicionGoneFact,
-    UnreadableFact,
-)
+from fennelfork_daemon.routes._board import RouteBlackboard
 from fennelfork_daemon.routes._pools import ServerPools
 from fennelfork_daemon.routes._store_reporter import StoreReporter
+from fennelfork_daemon.routes._updates import (
+    ConfigUpdate,
+    InvalidEntry,
+    MemberRemoved,
+    MemberUpdate,
+    ServerRemoved,
+    ServerUpdate,
+    StoreUpdate,
+    SuspicionRemoved,
+    SuspicionUpdate,
+)
 
 
 @attrs.frozen(kw_only=True)
@@ -31,12 +31,12 @@
         reporter: log of the applied updates.
     """
 
-    board: RouteBoard
+    board: RouteBlackboard
     reporter: StoreReporter
     _pools: ServerPools
 
     def apply_listing(
-        self, updates: Iterable[Fact], data_age_ms: float
+        self, updates: Iterable[StoreUpdate], data_age_ms: float
     ) -> None:
         """Apply a complete listing and remove every entry that it lacks.
 
@@ -49,19 +49,19 @@
             (
                 update.record.fingerprint
                 for update in listed
-                if isinstance(update, SuspicionFact)
+                if isinstance(update, SuspicionUpdate)
             ),
             data_age_ms,
         )
         servers = [
             update.server.instance
             for update in listed
-            if isinstance(update, ServerFact)
+            if isinstance(update, ServerUpdate)
         ]
         members = [
             update.member.name
             for update in listed
-            if isinstance(update, MemberFact)
+            if isinstance(update, MemberUpdate)
         ]
         for instance in self.board.directory.retain(servers):
             self.reporter.server_removed(instance)
@@ -69,7 +69,7 @@
             self.reporter.daemon_removed(name)
         self.apply(listed)
 
-    def apply(self, updates: Iterable[Fact]) -> None:
+    def apply(self, updates: Iterable[StoreUpdate]) -> None:
         """Apply updates in the given order."""
         for update in updates:
             _apply_update(update, self)
@@ -90,7 +90,7 @@
 
 
 @_apply_update.register
-def _apply_config(update: ConfigFact, applier: UpdateApplier) -> None:
+def _apply_config(update: ConfigUpdate, applier: UpdateApplier) -> None:
     board = applier.board
     previous = 0 if board.table is None else board.table.version
     if update.table.version <= previous:
@@ -106,7 +106,7 @@
 
 
 @_apply_update.register
-def _apply_server(update: ServerFact, applier: UpdateApplier) -> None:
+def _apply_server(update: ServerUpdate, applier: UpdateApplier) -> None:
     if applier.board.directory.is_outdated(update.server):
         return
     previous = applier.board.directory.put(update.server)
@@ -114,41 +114,39 @@
 
 
 @_apply_update.register
-def _remove_server(update: ServerGoneFact, applier: UpdateApplier) -> None:
+def _remove_server(update: ServerRemoved, applier: UpdateApplier) -> None:
     if applier.board.directory.remove(update.instance):
         applier.reporter.server_removed(update.instance)
 
 
 @_apply_update.register
-def _apply_member(update: MemberFact, applier: UpdateApplier) -> None:
+def _apply_member(update: MemberUpdate, applier: UpdateApplier) -> None:
     name = update.member.name
     if applier.board.members.put(name, update.member) is None:
         applier.reporter.daemon_registered(update.member)
 
 
 @_apply_update.register
-def _remove_member(update: MemberGoneFact, applier: UpdateApplier) -> None:
+def _remove_member(update: MemberRemoved, applier: UpdateApplier) -> None:
     if applier.board.members.remove(update.name):
         applier.reporter.daemon_removed(update.name)
 
 
 @_apply_update.register
-def _apply_suspicion(update: SuspicionFact, applier: UpdateApplier) -> None:
+def _apply_suspicion(update: SuspicionUpdate, applier: UpdateApplier) -> None:
     exchange = applier.board.quarantine.exchange
     status = exchange.apply_record(update.record, update.revision)
     if status is not None:
-        applier.reporter.request_judged(update.record, status)
+        applier.reporter.request_status_changed(update.record, status)
 
 
 @_apply_update.register
-def _remove_suspicion(
-    update: SuspicionGoneFact, applier: UpdateApplier
-) -> None:
+def _remove_suspicion(update: SuspicionRemoved, applier: UpdateApplier) -> None:
     applier.board.quarantine.exchange.discard(update.fingerprint)
 
 
 @_apply_update.register
-def _reject_entry(update: UnreadableFact, applier: UpdateApplier) -> None:
+def _reject_entry(update: InvalidEntry, applier: UpdateApplier) -> None:
     applier.reporter.entry_rejected(update)
     if applier.board.directory.discard(update.instance):
         applier.reporter.server_removed(update.instance)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_facts.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_updates.py
@@ -7,42 +7,42 @@
 
 
 @attrs.frozen(kw_only=True)
-class ConfigFact:
+class ConfigUpdate:
     """The latest configuration."""
 
     table: RouteTable
 
 
 @attrs.frozen(kw_only=True)
-class ServerFact:
+class ServerUpdate:
     """A backend server registered or changed its registration."""
 
     server: BackendServer
 
 
 @attrs.frozen(kw_only=True)
-class ServerGoneFact:
+class ServerRemoved:
     """The registration of a backend server was removed."""
 
     instance: str
 
 
 @attrs.frozen(kw_only=True)
-class MemberFact:
+class MemberUpdate:
     """A daemon registered or changed its registration."""
 
     member: Member
 
 
 @attrs.frozen(kw_only=True)
-class MemberGoneFact:
+class MemberRemoved:
     """The registration of a daemon was removed."""
 
     name: str
 
 
 @attrs.frozen(kw_only=True)
-class SuspicionFact:
+class SuspicionUpdate:
     """A daemon published the suspicion of a request.
 
     Attributes:
@@ -55,14 +55,14 @@
 
 
 @attrs.frozen(kw_only=True)
-class SuspicionGoneFact:
+class SuspicionRemoved:
     """The entry of a suspected request was removed."""
 
     fingerprint: str
 
 
 @attrs.frozen(kw_only=True)
-class UnreadableFact:
+class InvalidEntry:
     """An entry has invalid content and replaces a possibly valid one.
 
     Attributes:
@@ -78,13 +78,13 @@
     member: str = ''
 
 
-Fact = (
-    ConfigFact
-    | ServerFact
-    | ServerGoneFact
-    | MemberFact
-    | MemberGoneFact
-    | SuspicionFact
-    | SuspicionGoneFact
-    | UnreadableFact
+StoreUpdate = (
+    ConfigUpdate
+    | ServerUpdate
+    | ServerRemoved
+    | MemberUpdate
+    | MemberRemoved
+    | SuspicionUpdate
+    | SuspicionRemoved
+    | InvalidEntry
 )
--- a/packages/fennelfork-daemon/tests/daemon_builders_routes.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_routes.py
@@ -31,14 +31,17 @@
 from fennelfork_daemon.logs._logs import configure_logs
 from fennelfork_daemon.routes import (
     Ask,
-    Changes,
-    Fact,
-    HistoryGone,
+    HistoryCompacted,
     Listing,
     RouteSettings,
+    StoreUpdate,
+    UpdateBatch,
+)
+from fennelfork_daemon.routes._availability import (
+    StoreAvailability,
+    store_availability,
 )
 from fennelfork_daemon.routes._board import route_blackboard
-from fennelfork_daemon.routes._contact import StoreContact, store_availability
 from fennelfork_daemon.routes._follower import StoreFollower, store_follower
 from fennelfork_daemon.routes._metrics import route_metrics
 from fennelfork_daemon.routes._pools import ServerPools
@@ -47,7 +50,7 @@
 from fennelfork_daemon.routes._update_applier import UpdateApplier
 from fennelfork_daemon.settings._tables import LogSettings
 
-AWAY = not_run(FailureCode.PLATFORM, 'the store answered 503')
+STORE_UNAVAILABLE = not_run(FailureCode.PLATFORM, 'the store answered 503')
 # Marks a call of the store that gets no response.
 NO_RESPONSE = 'silence'
 # Duration of a call without a response, longer than any test.
@@ -162,7 +165,7 @@
         """Return the next listing, or a failure if none is left."""
         self.calls.append(('list_all', timeout_ms))
         if not self.listings:
-            return Bad(AWAY)
+            return Bad(STORE_UNAVAILABLE)
         updates = self.listings.pop(0)
         if updates is NO_RESPONSE:
             eventlet.sleep(_HANG_S)
@@ -172,17 +175,17 @@
         self,
         after: int,
         timeouts: WatchTimeouts,
-    ) -> Result[Changes | HistoryGone, Failure]:
+    ) -> Result[UpdateBatch | HistoryCompacted, Failure]:
         """Return the next watch result, or a failure if none is left."""
         self.calls.append(('watch', after, timeouts))
         if not self.watch_results:
-            return Bad(AWAY)
+            return Bad(STORE_UNAVAILABLE)
         updates = self.watch_results.pop(0)
         if updates is NO_RESPONSE:
             eventlet.sleep(_HANG_S)
-        if isinstance(updates, HistoryGone):
+        if isinstance(updates, HistoryCompacted):
             return Success(updates)
-        return Success(Changes(updates=tuple(updates), revision=after + 1))
+        return Success(UpdateBatch(updates=tuple(updates), revision=after + 1))
 
     def open_lease(self, ttl_ms: float) -> Result[int, Failure]:
         """Record a new lease and return its number."""
@@ -207,7 +210,7 @@
         self.calls.append(('tell', updates, lease))
         return self.told.pop(0) if self.told else Success(True)
 
-    def claim(
+    def claim_trial(
         self,
         record: SuspicionRecord,
         revision: int,
@@ -223,21 +226,21 @@
 
 
 @attrs.define(kw_only=True)
-class EndlessOutput:
+class UnboundedOutput:
     """Stand-in of a log output that never drops lines."""
 
     dropped: int = 0
 
 
 @attrs.define(kw_only=True)
-class Following:
+class FollowingDaemon:
     """Daemon that synchronises with a stand-in of the store in manual time."""
 
     time: ManualTime = attrs.field(factory=ManualTime)
     store: FakeStore = attrs.field(factory=FakeStore)
     log: io.StringIO = attrs.field(factory=io.StringIO)
     board: Any = attrs.field(init=False)
-    contact: StoreContact = attrs.field(init=False)
+    availability: StoreAvailability = attrs.field(init=False)
     follower: StoreFollower = attrs.field(init=False)
     registration: Registration = attrs.field(init=False)
     decisions: DecisionLog = attrs.field(init=False)
@@ -252,16 +255,16 @@
         self.decisions = decision_log(
             clock,
             metrics.count_decision,
-            EndlessOutput(),
+            UnboundedOutput(),
             daemon='vm-1',
         )
         reporter = StoreReporter(log=self.decisions, metrics=metrics)
         self.reporter = reporter
-        self.contact = store_availability(self.board, clock, reporter)
+        self.availability = store_availability(self.board, clock, reporter)
         pools = ServerPools(clock=clock, shares=self.board.shares)
         self.follower = store_follower(
             self.store,
-            self.contact,
+            self.availability,
             UpdateApplier(board=self.board, reporter=reporter, pools=pools),
             store_polling(self.board.fleet, settings().in_force_ms),
             random.Random(1),
@@ -270,7 +273,7 @@
             store=self.store,
             board=self.board,
             min_lease_ms=1000,
-            contact=self.contact,
+            availability=self.availability,
             clock=clock,
             reporter=reporter,
         )
@@ -280,12 +283,12 @@
         """Number of watch calls that the store received."""
         return sum(call[0] == 'watch' for call in self.store.calls)
 
-    def take_list(self, *updates: Fact) -> None:
+    def apply_listing(self, *updates: StoreUpdate) -> None:
         """Apply a listing that contains the given updates."""
         self.store.listings.append(updates)
         self.follower.step()
 
-    def change(self, *updates: Fact) -> float:
+    def apply_updates(self, *updates: StoreUpdate) -> float:
         """Apply updates from a watch and return the delay in ms."""
         self.store.watch_results.append(updates)
         return self.follower.step()
--- a/packages/fennelfork-daemon/tests/test_decision_log.py
+++ b/packages/fennelfork-daemon/tests/test_decision_log.py
@@ -5,7 +5,7 @@
 import os
 
 import structlog
-from daemon_builders_routes import EndlessOutput
+from daemon_builders_routes import UnboundedOutput
 
 from fennelfork import ManualTime, manual_clock
 from fennelfork_daemon.logs._budget import decision_log
@@ -28,7 +28,7 @@
         log = decision_log(
             manual_clock(time),
             lambda event, logged, times: counted.append(logged),
-            EndlessOutput(),
+            UnboundedOutput(),
             daemon='vm-1',
         )
         for _ in range(60):
--- a/packages/fennelfork-daemon/tests/test_routes_events.py
+++ b/packages/fennelfork-daemon/tests/test_routes_events.py
@@ -12,7 +12,7 @@
 import attrs
 import pytest
 import structlog
-from daemon_builders_routes import EndlessOutput
+from daemon_builders_routes import UnboundedOutput
 
 from fennelfork import ManualTime, manual_clock
 from fennelfork_daemon.logs._budget import decision_log
@@ -132,7 +132,7 @@
         log = decision_log(
             manual_clock(ManualTime()),
             lambda event, logged, times: None,
-            EndlessOutput(),
+            UnboundedOutput(),
             daemon='vm-1',
         )
         log.tell(store.StoreRegained(away_ms=7, told_ms=9))
--- a/packages/fennelfork-daemon/tests/test_routes_first.py
+++ b/packages/fennelfork-daemon/tests/test_routes_first.py
@@ -8,68 +8,77 @@
 import eventlet
 import pytest
 import structlog
-from daemon_builders_routes import AWAY, Following, server, table
+from daemon_builders_routes import (
+    STORE_UNAVAILABLE,
+    FollowingDaemon,
+    server,
+    table,
+)
 
 from fennelfork import Clock, system_clock
-from fennelfork_daemon.routes import ConfigFact, ServerFact
-from fennelfork_daemon.routes._contact import StoreCall
-from fennelfork_daemon.routes._first_routes import FirstRoutes
+from fennelfork_daemon.routes import ConfigUpdate, ServerUpdate
+from fennelfork_daemon.routes._availability import StoreCall
+from fennelfork_daemon.routes._initial_routes import InitialRoutes
 
 _LISTING_DELAY_S = 0.05
 _IMMEDIATE_MS = 20
 
 
 @pytest.fixture
-def new_daemon() -> Iterator[Following]:
+def new_daemon() -> Iterator[FollowingDaemon]:
     """Yield a daemon that has not read the store yet."""
-    yield Following()
+    yield FollowingDaemon()
     structlog.reset_defaults()
 
 
 class TestFirstRoutes:
     """Requests wait only while the initial listing is in flight."""
 
-    def test_waits_for_initial_listing(self, new_daemon: Following) -> None:
+    def test_waits_for_initial_listing(
+        self, new_daemon: FollowingDaemon
+    ) -> None:
         """A request that arrives before the initial listing is served."""
         eventlet.spawn_after(
             _LISTING_DELAY_S,
-            new_daemon.take_list,
-            ConfigFact(table=table(3)),
+            new_daemon.apply_listing,
+            ConfigUpdate(table=table(3)),
         )
-        routes = _first_routes(new_daemon).wait()
+        routes = _initial_routes(new_daemon).wait()
         assert routes is not None
         assert routes.version == 3
 
-    def test_store_unavailable(self, new_daemon: Following) -> None:
+    def test_store_unavailable(self, new_daemon: FollowingDaemon) -> None:
         """A request does not wait after the initial listing has failed."""
-        new_daemon.contact.record_failure(StoreCall.LISTING, AWAY)
+        new_daemon.availability.record_failure(
+            StoreCall.LISTING, STORE_UNAVAILABLE
+        )
         assert _wait_ms(new_daemon) < _IMMEDIATE_MS
 
-    def test_no_configuration(self, new_daemon: Following) -> None:
+    def test_no_configuration(self, new_daemon: FollowingDaemon) -> None:
         """A request does not wait if the store has no configuration."""
-        new_daemon.take_list(ServerFact(server=server('i-1')))
+        new_daemon.apply_listing(ServerUpdate(server=server('i-1')))
         assert _wait_ms(new_daemon) < _IMMEDIATE_MS
 
-    def test_known_configuration(self, new_daemon: Following) -> None:
+    def test_known_configuration(self, new_daemon: FollowingDaemon) -> None:
         """A request does not wait if the configuration is known."""
-        new_daemon.take_list(ConfigFact(table=table(3)))
+        new_daemon.apply_listing(ConfigUpdate(table=table(3)))
         assert _wait_ms(new_daemon) < _IMMEDIATE_MS
 
-    def test_wait_is_bounded(self, new_daemon: Following) -> None:
+    def test_wait_is_bounded(self, new_daemon: FollowingDaemon) -> None:
         """A request waits no longer than the timeout of the listing."""
         assert 350 < _wait_ms(new_daemon) < 800
 
 
-def _first_routes(new_daemon: Following) -> FirstRoutes:
-    return FirstRoutes(
+def _initial_routes(new_daemon: FollowingDaemon) -> InitialRoutes:
+    return InitialRoutes(
         board=new_daemon.board,
-        contact=new_daemon.contact,
+        availability=new_daemon.availability,
         clock=system_clock(),
     )
 
 
-def _wait_ms(new_daemon: Following) -> float:
+def _wait_ms(new_daemon: FollowingDaemon) -> float:
     clock: Clock = system_clock()
     started_ms = clock.now_ms()
-    _first_routes(new_daemon).wait()
+    _initial_routes(new_daemon).wait()
     return clock.now_ms() - started_ms
--- a/packages/fennelfork-daemon/tests/test_routes_guard.py
+++ b/packages/fennelfork-daemon/tests/test_routes_guard.py
@@ -4,7 +4,12 @@
 import random
 from typing import Any
 
-from daemon_builders_routes import AWAY, Following, ask, server
+from daemon_builders_routes import (
+    STORE_UNAVAILABLE,
+    FollowingDaemon,
+    ask,
+    server,
+)
 from returns.pipeline import is_successful
 from returns.result import Failure as Bad
 from returns.result import Success
@@ -18,18 +23,18 @@
     SuspicionUpdates,
     store_polling,
 )
-from fennelfork_daemon.routes import SuspicionFact, SuspicionGoneFact
+from fennelfork_daemon.routes import SuspicionRemoved, SuspicionUpdate
 from fennelfork_daemon.routes._guard import RequestGuard
 from fennelfork_daemon.routes._metrics import route_metrics
 from fennelfork_daemon.routes._operator_face import operator_face
 from fennelfork_daemon.routes._request_reporter import RequestReporter
-from fennelfork_daemon.routes._suspicion_teller import SuspicionTeller
+from fennelfork_daemon.routes._suspicion_publisher import SuspicionPublisher
 
 _REQUEST = ask()
 _FINGERPRINT = _REQUEST.fingerprint
 
 
-def suspicion_fact(status: RequestStatus, **changes: Any) -> SuspicionFact:
+def suspicion_fact(status: RequestStatus, **changes: Any) -> SuspicionUpdate:
     """Build the suspicion that another daemon published for the request."""
     crashes = tuple(
         ServerCrash(run=f'{name}@1', service='archive', alone=True)
@@ -42,7 +47,7 @@
         last_crash_ms=int(wall_clock().now_ms()),
         **fields,
     )
-    return SuspicionFact(record=record, revision=41)
+    return SuspicionUpdate(record=record, revision=41)
 
 
 def send(name: str, *, alone: bool = False) -> Send:
@@ -61,17 +66,17 @@
 
     def setup_method(self) -> None:
         """Start with a daemon that has read the store."""
-        self.following = Following()
-        self.following.take_list()
+        self.following = FollowingDaemon()
+        self.following.apply_listing()
         self.store = self.following.store
         self.quarantine = self.following.board.quarantine
         clock = manual_clock(self.following.time)
         self.lease: int | None = 7
-        self.publisher = SuspicionTeller(
+        self.publisher = SuspicionPublisher(
             exchange=self.quarantine.exchange,
             store=self.store,
             lease=lambda: self.lease,
-            pace=store_polling(self.following.board.fleet, 3000),
+            polling=store_polling(self.following.board.fleet, 3000),
             fleet=self.following.board.fleet,
             clock=clock,
             rng=random.Random(1),
@@ -108,10 +113,14 @@
 
     def test_strongly_suspected(self) -> None:
         """After an isolated crash only one daemon may send the request."""
-        self.following.change(
+        self.following.apply_updates(
             suspicion_fact(RequestStatus.SUSPECTED, isolated_crashes=1)
         )
-        self.store.claims = [Success(True), Success(False), Bad(AWAY)]
+        self.store.claims = [
+            Success(True),
+            Success(False),
+            Bad(STORE_UNAVAILABLE),
+        ]
         assert self.guard.admit(_FINGERPRINT).unwrap() == {'archive'}
         for _ in range(2):
             failure = self.guard.admit(_FINGERPRINT).failure()
@@ -129,7 +138,7 @@
 
     def test_quarantined(self) -> None:
         """A quarantined request is refused with the verdict `NOT_RUN`."""
-        self.following.change(suspicion_fact(RequestStatus.QUARANTINED))
+        self.following.apply_updates(suspicion_fact(RequestStatus.QUARANTINED))
         failure = self.guard.admit(_FINGERPRINT).failure()
         assert failure.code is FailureCode.QUARANTINED
         assert failure.verdict is Verdict.NOT_RUN
@@ -138,16 +147,16 @@
 
     def test_released(self) -> None:
         """A request that another daemon released is admitted."""
-        self.following.change(suspicion_fact(RequestStatus.QUARANTINED))
-        self.following.change(suspicion_fact(RequestStatus.RELEASED))
+        self.following.apply_updates(suspicion_fact(RequestStatus.QUARANTINED))
+        self.following.apply_updates(suspicion_fact(RequestStatus.RELEASED))
         assert self.guard.admit(_FINGERPRINT).unwrap() == frozenset()
 
     def test_removed(self) -> None:
         """A request whose entry was removed from the store is admitted."""
-        self.following.change(
+        self.following.apply_updates(
             suspicion_fact(RequestStatus.SUSPECTED, isolated_crashes=1)
         )
-        self.following.change(SuspicionGoneFact(fingerprint=_FINGERPRINT))
+        self.following.apply_updates(SuspicionRemoved(fingerprint=_FINGERPRINT))
         assert self.guard.admit(_FINGERPRINT).unwrap() == frozenset()
 
 
@@ -157,7 +166,7 @@
     def setup_method(self) -> None:
         """Put the request into quarantine until a trial is due."""
         super().setup_method()
-        self.following.change(suspicion_fact(RequestStatus.QUARANTINED))
+        self.following.apply_updates(suspicion_fact(RequestStatus.QUARANTINED))
         self.following.time.advance(31_000)
 
     def test_claimed(self) -> None:
@@ -176,7 +185,7 @@
 
     def test_store_unavailable(self) -> None:
         """A trial is sent only after the store is available again."""
-        self.store.claims = [Bad(AWAY), Success(True)]
+        self.store.claims = [Bad(STORE_UNAVAILABLE), Success(True)]
         assert not is_successful(self.guard.admit(_FINGERPRINT))
         assert is_successful(self.guard.admit(_FINGERPRINT))
 
@@ -230,7 +239,7 @@
     def test_store_refuses(self) -> None:
         """Updates that the store did not accept are written again."""
         self.guard.record_crash(send('a'), _REQUEST)
-        self.store.told = [Bad(AWAY), Success(False)]
+        self.store.told = [Bad(STORE_UNAVAILABLE), Success(False)]
         assert not self.publisher.step()
         assert not self.publisher.step()
         assert self.publisher.step()
@@ -250,9 +259,9 @@
     def test_store_lost_entry(self) -> None:
         """A durable suspicion that a listing lacks is published again."""
         known = suspicion_fact(RequestStatus.QUARANTINED)
-        self.following.change(known)
-        self.following.follower.forget_history()
-        self.following.take_list()
+        self.following.apply_updates(known)
+        self.following.follower.discard_revision()
+        self.following.apply_listing()
         self.publisher.step()
         assert [updates.records for updates in self.published()] == [
             (known.record,)
@@ -286,7 +295,7 @@
     def setup_method(self) -> None:
         """Put the request into quarantine."""
         super().setup_method()
-        self.following.change(suspicion_fact(RequestStatus.QUARANTINED))
+        self.following.apply_updates(suspicion_fact(RequestStatus.QUARANTINED))
         self.api = operator_face(
             route_metrics(),
             self.quarantine,
--- a/packages/fennelfork-daemon/tests/test_routes_store.py
+++ b/packages/fennelfork-daemon/tests/test_routes_store.py
@@ -6,9 +6,9 @@
 import pytest
 import structlog
 from daemon_builders_routes import (
-    AWAY,
     NO_RESPONSE,
-    Following,
+    STORE_UNAVAILABLE,
+    FollowingDaemon,
     member,
     server,
     table,
@@ -17,30 +17,30 @@
 from returns.result import Success
 
 from fennelfork_daemon.routes import (
-    ConfigFact,
-    EntryAsk,
-    HistoryGone,
-    MemberFact,
-    MemberGoneFact,
+    ConfigUpdate,
+    EntryQuery,
+    HistoryCompacted,
+    InvalidEntry,
+    MemberRemoved,
+    MemberUpdate,
     RouteEntries,
-    ServerFact,
-    ServerGoneFact,
-    UnreadableFact,
+    ServerRemoved,
+    ServerUpdate,
 )
-from fennelfork_daemon.routes._contact import StoreCall
+from fennelfork_daemon.routes._availability import StoreCall
 
 # Lets other green threads run.
 _SWITCH_S = 0.01
 
 
 @pytest.fixture
-def following() -> Following:
+def following() -> FollowingDaemon:
     """Yield a daemon that has read the store once."""
-    new_daemon = Following()
-    new_daemon.take_list(
-        ConfigFact(table=table(3)),
-        ServerFact(server=server('i-1')),
-        ServerFact(server=server('i-2')),
+    new_daemon = FollowingDaemon()
+    new_daemon.apply_listing(
+        ConfigUpdate(table=table(3)),
+        ServerUpdate(server=server('i-1')),
+        ServerUpdate(server=server('i-2')),
     )
     yield new_daemon
     structlog.reset_defaults()
@@ -49,20 +49,22 @@
 class TestConfiguration:
     """Only newer versions replace the active configuration."""
 
-    def test_newer_version(self, following: Following) -> None:
+    def test_newer_version(self, following: FollowingDaemon) -> None:
         """A newer version and its limits become active at once."""
-        following.change(ConfigFact(table=table(8)))
+        following.apply_updates(ConfigUpdate(table=table(8)))
         assert following.board.table.version == 8
         assert following.board.limits.idle_ms == 9000
 
-    def test_older_version(self, following: Following) -> None:
+    def test_older_version(self, following: FollowingDaemon) -> None:
         """An older version is ignored."""
-        following.change(ConfigFact(table=table(2)))
+        following.apply_updates(ConfigUpdate(table=table(2)))
         assert following.board.table.version == 3
 
-    def test_invalid_configuration(self, following: Following) -> None:
+    def test_invalid_configuration(self, following: FollowingDaemon) -> None:
         """An invalid entry is logged and the active version stays."""
-        following.change(UnreadableFact(key='op/config', problem='no JSON'))
+        following.apply_updates(
+            InvalidEntry(key='op/config', problem='no JSON')
+        )
         assert following.board.table.version == 3
         assert 'item_refused' in following.events()
 
@@ -70,32 +72,36 @@
 class TestServers:
     """The server directory follows the entries of backend servers."""
 
-    def test_draining_server(self, following: Following) -> None:
+    def test_draining_server(self, following: FollowingDaemon) -> None:
         """A draining server is not selected."""
-        following.change(ServerFact(server=server('i-1', draining=True)))
+        following.apply_updates(
+            ServerUpdate(server=server('i-1', draining=True))
+        )
         usable = following.board.directory.usable('archive')
         assert [each.instance for each in usable] == ['i-2']
 
-    def test_removed_server(self, following: Following) -> None:
+    def test_removed_server(self, following: FollowingDaemon) -> None:
         """A removed server is not selected and its removal is logged once."""
-        following.change(ServerGoneFact(instance='i-1'))
+        following.apply_updates(ServerRemoved(instance='i-1'))
         assert len(following.board.directory.usable('archive')) == 1
         assert following.events().count('server_gone') == 1
 
     def test_expired_during_outage(
         self,
-        following: Following,
+        following: FollowingDaemon,
     ) -> None:
         """A server that is missing after an outage has a grace period."""
         following.follower.step()
         following.time.advance(4000)
-        following.change()
-        following.change(ServerGoneFact(instance='i-1'))
+        following.apply_updates()
+        following.apply_updates(ServerRemoved(instance='i-1'))
         assert len(following.board.directory.usable('archive')) == 2
         following.time.advance(2300)
         assert len(following.board.directory.usable('archive')) == 1
 
-    def test_failed_watch_is_no_outage(self, following: Following) -> None:
+    def test_failed_watch_is_no_outage(
+        self, following: FollowingDaemon
+    ) -> None:
         """A failed watch grants no grace period if renewals succeed."""
         following.registration.step()
         following.store.renewals = [Success(True) for _ in range(9)]
@@ -103,17 +109,17 @@
             following.time.advance(700)
             following.registration.step()
         following.follower.step()
-        following.change()
-        following.change(ServerGoneFact(instance='i-1'))
+        following.apply_updates()
+        following.apply_updates(ServerRemoved(instance='i-1'))
         assert len(following.board.directory.usable('archive')) == 1
 
-    def test_compacted_history(self, following: Following) -> None:
+    def test_compacted_history(self, following: FollowingDaemon) -> None:
         """A new listing replaces the servers after compaction."""
-        following.store.watch_results.append(HistoryGone())
+        following.store.watch_results.append(HistoryCompacted())
         following.follower.step()
-        following.take_list(
-            ConfigFact(table=table(3)),
-            ServerFact(server=server('i-2')),
+        following.apply_listing(
+            ConfigUpdate(table=table(3)),
+            ServerUpdate(server=server('i-2')),
         )
         usable = following.board.directory.usable('archive')
         assert [each.instance for each in usable] == ['i-2']
@@ -122,11 +128,13 @@
 class TestIncarnations:
     """A backend server restarts under the same name."""
 
-    def test_new_incarnation(self, following: Following) -> None:
+    def test_new_incarnation(self, following: FollowingDaemon) -> None:
         """Late updates of the previous incarnation are ignored."""
-        following.change(ServerFact(server=server('i-1', started_ms=2000)))
+        following.apply_updates(
+            ServerUpdate(server=server('i-1', started_ms=2000))
+        )
         outdated = server('i-1', started_ms=1000, draining=True)
-        following.change(ServerFact(server=outdated))
+        following.apply_updates(ServerUpdate(server=outdated))
         runs = [
             each.incarnation
             for each in following.board.directory.usable('archive')
@@ -134,52 +142,56 @@
         assert 'i-1@2000' in runs
         assert following.events().count('server_seen') == 3
 
-    def test_state_is_reset(self, following: Following) -> None:
+    def test_state_is_reset(self, following: FollowingDaemon) -> None:
         """The ejection of the previous incarnation does not apply."""
         states = following.board.states
         states.of(server('i-1').incarnation).ejection.eject(0)
         again = server('i-1', started_ms=2000)
-        following.change(ServerFact(server=again))
+        following.apply_updates(ServerUpdate(server=again))
         assert not states.of(again.incarnation).ejection.is_ejected(1)
 
 
 class TestInvalidEntries:
     """Invalid content replaces a valid entry."""
 
-    def test_invalid_server(self, following: Following) -> None:
+    def test_invalid_server(self, following: FollowingDaemon) -> None:
         """The server of the entry is removed and the others stay."""
-        following.change(
-            UnreadableFact(key='k', problem='no JSON', instance='i-1'),
+        following.apply_updates(
+            InvalidEntry(key='k', problem='no JSON', instance='i-1'),
         )
         usable = following.board.directory.usable('archive')
         assert [each.instance for each in usable] == ['i-2']
         assert following.events().count('item_refused') == 1
 
-    def test_invalid_server_after_outage(self, following: Following) -> None:
+    def test_invalid_server_after_outage(
+        self, following: FollowingDaemon
+    ) -> None:
         """The grace period does not apply to an invalid entry."""
         following.board.directory.registry.start_grace_period()
-        following.change(
-            UnreadableFact(key='k', problem='no JSON', instance='i-1'),
+        following.apply_updates(
+            InvalidEntry(key='k', problem='no JSON', instance='i-1'),
         )
         assert len(following.board.directory.usable('archive')) == 1
 
-    def test_invalid_server_in_listing(self, following: Following) -> None:
+    def test_invalid_server_in_listing(
+        self, following: FollowingDaemon
+    ) -> None:
         """An invalid entry in a listing removes its server."""
-        following.store.watch_results.append(HistoryGone())
+        following.store.watch_results.append(HistoryCompacted())
         following.follower.step()
-        following.take_list(
-            ConfigFact(table=table(3)),
-            UnreadableFact(key='k', problem='no JSON', instance='i-1'),
-            ServerFact(server=server('i-2')),
+        following.apply_listing(
+            ConfigUpdate(table=table(3)),
+            InvalidEntry(key='k', problem='no JSON', instance='i-1'),
+            ServerUpdate(server=server('i-2')),
         )
         usable = following.board.directory.usable('archive')
         assert [each.instance for each in usable] == ['i-2']
 
-    def test_invalid_daemon(self, following: Following) -> None:
+    def test_invalid_daemon(self, following: FollowingDaemon) -> None:
         """A daemon with an invalid entry is not returned to callers."""
-        following.change(MemberFact(member=member('vm-22')))
-        following.change(
-            UnreadableFact(key='k', problem='no JSON', member='vm-22'),
+        following.apply_updates(MemberUpdate(member=member('vm-22')))
+        following.apply_updates(
+            InvalidEntry(key='k', problem='no JSON', member='vm-22'),
         )
         assert _addresses(following) == (following.board.local.caller,)
 
@@ -194,18 +206,18 @@
     @pytest.mark.parametrize('failed_renewals', [1, 6])
     def test_watch_is_repeated(
         self,
-        following: Following,
+        following: FollowingDaemon,
         failed_renewals: int,
     ) -> None:
         """A lost watch is repeated once renewals succeed again."""
         following.registration.step()
         following.store.watch_results = [
             NO_RESPONSE,
-            (ConfigFact(table=table(8)),),
+            (ConfigUpdate(table=table(8)),),
         ]
         watch = eventlet.spawn(_run_two_steps, following)
         eventlet.sleep(_SWITCH_S)
-        failures = [Bad(AWAY) for _ in range(failed_renewals)]
+        failures = [Bad(STORE_UNAVAILABLE) for _ in range(failed_renewals)]
         following.store.renewals = [*failures, Success(True)]
         for _ in range(failed_renewals + 1):
             following.registration.step()
@@ -215,28 +227,35 @@
 
     def test_listing_is_repeated(self) -> None:
         """A lost listing is repeated once calls succeed again."""
-        new_daemon = Following()
-        new_daemon.store.listings = [NO_RESPONSE, (ConfigFact(table=table(8)),)]
+        new_daemon = FollowingDaemon()
+        new_daemon.store.listings = [
+            NO_RESPONSE,
+            (ConfigUpdate(table=table(8)),),
+        ]
         watch = eventlet.spawn(_run_two_steps, new_daemon)
         eventlet.sleep(_SWITCH_S)
-        new_daemon.contact.record_failure(StoreCall.CHANGES, AWAY)
-        new_daemon.contact.record_response()
+        new_daemon.availability.record_failure(
+            StoreCall.CHANGES, STORE_UNAVAILABLE
+        )
+        new_daemon.availability.record_response()
         with eventlet.Timeout(1):
             watch.wait()
         assert new_daemon.board.table.version == 8
         structlog.reset_defaults()
 
-    def test_watch_is_repeated_once(self, following: Following) -> None:
+    def test_watch_is_repeated_once(self, following: FollowingDaemon) -> None:
         """A watch is repeated once after an outage and not without one."""
         following.store.watch_results = [NO_RESPONSE, NO_RESPONSE]
         watch = eventlet.spawn(_run_two_steps, following)
         eventlet.sleep(_SWITCH_S)
-        following.contact.record_response()
+        following.availability.record_response()
         eventlet.sleep(_SWITCH_S)
         assert following.watch_count == 1
-        following.contact.record_failure(StoreCall.CHANGES, AWAY)
+        following.availability.record_failure(
+            StoreCall.CHANGES, STORE_UNAVAILABLE
+        )
         for _ in range(5):
-            following.contact.record_response()
+            following.availability.record_response()
             eventlet.sleep(_SWITCH_S)
         assert following.watch_count == 2
         watch.kill()
@@ -245,10 +264,10 @@
 class TestPolling:
     """Timeouts, delays and log lines of the calls of the store."""
 
-    def test_updates_are_batched(self, following: Following) -> None:
+    def test_updates_are_batched(self, following: FollowingDaemon) -> None:
         """The next watch is delayed after an update only."""
-        assert following.change(ServerGoneFact(instance='i-1')) > 100
-        assert following.change() == 0
+        assert following.apply_updates(ServerRemoved(instance='i-1')) > 100
+        assert following.apply_updates() == 0
 
     @pytest.mark.parametrize(
         ('daemons', 'batch_delay_ms'),
@@ -256,7 +275,7 @@
     )
     def test_batch_delay_grows_with_fleet(
         self,
-        following: Following,
+        following: FollowingDaemon,
         daemons: int,
         batch_delay_ms: float,
     ) -> None:
@@ -265,35 +284,38 @@
         Guards against overload of the store during a rolling restart.
         """
         members = [member(f'vm-{number}') for number in range(2, daemons + 1)]
-        following.change(*(MemberFact(member=each) for each in members))
-        following.change(MemberFact(member=member('vm-1')))
+        following.apply_updates(
+            *(MemberUpdate(member=each) for each in members)
+        )
+        following.apply_updates(MemberUpdate(member=member('vm-1')))
         assert (
-            following.change(ServerGoneFact(instance='i-1')) == batch_delay_ms
+            following.apply_updates(ServerRemoved(instance='i-1'))
+            == batch_delay_ms
         )
         polling = following.follower.polling
         assert polling.extra_batch_delay_ms == batch_delay_ms - 300
 
     def test_listing_times_out(self) -> None:
         """Failed listings are repeated with growing but bounded timeouts."""
-        new_daemon = Following()
+        new_daemon = FollowingDaemon()
         delays_ms = [new_daemon.follower.step() for _ in range(6)]
         timeouts_ms = [call[1] for call in new_daemon.store.calls]
         assert timeouts_ms == [400, 800, 1600, 1600, 1600, 1600]
         assert all(100 < wait < 900 for wait in delays_ms)
         structlog.reset_defaults()
 
-    def test_outage_is_logged_once(self, following: Following) -> None:
+    def test_outage_is_logged_once(self, following: FollowingDaemon) -> None:
         """The start and the end of an outage are logged once each."""
         for _ in range(5):
             following.follower.step()
-        following.change()
+        following.apply_updates()
         events = following.events()
         assert events.count('store_lost') == 1
         assert events.count('store_regained') == 1
 
     def test_outage_log_attributes(
         self,
-        following: Following,
+        following: FollowingDaemon,
     ) -> None:
         """A renewal ends an outage but does not reset the age of the data."""
         following.registration.step()
@@ -305,18 +327,20 @@
         lost, regained = following.lines('store_lost', 'store_regained')
         assert lost['call'] == 'changes'
         assert (regained['away_ms'], regained['told_ms']) == (1400, 1400)
-        assert following.contact.data_age_ms == 1400
-        following.change()
-        assert following.contact.data_age_ms == 0
+        assert following.availability.data_age_ms == 1400
+        following.apply_updates()
+        assert following.availability.data_age_ms == 0
 
-    def test_compacted_history_is_no_data(self, following: Following) -> None:
+    def test_compacted_history_is_no_data(
+        self, following: FollowingDaemon
+    ) -> None:
         """A compacted history does not reset the age of the data."""
         following.time.advance(700)
-        following.store.watch_results.append(HistoryGone())
+        following.store.watch_results.append(HistoryCompacted())
         following.follower.step()
-        assert following.contact.data_age_ms == 700
-        following.take_list(ConfigFact(table=table(3)))
-        assert following.contact.data_age_ms == 0
+        assert following.availability.data_age_ms == 700
+        following.apply_listing(ConfigUpdate(table=table(3)))
+        assert following.availability.data_age_ms == 0
 
 
 class TestRegistration:
@@ -324,18 +348,22 @@
 
     def test_unready_daemon(self) -> None:
         """A daemon without a configuration does not register."""
-        new_daemon = Following()
+        new_daemon = FollowingDaemon()
         new_daemon.registration.step()
         assert not new_daemon.store.calls
         assert new_daemon.registration.delay_ms < 100
-        new_daemon.take_list(ConfigFact(table=table(3)))
+        new_daemon.apply_listing(ConfigUpdate(table=table(3)))
         assert new_daemon.registration.delay_ms == 700
         structlog.reset_defaults()
 
-    def test_expired_lease(self, following: Following) -> None:
+    def test_expired_lease(self, following: FollowingDaemon) -> None:
         """An expired lease is replaced; a failed renewal is only repeated."""
         following.registration.step()
-        following.store.renewals = [Bad(AWAY), Success(False), Success(True)]
+        following.store.renewals = [
+            Bad(STORE_UNAVAILABLE),
+            Success(False),
+            Success(True),
+        ]
         for _ in range(3):
             following.registration.step()
         kinds = [
@@ -351,7 +379,7 @@
             'renew',
         ]
 
-    def test_leaving_daemon(self, following: Following) -> None:
+    def test_leaving_daemon(self, following: FollowingDaemon) -> None:
         """A leaving daemon is not ready and does not register."""
         following.registration.leave()
         following.registration.step()
@@ -362,52 +390,54 @@
 class TestEntries:
     """Selection of the daemons that a caller connects to."""
 
-    def test_nearest_daemons(self, following: Following) -> None:
+    def test_nearest_daemons(self, following: FollowingDaemon) -> None:
         """The daemons of the data centre of the caller are returned."""
-        following.change(
-            MemberFact(member=member('vm-22')),
-            MemberFact(member=member('vm-333', 'far')),
+        following.apply_updates(
+            MemberUpdate(member=member('vm-22')),
+            MemberUpdate(member=member('vm-333', 'far')),
         )
         own = following.board.local.caller
         assert set(_addresses(following)) == {own, '10.0.0.1:5'}
 
-    def test_few_nearby_daemons(self, following: Following) -> None:
+    def test_few_nearby_daemons(self, following: FollowingDaemon) -> None:
         """A more distant daemon is added to a single nearby daemon."""
-        following.change(MemberFact(member=member('vm-333', 'far')))
+        following.apply_updates(MemberUpdate(member=member('vm-333', 'far')))
         own = following.board.local.caller
         assert set(_addresses(following)) == {own, '10.0.0.1:6'}
 
-    def test_leaving_daemon_is_omitted(self, following: Following) -> None:
+    def test_leaving_daemon_is_omitted(
+        self, following: FollowingDaemon
+    ) -> None:
         """A leaving daemon does not return itself."""
-        following.change(
-            MemberFact(member=member('vm-1')),
-            MemberFact(member=member('vm-22')),
+        following.apply_updates(
+            MemberUpdate(member=member('vm-1')),
+            MemberUpdate(member=member('vm-22')),
         )
         following.board.is_leaving = True
         assert _addresses(following) == ('10.0.0.1:5',)
 
-    def test_removed_daemon(self, following: Following) -> None:
+    def test_removed_daemon(self, following: FollowingDaemon) -> None:
         """A daemon whose entry was removed is not returned."""
-        following.change(MemberFact(member=member('vm-22')))
-        following.change(MemberGoneFact(name='vm-22'))
+        following.apply_updates(MemberUpdate(member=member('vm-22')))
+        following.apply_updates(MemberRemoved(name='vm-22'))
         assert _addresses(following) == (following.board.local.caller,)
 
     def test_no_ready_daemon(self) -> None:
         """There is no answer without a ready daemon."""
-        new_daemon = Following()
+        new_daemon = FollowingDaemon()
         entries = RouteEntries(board=new_daemon.board, rng=random.Random(1))
-        assert entries.answer(EntryAsk(region='', data_centre='')) is None
+        assert entries.answer(EntryQuery(region='', data_centre='')) is None
         structlog.reset_defaults()
 
 
-def _run_two_steps(following: Following) -> None:
+def _run_two_steps(following: FollowingDaemon) -> None:
     """Make two consecutive calls of the store."""
     following.follower.step()
     following.follower.step()
 
 
-def _addresses(following: Following) -> tuple[str, ...]:
+def _addresses(following: FollowingDaemon) -> tuple[str, ...]:
     entries = RouteEntries(board=following.board, rng=random.Random(1))
-    found = entries.answer(EntryAsk(region='east', data_centre='here'))
+    found = entries.answer(EntryQuery(region='east', data_centre='here'))
     assert found is not None
     return found.addresses
--- a/tests/test_platform_face.py
+++ b/tests/test_platform_face.py
@@ -11,7 +11,7 @@
 import attrs
 import pytest
 import structlog
-from daemon_builders_routes import EndlessOutput, FakeStore, server, settings
+from daemon_builders_routes import FakeStore, UnboundedOutput, server, settings
 from eventlet import sleep
 from eventlet.green import socket
 from platform_builders import config, environ, item, route
@@ -19,7 +19,7 @@
 
 from fennelfork import system_clock
 from fennelfork_daemon.logs._logs import configure_logs
-from fennelfork_daemon.routes import Ports, ServerFact, route_service
+from fennelfork_daemon.routes import Ports, ServerUpdate, route_service
 from fennelfork_daemon.routes._caller_watch import CallerWatch
 from fennelfork_daemon.settings._tables import LogSettings
 from fennelfork_platform._backends import PlatformBackends
@@ -57,7 +57,7 @@
             service=service,
             address=f'127.0.0.1:{port}',
         )
-        self._take(ServerFact(server=built))
+        self._take(ServerUpdate(server=built))
 
     def ask(
         self,
@@ -99,7 +99,7 @@
         settings(),
         ports,
         lambda: Failure(('none',)),
-        EndlessOutput(),
+        UnboundedOutput(),
     )
     found = Daemon(log=log, service=built, near=near, far=far)
     yield found
--- a/tests/test_platform_items.py
+++ b/tests/test_platform_items.py
@@ -27,12 +27,12 @@
 )
 from fennelfork_daemon._address import address
 from fennelfork_daemon.routes import (
-    ConfigFact,
-    MemberFact,
-    MemberGoneFact,
-    ServerFact,
-    ServerGoneFact,
-    UnreadableFact,
+    ConfigUpdate,
+    InvalidEntry,
+    MemberRemoved,
+    MemberUpdate,
+    ServerRemoved,
+    ServerUpdate,
 )
 from fennelfork_platform._documents import read_member, write_member
 from fennelfork_platform._items import read_event, read_item
@@ -106,7 +106,7 @@
     def test_ready_and_draining(self) -> None:
         """The instance is the key; a draining one is about to leave."""
         fact = read_item(item('servers/i-7', beat()), _CLOCK)
-        assert isinstance(fact, ServerFact)
+        assert isinstance(fact, ServerUpdate)
         assert fact.server.instance == 'i-7'
         assert not fact.server.draining
         leaving = read_item(item('servers/i-7', beat(State='draining')), _CLOCK)
@@ -120,7 +120,7 @@
     def test_gone(self) -> None:
         """An event without a value means that the key was removed."""
         event = {'Key': 'servers/i-7', 'Revision': 9, 'Compacted': True}
-        assert read_event(event, _CLOCK) == ServerGoneFact(instance='i-7')
+        assert read_event(event, _CLOCK) == ServerRemoved(instance='i-7')
 
     @pytest.mark.parametrize(
         'tree',
@@ -129,7 +129,7 @@
     def test_unreadable(self, tree: Any) -> None:
         """What cannot be read is told as that, and nothing breaks."""
         fact = read_item(item('servers/i-7', tree), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
+        assert isinstance(fact, InvalidEntry)
         assert fact.key == 'servers/i-7'
 
     def test_started_again(self) -> None:
@@ -143,7 +143,7 @@
     def test_foreign_field(self, changes: dict[str, Any]) -> None:
         """A field that no server writes so: nobody is named."""
         fact = read_item(item('servers/i-7', beat(**changes)), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
+        assert isinstance(fact, InvalidEntry)
         assert fact.instance == 'i-7'
 
     @pytest.mark.parametrize('field', list(beat()))
@@ -152,13 +152,13 @@
         tree = beat()
         tree.pop(field)
         fact = read_item(item('servers/i-7', tree), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
+        assert isinstance(fact, InvalidEntry)
 
     @pytest.mark.parametrize('raw', FOREIGN_BYTES)
     def test_foreign_bytes(self, raw: bytes) -> None:
         """Bytes that no server writes name nobody either."""
         fact = read_item(raw_item('servers/i-7', raw), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
+        assert isinstance(fact, InvalidEntry)
         assert fact.instance == 'i-7'
 
     @pytest.mark.parametrize(
@@ -168,7 +168,7 @@
     def test_foreign_key(self, name: str) -> None:
         """A key that could not be sent in a header names nobody."""
         fact = read_item(item(f'servers/{name}', beat()), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
+        assert isinstance(fact, InvalidEntry)
 
     @given(raw=st.binary(max_size=300) | json_values.map(_encoded))
     def test_any_bytes(self, raw: bytes) -> None:
@@ -184,7 +184,7 @@
         fact = read_item(
             raw_item('servers/i-7', _encoded(beat(**changes))), _CLOCK
         )
-        if isinstance(fact, ServerFact):
+        if isinstance(fact, ServerUpdate):
             assert address(fact.server.address).port
             assert 1 <= fact.server.slots
             assert math.isfinite(fact.server.warm_from_ms)
@@ -192,8 +192,8 @@
     def test_unknown_key(self) -> None:
         """Other keys are not ours to read."""
         fact = read_item(item('status/x', {}), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
-        assert isinstance(read_event({'Key': 'op/x'}, _CLOCK), UnreadableFact)
+        assert isinstance(fact, InvalidEntry)
+        assert isinstance(read_event({'Key': 'op/x'}, _CLOCK), InvalidEntry)
 
 
 class TestMembers:
@@ -202,7 +202,7 @@
     def test_round_trip(self) -> None:
         """A daemon reads what another wrote."""
         fact = read_item(item(_DAEMON, _MEMBER), _CLOCK)
-        assert isinstance(fact, MemberFact)
+        assert isinstance(fact, MemberUpdate)
         assert read_member('vm-1', write_member(fact.member)) == fact.member
 
     @pytest.mark.parametrize(
@@ -219,16 +219,16 @@
     def test_foreign_field(self, changes: dict[str, Any]) -> None:
         """An entry that no daemon writes names none to callers."""
         fact = read_item(item(_DAEMON, _MEMBER | changes), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
+        assert isinstance(fact, InvalidEntry)
         assert fact.member == 'vm-1'
 
     def test_gone(self) -> None:
         """Its key went with its lease."""
         event = {'Key': _DAEMON, 'Compacted': True}
-        assert read_event(event, _CLOCK) == MemberGoneFact(name='vm-1')
+        assert read_event(event, _CLOCK) == MemberRemoved(name='vm-1')
 
 
 def _config(*routes: Any) -> Any:
     fact = read_item(item('op/config', config(*routes)), _CLOCK)
-    assert isinstance(fact, ConfigFact)
+    assert isinstance(fact, ConfigUpdate)
     return fact.table
--- a/tests/test_platform_requests.py
+++ b/tests/test_platform_requests.py
@@ -27,7 +27,9 @@
 def _fingerprint(body: bytes | None = None, **changes: Any) -> str:
     """Give the fingerprint of a request."""
     fields = {'REMOTE_ADDR': '10.0.0.9', **changes}
-    return str(_CALLERS.read_ask(environ(**fields), body).unwrap().fingerprint)
+    return str(
+        _CALLERS.read_request(environ(**fields), body).unwrap().fingerprint
+    )
 
 
 class TestAsk:
@@ -35,10 +37,10 @@
 
     def test_passed_on(self) -> None:
         """Unchanged, but for headers of one connection and our own."""
-        ask = _CALLERS.read_ask(environ(), None).unwrap()
+        ask = _CALLERS.read_request(environ(), None).unwrap()
         assert (ask.target, ask.path) == ('/rafts/7?full=1', '/rafts/7')
         assert ask.host == 'rafts.example'
-        call = _BACKENDS.write_call(ask, _SERVER, 1500.9)
+        call = _BACKENDS.write_request(ask, _SERVER, 1500.9)
         assert call.target == ask.target
         assert call.headers == (
             ('Host', 'Rafts.example:80'),
@@ -67,7 +69,7 @@
         """A caller may say nothing of how long it waits."""
         found = environ()
         found.pop('HTTP_X_DEADLINE_MS')
-        assert _CALLERS.read_ask(found, None).unwrap().left_ms is None
+        assert _CALLERS.read_request(found, None).unwrap().left_ms is None
 
     @pytest.mark.parametrize(
         'changes',
@@ -79,7 +81,7 @@
     )
     def test_refused(self, changes: dict[str, str]) -> None:
         """A request that cannot be understood did not run."""
-        refused = _CALLERS.read_ask(environ(**changes), None).failure()
+        refused = _CALLERS.read_request(environ(**changes), None).failure()
         answer = Refused(failure=refused, request_id=None)
         assert _CALLERS.write_answer(answer).status == 400
 
@@ -131,7 +133,7 @@
     def test_success(self) -> None:
         """A whole answer with its signature."""
         found = response(X_Server_Stamp='s', X_Request_Id='9', Date='now')
-        answer = _BACKENDS.read_answer(found).unwrap()
+        answer = _BACKENDS.read_response(found).unwrap()
         assert (answer.status, answer.signature) == (200, 's')
         assert answer.body == b'0123'
 
@@ -151,12 +153,12 @@
     )
     def test_failures(self, found: object, verdict: Verdict) -> None:
         """Only the server's own word says that nothing ran."""
-        assert _BACKENDS.read_answer(found).failure().verdict is verdict
+        assert _BACKENDS.read_response(found).failure().verdict is verdict
 
     def test_crossed(self) -> None:
         """The answer to another request is refused, its connection closed."""
-        ask = _CALLERS.read_ask(environ(), None).unwrap()
-        call = _BACKENDS.write_call(ask, _SERVER, 100)
+        ask = _CALLERS.read_request(environ(), None).unwrap()
+        call = _BACKENDS.write_request(ask, _SERVER, 100)
         own = response(X_Request_Id=ask.request_id)
         assert call.check(own).unwrap() is own
         crossed = call.check(response(X_Request_Id='another'))
--- a/tests/test_platform_suspicions.py
+++ b/tests/test_platform_suspicions.py
@@ -19,9 +19,9 @@
     SuspicionUpdates,
 )
 from fennelfork_daemon.routes import (
-    SuspicionFact,
-    SuspicionGoneFact,
-    UnreadableFact,
+    InvalidEntry,
+    SuspicionRemoved,
+    SuspicionUpdate,
 )
 from fennelfork_platform._items import read_event, read_item
 from fennelfork_platform._store import PlatformStore
@@ -77,13 +77,13 @@
         written = raw_item(_KEY, write_suspicion(record))
         found = read_item(written, _CLOCK)
         revision = written['Revision']
-        assert found == SuspicionFact(record=record, revision=revision)
+        assert found == SuspicionUpdate(record=record, revision=revision)
 
     def test_gone(self) -> None:
         """An entry that was removed holds nothing any more."""
         gone = {'Key': _KEY, 'Revision': 9, 'Compacted': True}
         found = read_event(gone, _CLOCK)
-        assert found == SuspicionGoneFact(fingerprint=_NAME)
+        assert found == SuspicionRemoved(fingerprint=_NAME)
 
     @pytest.mark.parametrize(
         'changed',
@@ -104,20 +104,20 @@
     def test_foreign(self, changed: dict[str, Any]) -> None:
         """What no daemon writes refuses nobody."""
         tree = {**json.loads(write_suspicion(_WEAK)), **changed}
-        assert isinstance(read_item(item(_KEY, tree), _CLOCK), UnreadableFact)
+        assert isinstance(read_item(item(_KEY, tree), _CLOCK), InvalidEntry)
 
     @pytest.mark.parametrize('raw', FOREIGN_BYTES)
     def test_foreign_bytes(self, raw: bytes) -> None:
         """Nor do bytes that are no entry at all."""
         found = read_item(raw_item(_KEY, raw), _CLOCK)
-        assert isinstance(found, UnreadableFact)
+        assert isinstance(found, InvalidEntry)
 
     @pytest.mark.parametrize('name', ['', 'x' * 32, _NAME.upper(), f'{_NAME}0'])
     def test_foreign_key(self, name: str) -> None:
         """Nor does one under a key that is no fingerprint."""
         key = f'fennelfork/requests/{name}'
         found = read_item(raw_item(key, write_suspicion(_WEAK)), _CLOCK)
-        assert isinstance(found, UnreadableFact)
+        assert isinstance(found, InvalidEntry)
 
 
 class TestStoreCalls:
@@ -157,7 +157,7 @@
     def test_claim(self, status: int, claimed: bool) -> None:
         """One daemon gets a trial: whoever wrote over what all had read."""
         self.calls.status = status
-        assert self.store.claim(_LASTING, 41).unwrap() is claimed
+        assert self.store.claim_trial(_LASTING, 41).unwrap() is claimed
         order = self.calls.orders[0]
         assert order['ExpectedRev'] == [{'Key': _KEY, 'Revision': 41}]
         raw = base64.b64decode(order['Puts'][0]['Value'])
