--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/__init__.pyi
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/__init__.pyi
@@ -4,12 +4,12 @@
 from ._answer import Forwarded as Forwarded
 from ._answer import Merged as Merged
 from ._answer import Refused as Refused
-from ._ask import Ask as Ask
-from ._ask import BackendAnswer as BackendAnswer
-from ._ask import end_to_end as end_to_end
 from ._board import RouteBlackboard as RouteBlackboard
 from ._body import read_body as read_body
 from ._build import route_service as route_service
+from ._caller_request import CallerRequest as CallerRequest
+from ._caller_request import SignedResponse as SignedResponse
+from ._caller_request import end_to_end as end_to_end
 from ._entries import EntryAnswer as EntryAnswer
 from ._entries import EntryQuery as EntryQuery
 from ._entries import RouteEntries as RouteEntries
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_answer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_answer.py
@@ -3,7 +3,7 @@
 import attrs
 
 from fennelfork import Failure
-from fennelfork_daemon.routes._ask import BackendAnswer
+from fennelfork_daemon.routes._caller_request import SignedResponse
 
 
 @attrs.frozen(kw_only=True)
@@ -14,7 +14,7 @@
         answer: response of the backend server.
     """
 
-    answer: BackendAnswer
+    answer: SignedResponse
 
 
 @attrs.frozen(kw_only=True)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
@@ -27,7 +27,10 @@
 from fennelfork_daemon._address import address
 from fennelfork_daemon.backend._liveness import has_ended
 from fennelfork_daemon.backend._pool import Trace
-from fennelfork_daemon.routes._ask import Ask, BackendAnswer
+from fennelfork_daemon.routes._caller_request import (
+    CallerRequest,
+    SignedResponse,
+)
 from fennelfork_daemon.routes._guard import RequestGuard
 from fennelfork_daemon.routes._pools import ServerPools
 from fennelfork_daemon.routes._ports import BackendCodec
@@ -52,7 +55,7 @@
     guard: RequestGuard
 
 
-AttemptResult = Result[BackendAnswer, Failure]
+AttemptResult = Result[SignedResponse, Failure]
 
 
 @attrs.define(kw_only=True)
@@ -60,7 +63,7 @@
     """Runner of the attempts of one request, each in its own green thread."""
 
     _parts: AttemptParts
-    _caller_request: Ask
+    _caller_request: CallerRequest
     _latency_baseline: LatencyBaseline
     _deadline_ms: float
     _requires_new_connection: bool
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
@@ -9,13 +9,16 @@
     StoreAvailability,
     store_availability,
 )
-from fennelfork_daemon.routes._build_face import call_parts, route_face
-from fennelfork_daemon.routes._build_guard import request_watch
+from fennelfork_daemon.routes._build_caller_api import (
+    attempt_parts,
+    route_caller_api,
+)
+from fennelfork_daemon.routes._build_crash_protection import crash_protection
 from fennelfork_daemon.routes._common_parts import CommonParts, common_parts
 from fennelfork_daemon.routes._entries import RouteEntries
 from fennelfork_daemon.routes._follower import StoreFollower, store_follower
-from fennelfork_daemon.routes._lag import lag_watch
-from fennelfork_daemon.routes._operator_face import operator_face
+from fennelfork_daemon.routes._lag import lag_monitor
+from fennelfork_daemon.routes._operator_api import operator_api
 from fennelfork_daemon.routes._ports import Ports
 from fennelfork_daemon.routes._registration import Registration
 from fennelfork_daemon.routes._reload import ReadSettings, SettingsReload
@@ -43,8 +46,8 @@
     base = common_parts(settings, ports, log_output)
     reporter = StoreReporter(log=base.log, metrics=base.metrics)
     availability = store_availability(base.board, base.clock, reporter)
-    base.metrics.follow_store(lambda: availability.data_age_ms)
-    base.metrics.follow_quarantine(base.board.quarantine)
+    base.metrics.export_store_age(lambda: availability.data_age_ms)
+    base.metrics.export_quarantine(base.board.quarantine)
     registration = Registration(
         store=ports.store,
         board=base.board,
@@ -55,8 +58,8 @@
     )
     in_progress = InProgress()
     follower = _follower(base, reporter, availability)
-    watch = request_watch(base, registration, reporter, follower.polling)
-    calls = call_parts(base, watch)
+    watch = crash_protection(base, registration, reporter, follower.polling)
+    calls = attempt_parts(base, watch)
     reload = SettingsReload(
         settings=settings,
         retry_budgets=base.retry_budgets,
@@ -67,8 +70,8 @@
         board=base.board,
         entries=RouteEntries(board=base.board, rng=random.Random()),
         settings=settings,
-        face=route_face(base, calls, availability),
-        operator_face=operator_face(
+        face=route_caller_api(base, calls, availability),
+        operator_api=operator_api(
             base.metrics,
             base.board.quarantine,
             watch.guard,
@@ -79,7 +82,7 @@
             registration.run,
             reload.run,
             watch.publisher.run,
-            lag_watch(base.clock, base.limits, calls.reporter).run,
+            lag_monitor(base.clock, base.limits, calls.reporter).run,
         ),
         pools=base.pools,
         stop=route_stop(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_caller_api.py
@@ -10,13 +10,15 @@
 )
 from fennelfork_daemon.routes._attempt_runner import AttemptParts
 from fennelfork_daemon.routes._availability import StoreAvailability
-from fennelfork_daemon.routes._build_guard import CrashProtection
+from fennelfork_daemon.routes._build_crash_protection import CrashProtection
+from fennelfork_daemon.routes._caller_api import RouteCallerApi
 from fennelfork_daemon.routes._common_parts import CommonParts
-from fennelfork_daemon.routes._face import RouteFace
 from fennelfork_daemon.routes._initial_routes import InitialRoutes
 
 
-def call_parts(base: CommonParts, protection: CrashProtection) -> AttemptParts:
+def attempt_parts(
+    base: CommonParts, protection: CrashProtection
+) -> AttemptParts:
     """Build the objects that the attempts of all requests share."""
     selector = Selector(
         directory=base.board.directory,
@@ -39,11 +41,11 @@
     )
 
 
-def route_face(
+def route_caller_api(
     base: CommonParts,
     parts: AttemptParts,
     availability: StoreAvailability,
-) -> RouteFace:
+) -> RouteCallerApi:
     """Build the caller API of a daemon.
 
     Args:
@@ -51,7 +53,7 @@
         parts: objects that the attempts of all requests share.
         contact: state of the connection to the store.
     """
-    return RouteFace(
+    return RouteCallerApi(
         initial_routes=InitialRoutes(
             board=base.board,
             availability=availability,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_guard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_crash_protection.py
@@ -20,7 +20,7 @@
     Attributes:
         reporter: logs and metrics of requests.
         guard: admission of suspected and quarantined requests.
-        teller: publisher of suspicions to other daemons.
+        publisher: publisher of suspicions to other daemons.
     """
 
     reporter: RequestReporter
@@ -28,7 +28,7 @@
     publisher: SuspicionPublisher
 
 
-def request_watch(
+def crash_protection(
     base: CommonParts,
     registration: Registration,
     store_reporter: StoreReporter,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_api.py
@@ -24,10 +24,13 @@
 )
 from fennelfork_daemon.http._wsgi_protocol import CONNECTION_KEY
 from fennelfork_daemon.routes._answer import Answer, Refused
-from fennelfork_daemon.routes._ask import Ask, BackendAnswer
 from fennelfork_daemon.routes._attempt_runner import AttemptParts, AttemptRunner
 from fennelfork_daemon.routes._body import read_body
-from fennelfork_daemon.routes._caller_watch import CallerWatch
+from fennelfork_daemon.routes._caller_request import (
+    CallerRequest,
+    SignedResponse,
+)
+from fennelfork_daemon.routes._disconnect_watch import DisconnectWatch
 from fennelfork_daemon.routes._initial_routes import (
     INITIAL_LIMITS,
     InitialRoutes,
@@ -49,7 +52,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class RouteFace:
+class RouteCallerApi:
     """WSGI application that answers the requests of callers.
 
     Attributes:
@@ -119,12 +122,12 @@
     def _run_request(
         self,
         environ: dict[str, Any],
-        caller_request: Ask,
+        caller_request: CallerRequest,
         running_request: RunningRequest,
         received_ms: float,
     ) -> Answer:
-        watch = CallerWatch(connection=environ[CONNECTION_KEY])
-        with watch.leaving(running_request.record_disconnect):
+        watch = DisconnectWatch(connection=environ[CONNECTION_KEY])
+        with watch.call_on_disconnect(running_request.record_disconnect):
             answer = running_request.run()
         self._attempt_parts.reporter.report_answer(
             caller_request, running_request, answer, received_ms
@@ -146,7 +149,9 @@
             retry_after_ms=_OVERLOAD_RETRY_MS,
         )
 
-    def _refuse(self, failure: Failure, caller_request: Ask | None) -> Refused:
+    def _refuse(
+        self, failure: Failure, caller_request: CallerRequest | None
+    ) -> Refused:
         request_id = (
             None if caller_request is None else caller_request.request_id
         )
@@ -160,7 +165,7 @@
         self,
         environ: dict[str, Any],
         limits: CallerLimits,
-    ) -> Result[Ask, Failure]:
+    ) -> Result[CallerRequest, Failure]:
         body = read_body(environ, limits.body_bytes, limits.header_ms)
         return body.bind(
             lambda content: self._codec.read_request(environ, content)
@@ -168,7 +173,7 @@
 
     def _build_request(
         self,
-        caller_request: Ask,
+        caller_request: CallerRequest,
         table: RouteTable,
         route: Route,
         received_ms: float,
@@ -179,7 +184,7 @@
             if caller_request.left_ms is None
             else caller_request.left_ms
         )
-        dispatched: Dispatch[BackendAnswer] = dispatch(
+        dispatched: Dispatch[SignedResponse] = dispatch(
             route,
             choose_services(route.target, self._rng),
             self._dispatch_parts,
@@ -206,6 +211,6 @@
         )
 
 
-def _no_route(caller_request: Ask) -> Failure:
+def _no_route(caller_request: CallerRequest) -> Failure:
     detail = f'no route matches host {caller_request.host!r} and path {caller_request.path!r}'
     return not_run(FailureCode.UNKNOWN_FRONT, detail)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ask.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_request.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Ask:
+class CallerRequest:
     """Request of a caller.
 
     Attributes:
@@ -74,7 +74,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class BackendAnswer:
+class SignedResponse:
     """Complete response of a backend server to one request.
 
     Attributes:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pending_call.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_cancellable_call.py
@@ -12,12 +12,12 @@
 
 
 @attrs.define(kw_only=True)
-class PendingCall(Generic[_Result]):
+class CancellableCall(Generic[_Result]):
     """Runner of one cancellable call at a time, in a separate green thread."""
 
     _thread: GreenThread | None = None
 
-    def wait_for(self, call: Callable[[], _Result]) -> _Result | None:
+    def run(self, call: Callable[[], _Result]) -> _Result | None:
         """Run a call and return its result, none if the call was cancelled."""
         self._thread = eventlet.spawn(call)
         try:
@@ -28,7 +28,7 @@
             self._thread = None
         return outcome
 
-    def give_up(self) -> None:
+    def cancel(self) -> None:
         """Cancel the running call, if any."""
         if self._thread is not None:
             self._thread.kill()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_watch.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_disconnect_watch.py
@@ -10,13 +10,15 @@
 
 
 @attrs.frozen(kw_only=True)
-class CallerWatch:
+class DisconnectWatch:
     """Watch for the close of the connection of a caller."""
 
     _connection: Any
 
     @contextmanager
-    def leaving(self, on_disconnect: Callable[[], None]) -> Iterator[None]:
+    def call_on_disconnect(
+        self, on_disconnect: Callable[[], None]
+    ) -> Iterator[None]:
         """Call `on_disconnect` if the caller disconnects within the block."""
         watcher = spawn(self._wait_for_close, on_disconnect)
         try:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
@@ -14,7 +14,7 @@
 from fennelfork.config import Backoff
 from fennelfork.routes import STORE_RETRY_DELAY_MS, StorePolling
 from fennelfork_daemon.routes._availability import StoreAvailability, StoreCall
-from fennelfork_daemon.routes._pending_call import PendingCall
+from fennelfork_daemon.routes._cancellable_call import CancellableCall
 from fennelfork_daemon.routes._ports import (
     HistoryCompacted,
     Listing,
@@ -45,7 +45,9 @@
     _applier: UpdateApplier
     _polling: StorePolling
     _rng: random.Random
-    _pending_call: PendingCall[Any] = attrs.field(factory=PendingCall)
+    _cancellable_call: CancellableCall[Any] = attrs.field(
+        factory=CancellableCall
+    )
     _revision: int | None = None
     _failures: int = 0
 
@@ -66,7 +68,7 @@
         Returns:
             Delay in ms before the next call.
         """
-        result = self._pending_call.wait_for(self._call_store)
+        result = self._cancellable_call.run(self._call_store)
         if result is None:
             return 0
         if not is_successful(result):
@@ -82,7 +84,7 @@
 
         The store may have lost the call, in which case no response arrives.
         """
-        self._pending_call.give_up()
+        self._cancellable_call.cancel()
 
     def apply_updates(self, updates: Iterable[StoreUpdate]) -> None:
         """Apply updates from the store."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
@@ -15,7 +15,7 @@
     ServerCrash,
     Suspicion,
 )
-from fennelfork_daemon.routes._ask import Ask
+from fennelfork_daemon.routes._caller_request import CallerRequest
 from fennelfork_daemon.routes._ports import Store
 from fennelfork_daemon.routes._request_reporter import RequestReporter
 from fennelfork_daemon.routes._store_reporter import StoreReporter
@@ -54,7 +54,9 @@
             return Success(suspicion.services)
         return Bad(_refusal(suspicion))
 
-    def record_response(self, send: Send, caller_request: Ask) -> None:
+    def record_response(
+        self, send: Send, caller_request: CallerRequest
+    ) -> None:
         """Record that a backend server responded to a request."""
         if self._quarantine.find(caller_request.fingerprint) is None:
             return
@@ -68,7 +70,7 @@
                 caller_request.fingerprint, RequestStatus.RELEASED, 'own'
             )
 
-    def record_crash(self, send: Send, caller_request: Ask) -> None:
+    def record_crash(self, send: Send, caller_request: CallerRequest) -> None:
         """Record that a backend server crashed during an attempt."""
         self._request_reporter.log_crash(send, caller_request)
         crash = ServerCrash(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_lag.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_lag.py
@@ -34,7 +34,7 @@
                 self._report_lag(late_ms)
 
 
-def lag_watch(
+def lag_monitor(
     clock: Clock,
     limits: ConcurrencyLimits,
     reporter: RequestReporter,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
@@ -64,11 +64,11 @@
     _listing_age: Gauge
     _suspicions: Gauge
 
-    def follow_store(self, age_ms: Callable[[], float]) -> None:
+    def export_store_age(self, age_ms: Callable[[], float]) -> None:
         """Export the age of the data that was read from the store."""
         self._listing_age.set_function(lambda: age_ms() / _MS_PER_SECOND)
 
-    def follow_quarantine(self, quarantine: Quarantine) -> None:
+    def export_quarantine(self, quarantine: Quarantine) -> None:
         """Export the number of suspected and quarantined requests."""
         for status in (
             RequestStatus.SUSPECTED,
@@ -77,7 +77,7 @@
             count = functools.partial(_count_by_status, quarantine, status)
             self._suspicions.labels(status.value).set_function(count)
 
-    def follow(self, table: RouteTable) -> None:
+    def allow_names_of(self, table: RouteTable) -> None:
         """Allow the names of the active routes and services as labels."""
         self._routes.allow(route.name for route in table.routes)
         self._services.allow(table.services)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_operator_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_operator_api.py
@@ -51,7 +51,7 @@
         )
 
 
-def operator_face(
+def operator_api(
     metrics: RouteMetrics,
     quarantine: Quarantine,
     guard: RequestGuard,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pools.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pools.py
@@ -35,7 +35,7 @@
         ledger.limit = self._shares.limit_for(server.service)
         return pool
 
-    def keep(self, incarnations: set[str]) -> None:
+    def close_all_except(self, incarnations: set[str]) -> None:
         """Close the connections to all other incarnations when they are idle.
 
         Args:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
@@ -16,7 +16,10 @@
 from fennelfork_daemon.backend._call import BackendResponse, ForwardCall
 from fennelfork_daemon.http._router import HttpReply
 from fennelfork_daemon.routes._answer import Answer
-from fennelfork_daemon.routes._ask import Ask, BackendAnswer
+from fennelfork_daemon.routes._caller_request import (
+    CallerRequest,
+    SignedResponse,
+)
 from fennelfork_daemon.routes._updates import StoreUpdate
 
 
@@ -97,7 +100,7 @@
         self,
         environ: dict[str, Any],
         body: bytes | None,
-    ) -> Result[Ask, Failure]:
+    ) -> Result[CallerRequest, Failure]:
         """Decode a request."""
 
     def write_answer(self, answer: Answer) -> HttpReply:
@@ -109,7 +112,7 @@
 
     def write_request(
         self,
-        ask: Ask,
+        caller_request: CallerRequest,
         server: BackendServer,
         remaining_ms: float,
     ) -> ForwardCall:
@@ -118,7 +121,7 @@
     def read_response(
         self,
         response: BackendResponse,
-    ) -> Result[BackendAnswer, Failure]:
+    ) -> Result[SignedResponse, Failure]:
         """Decode a response; return a failure if it is invalid."""
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request.py
@@ -16,11 +16,14 @@
     merge_failures,
 )
 from fennelfork_daemon.routes._answer import Answer, Forwarded, Merged, Refused
-from fennelfork_daemon.routes._ask import Ask, BackendAnswer
 from fennelfork_daemon.routes._attempt_runner import (
     AttemptResult,
     AttemptRunner,
 )
+from fennelfork_daemon.routes._caller_request import (
+    CallerRequest,
+    SignedResponse,
+)
 
 _MS_PER_SECOND: Final = 1000
 _MIN_WAIT_MS: Final = 0.5
@@ -48,14 +51,14 @@
             request is in progress and if the caller disconnected.
     """
 
-    dispatch: Dispatch[BackendAnswer]
+    dispatch: Dispatch[SignedResponse]
     version: int
     finish_reason: FinishReason | None = None
-    _caller_request: Ask
+    _caller_request: CallerRequest
     _clock: Clock
     _attempts: AttemptRunner
     _queue: LightQueue
-    _error_response: BackendAnswer | None = None
+    _error_response: SignedResponse | None = None
 
     def record_disconnect(self) -> None:
         """Record that the caller closed its connection."""
@@ -148,7 +151,7 @@
 )
 
 
-def _error_failure(response: BackendAnswer) -> Failure:
+def _error_failure(response: SignedResponse) -> Failure:
     return Failure(
         code=FailureCode.BAD_REPLY,
         verdict=Verdict.RAN,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
@@ -19,7 +19,7 @@
 from fennelfork_daemon.routes import _events_requests as requests
 from fennelfork_daemon.routes import _events_servers as servers
 from fennelfork_daemon.routes._answer import Answer, Forwarded, Merged, Refused
-from fennelfork_daemon.routes._ask import Ask
+from fennelfork_daemon.routes._caller_request import CallerRequest
 from fennelfork_daemon.routes._metrics import AnsweredRequest, RouteMetrics
 
 _CLIENT_ERROR: Final = 400
@@ -41,7 +41,7 @@
         self,
         refused: Refused,
         version: int,
-        caller_request: Ask | None,
+        caller_request: CallerRequest | None,
     ) -> None:
         """Log a request that was refused before the first attempt.
 
@@ -90,7 +90,7 @@
             ),
         )
 
-    def log_crash(self, send: Send, caller_request: Ask) -> None:
+    def log_crash(self, send: Send, caller_request: CallerRequest) -> None:
         """Log a crash of a backend server during an attempt."""
         self._log.tell(
             servers.ServerEnded(
@@ -124,7 +124,7 @@
 
     def report_answer(
         self,
-        caller_request: Ask,
+        caller_request: CallerRequest,
         running_request: Any,
         answer: Answer,
         received_ms: float,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
@@ -14,9 +14,9 @@
 from fennelfork_daemon.http._wsgi_server import open_listener, serve_face
 from fennelfork_daemon.logs._budget import DecisionLog
 from fennelfork_daemon.routes._board import RouteBlackboard
+from fennelfork_daemon.routes._caller_api import RouteCallerApi
 from fennelfork_daemon.routes._entries import RouteEntries
 from fennelfork_daemon.routes._events_process import Started, Stopped
-from fennelfork_daemon.routes._face import RouteFace
 from fennelfork_daemon.routes._follower import StoreFollower
 from fennelfork_daemon.routes._pools import ServerPools
 from fennelfork_daemon.routes._reload import SettingsReload
@@ -55,10 +55,10 @@
 
     board: RouteBlackboard
     entries: RouteEntries
-    face: RouteFace
+    face: RouteCallerApi
     follower: StoreFollower
     _settings: RouteSettings
-    _operator_face: Router
+    _operator_api: Router
     _background_tasks: tuple[Callable[[], None], ...]
     _pools: ServerPools
     _stop: StopService
@@ -84,7 +84,7 @@
         self._spawn_listener(self._settings.readiness, applications.readiness)
         self._spawn_listener(self._settings.entries, applications.entries)
         if self._settings.operator is not None:
-            self._spawn_listener(self._settings.operator, self._operator_face)
+            self._spawn_listener(self._settings.operator, self._operator_api)
         caller_listener = self._spawn_listener(
             self._settings.caller, self._counted_application()
         )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
@@ -53,7 +53,7 @@
 
     def config_applied(self, table: RouteTable, previous: int) -> None:
         """Log a new active version and update its metrics."""
-        self._metrics.follow(table)
+        self._metrics.allow_names_of(table)
         self._log.tell(
             store.ConfigTaken(
                 version=table.version,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
@@ -76,7 +76,7 @@
         self.board.fleet.record_size(len(self.board.members.entries))
         incarnations = self.board.directory.incarnations
         self.board.states.keep(incarnations)
-        self._pools.keep(incarnations)
+        self._pools.close_all_except(incarnations)
 
 
 @functools.singledispatch
--- a/packages/fennelfork-daemon/tests/daemon_builders_routes.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_routes.py
@@ -30,7 +30,7 @@
 from fennelfork_daemon.logs._budget import DecisionLog, decision_log
 from fennelfork_daemon.logs._logs import configure_logs
 from fennelfork_daemon.routes import (
-    Ask,
+    CallerRequest,
     HistoryCompacted,
     Listing,
     RouteSettings,
@@ -135,7 +135,7 @@
     return Route(**(fields | changes))
 
 
-def ask(**changes: Any) -> Ask:
+def caller_request(**changes: Any) -> CallerRequest:
     """Create a request of a caller."""
     fields: dict[str, Any] = {
         'method': 'GET',
@@ -146,7 +146,7 @@
         'request_id': 'r-1',
         'left_ms': 2000,
     }
-    return Ask(**(fields | changes))
+    return CallerRequest(**(fields | changes))
 
 
 @attrs.define(kw_only=True)
--- a/packages/fennelfork-daemon/tests/test_routes_guard.py
+++ b/packages/fennelfork-daemon/tests/test_routes_guard.py
@@ -7,7 +7,7 @@
 from daemon_builders_routes import (
     STORE_UNAVAILABLE,
     FollowingDaemon,
-    ask,
+    caller_request,
     server,
 )
 from returns.pipeline import is_successful
@@ -26,11 +26,11 @@
 from fennelfork_daemon.routes import SuspicionRemoved, SuspicionUpdate
 from fennelfork_daemon.routes._guard import RequestGuard
 from fennelfork_daemon.routes._metrics import route_metrics
-from fennelfork_daemon.routes._operator_face import operator_face
+from fennelfork_daemon.routes._operator_api import operator_api
 from fennelfork_daemon.routes._request_reporter import RequestReporter
 from fennelfork_daemon.routes._suspicion_publisher import SuspicionPublisher
 
-_REQUEST = ask()
+_REQUEST = caller_request()
 _FINGERPRINT = _REQUEST.fingerprint
 
 
@@ -219,7 +219,9 @@
         """The number of published weak suspicions is limited in the fleet."""
         self.following.board.fleet.record_size(16)
         for number in range(100):
-            self.guard.record_crash(send('a'), ask(target=f'/rafts/{number}'))
+            self.guard.record_crash(
+                send('a'), caller_request(target=f'/rafts/{number}')
+            )
         self.guard.record_crash(send('b'), _REQUEST)
         self.guard.record_crash(send('c', alone=True), _REQUEST)
         self.publisher.step()
@@ -232,7 +234,9 @@
             record.fingerprint for record in updates.records
         }
         # The release of a suspicion that was not published needs no update.
-        self.guard.record_response(send('d'), ask(target='/rafts/99'))
+        self.guard.record_response(
+            send('d'), caller_request(target='/rafts/99')
+        )
         self.publisher.step()
         assert len(self.published()) == 1
 
@@ -296,7 +300,7 @@
         """Put the request into quarantine."""
         super().setup_method()
         self.following.apply_updates(suspicion_fact(RequestStatus.QUARANTINED))
-        self.api = operator_face(
+        self.api = operator_api(
             route_metrics(),
             self.quarantine,
             self.guard,
--- a/tests/test_platform_face.py
+++ b/tests/test_platform_face.py
@@ -20,7 +20,7 @@
 from fennelfork import system_clock
 from fennelfork_daemon.logs._logs import configure_logs
 from fennelfork_daemon.routes import Ports, ServerUpdate, route_service
-from fennelfork_daemon.routes._caller_watch import CallerWatch
+from fennelfork_daemon.routes._disconnect_watch import DisconnectWatch
 from fennelfork_daemon.settings._tables import LogSettings
 from fennelfork_platform._backends import PlatformBackends
 from fennelfork_platform._callers import PlatformCallers
@@ -245,8 +245,8 @@
         assert not self.left
 
     def _watching(self) -> Any:
-        watch = CallerWatch(connection=self.near)
-        return watch.leaving(lambda: self.left.append(True))
+        watch = DisconnectWatch(connection=self.near)
+        return watch.call_on_disconnect(lambda: self.left.append(True))
 
 
 class _Answering(BaseHTTPRequestHandler):
--- a/tests/test_platform_requests.py
+++ b/tests/test_platform_requests.py
@@ -9,7 +9,7 @@
 
 from fennelfork import FailureCode, Verdict, may_have_run, not_run
 from fennelfork.routes import BackendServer
-from fennelfork_daemon.routes import BackendAnswer, Forwarded, Merged, Refused
+from fennelfork_daemon.routes import Forwarded, Merged, Refused, SignedResponse
 from fennelfork_platform._backends import PlatformBackends
 from fennelfork_platform._callers import PlatformCallers
 
@@ -91,7 +91,7 @@
 
     def test_forwarded(self) -> None:
         """Status, headers and body of the server."""
-        answer = BackendAnswer(
+        answer = SignedResponse(
             status=207,
             headers=(('X-Server-Stamp', 's'),),
             body=b'x',
