--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of tests on real processes."""
+"""Fixtures of tests that start real processes."""
 
 from collections.abc import Iterator
 
@@ -9,6 +9,6 @@
 
 @pytest.fixture
 def processes() -> Iterator[Rig]:
-    """Give a rig that ends what was started."""
+    """Yield a rig that ends its processes after the test."""
     with rig() as started:
         yield started
--- a/tests/platform_builders.py
+++ b/tests/platform_builders.py
@@ -1,4 +1,4 @@
-"""Builders of what the platform sends, for tests."""
+"""Builders of platform entries, requests and responses for tests."""
 
 import base64
 import json
@@ -36,8 +36,8 @@
 MinTtlMs = 1000
 """
 
-# What another writer may put where a server's entry is expected.
-FOREIGN_FIELDS = (
+# Changes that make the registration of a backend server invalid.
+INVALID_FIELDS = (
     {'Service': 7},
     {'Service': ''},
     {'Service': ['archive']},
@@ -71,7 +71,7 @@
     {'born': None},
     {'born': -1},
 )
-FOREIGN_BYTES = (
+INVALID_BYTES = (
     b'',
     b'\xff\xfe\x00',
     b'not JSON',
@@ -86,7 +86,7 @@
 
 
 def route(**changes: Any) -> dict[str, Any]:
-    """Build a route to one service, as operators write it."""
+    """Build the configuration of a route to one service."""
     fields = {
         'Name': 'r-1',
         'Host': 'rafts.example',
@@ -102,7 +102,7 @@
 
 
 def config(*routes: dict[str, Any], version: int = 7) -> dict[str, Any]:
-    """Build a configuration."""
+    """Build a configuration of the operators."""
     return {
         'Version': version,
         'Routes': list(routes),
@@ -111,8 +111,8 @@
     }
 
 
-def beat(**changes: Any) -> dict[str, Any]:
-    """Build what a backend server registers."""
+def registration(**changes: Any) -> dict[str, Any]:
+    """Build the registration of a backend server."""
     fields = {
         'Service': 'archive',
         'Address': '10.1.0.9:8080',
@@ -127,12 +127,12 @@
 
 
 def item(key: str, tree: Any) -> dict[str, Any]:
-    """Build an item of the store that holds JSON."""
+    """Build an item of the store with a JSON value."""
     return raw_item(key, json.dumps(tree).encode())
 
 
 def raw_item(key: str, raw: bytes, revision: int = 5) -> dict[str, Any]:
-    """Build an item of the store."""
+    """Build an item of the store from raw bytes."""
     return {
         'Key': key,
         'Value': base64.b64encode(raw).decode(),
@@ -165,7 +165,7 @@
 
 
 def response(status: int = 200, **headers: str) -> BackendResponse:
-    """Build a response of a backend server; `_` stands for `-`."""
+    """Build a response; `_` in a header name stands for `-`."""
     pairs = tuple(
         (name.replace('_', '-'), text) for name, text in headers.items()
     )
--- a/tests/test_platform_deploy.py
+++ b/tests/test_platform_deploy.py
@@ -1,11 +1,11 @@
-"""What the build brings is all that the program on the platform needs."""
+"""Tests that the deployed requirements suffice for the daemon."""
 
 import pathlib
 import subprocess
 import sys
 
 _ROOT = pathlib.Path(__file__).parents[1]
-# Packages whose modules have another name, and what they need themselves.
+# Modules of packages whose names differ, with their dependencies.
 _MODULES = {
     'attrs': {'attr', 'attrs'},
     'eventlet': {'eventlet', 'greenlet', 'dns'},
@@ -13,8 +13,8 @@
     'lazy_loader': {'lazy_loader', 'packaging'},
     'returns': {'returns', 'typing_extensions'},
 }
-_OURS = {'fennelfork', 'fennelfork_daemon', 'fennelfork_platform'}
-_IMPORTED = """
+_PROJECT_MODULES = {'fennelfork', 'fennelfork_daemon', 'fennelfork_platform'}
+_LIST_IMPORTS = """
 import sys
 before = set(sys.modules)
 import fennelfork_platform.__main__
@@ -26,17 +26,21 @@
 
 
 class TestRequirements:
-    """The program is started with nothing else installed."""
+    """The libraries in deploy/requirements.txt."""
 
     def test_no_other_library(self) -> None:
-        """It imports only what deploy/requirements.txt names."""
+        """The daemon imports only libraries in deploy/requirements.txt."""
         lines = (_ROOT / 'deploy/requirements.txt').read_text().splitlines()
-        named = [line for line in lines if line and not line.startswith('#')]
-        brought = set().union(*(_MODULES.get(one, {one}) for one in named))
-        found = subprocess.run(
-            [sys.executable, '-OO', '-c', _IMPORTED],
+        packages = [line for line in lines if line and not line.startswith('#')]
+        provided = set().union(
+            *(_MODULES.get(name, {name}) for name in packages)
+        )
+        outcome = subprocess.run(
+            [sys.executable, '-OO', '-c', _LIST_IMPORTS],
             capture_output=True,
             check=True,
             text=True,
         )
-        assert set(found.stdout.split()) - brought - _OURS == set()
+        assert (
+            set(outcome.stdout.split()) - provided - _PROJECT_MODULES == set()
+        )
--- a/tests/test_platform_face.py
+++ b/tests/test_platform_face.py
@@ -1,4 +1,4 @@
-"""Requests of callers through the whole daemon, to servers on real sockets."""
+"""Tests of requests through a daemon to backend servers on real sockets."""
 
 import http
 import io
@@ -31,7 +31,16 @@
 
 @attrs.define(kw_only=True)
 class Daemon:
-    """A daemon without listeners, and the lines that it logs."""
+    """Daemon without listeners.
+
+    Attributes:
+        log: log output of the daemon.
+        service: service under test.
+        near: daemon's end of the connection to the caller.
+        far: caller's end of the connection.
+        replies: status and headers of responses that were not read yet.
+        servers: backend servers to stop after the test.
+    """
 
     log: io.StringIO
     service: Any
@@ -40,45 +49,45 @@
     replies: list[Any] = attrs.field(factory=list)
     servers: list[Any] = attrs.field(factory=list)
 
-    def know(self, *routes: dict[str, Any]) -> None:
-        """Have the store tell a configuration."""
-        fact = read_item(item('op/config', config(*routes)), system_clock())
-        self._take(fact)
+    def configure(self, *routes: dict[str, Any]) -> None:
+        """Apply a configuration from the store."""
+        update = read_item(item('op/config', config(*routes)), system_clock())
+        self._apply_update(update)
 
-    def add(self, body: bytes, service: str) -> None:
-        """Start a backend server that gives a body, and register it."""
-        handler = type('Handler', (_Answering,), {'body': body})
+    def add_server(self, body: bytes, service: str) -> None:
+        """Start and register a backend server that responds with a body."""
+        handler = type('Handler', (_FixedResponseHandler,), {'body': body})
         listener = ThreadingHTTPServer(('127.0.0.1', 0), handler)
         threading.Thread(target=listener.serve_forever, daemon=True).start()
         self.servers.append(listener)
         port = listener.server_address[1]
-        built = server(
+        registered = server(
             f'i-{port}',
             service=service,
             address=f'127.0.0.1:{port}',
         )
-        self._take(ServerFact(server=built))
+        self._apply_update(ServerFact(server=registered))
 
-    def ask(
+    def send_request(
         self,
-        sent: bytes = b'',
+        request_body: bytes = b'',
         **changes: Any,
     ) -> tuple[int, dict[str, str], bytes]:
-        """Make one request and give status, headers and body."""
-        asked = environ(**changes)
-        asked['wsgi.input'] = io.BytesIO(sent)
-        asked['fennelfork.connection'] = self.near
-        asked['fennelfork.close_connection'] = lambda: None
-        body = self.service.face(asked, self._start_response)
+        """Send one request and return status, headers and body."""
+        request_environ = environ(**changes)
+        request_environ['wsgi.input'] = io.BytesIO(request_body)
+        request_environ['fennelfork.connection'] = self.near
+        request_environ['fennelfork.close_connection'] = lambda: None
+        body = self.service.face(request_environ, self._start_response)
         status, headers = self.replies.pop()
         return int(status.split()[0]), dict(headers), b''.join(body)
 
-    def lines(self) -> list[dict[str, Any]]:
-        """Give the lines that were logged."""
+    def log_lines(self) -> list[dict[str, Any]]:
+        """Return the decoded lines of the log."""
         return [json.loads(line) for line in self.log.getvalue().splitlines()]
 
-    def _take(self, fact: Any) -> None:
-        self.service.follower.apply_updates((fact,))
+    def _apply_update(self, update: Any) -> None:
+        self.service.follower.apply_updates((update,))
 
     def _start_response(self, status: str, headers: Any) -> None:
         self.replies.append((status, headers))
@@ -86,7 +95,7 @@
 
 @pytest.fixture
 def daemon() -> Iterator[Daemon]:
-    """Give a daemon that knows nothing yet."""
+    """Yield a daemon without a configuration."""
     log = io.StringIO()
     configure_logs(LogSettings(), log)
     near, far = socket.socketpair()
@@ -95,108 +104,110 @@
         callers=PlatformCallers(),
         backends=PlatformBackends(),
     )
-    built = route_service(
+    service = route_service(
         settings(),
         ports,
         lambda: Failure(('none',)),
         EndlessOutput(),
     )
-    found = Daemon(log=log, service=built, near=near, far=far)
-    yield found
-    for listener in found.servers:
+    started = Daemon(log=log, service=service, near=near, far=far)
+    yield started
+    for listener in started.servers:
         listener.shutdown()
         listener.server_close()
     structlog.reset_defaults()
 
 
 class TestRefusals:
-    """Requests that are not sent to any server."""
+    """Requests that are not sent to a backend server."""
 
     def test_no_configuration_yet(self, daemon: Daemon) -> None:
-        """Not run, when to come back, and a line with the request's id."""
-        status, headers, _ = daemon.ask()
+        """The refusal has a retry time and a log line with the request id."""
+        status, headers, _ = daemon.send_request()
         assert (status, headers['Retry-After']) == (503, '0.300')
-        line = daemon.lines()[-1]
+        line = daemon.log_lines()[-1]
         assert line['event'] == 'request_refused'
         assert line['request'] == '9c41d07be2a35f68'
 
     def test_no_route(self, daemon: Daemon) -> None:
-        """Refused only by a configuration that is in force."""
-        daemon.know(route(Prefix='/notices/'))
-        assert daemon.ask()[0] == 404
+        """A request without a route is refused with 404."""
+        daemon.configure(route(Prefix='/notices/'))
+        assert daemon.send_request()[0] == 404
 
     def test_no_server(self, daemon: Daemon) -> None:
-        """Nothing ran where no server is known."""
-        daemon.know(route())
-        status, headers, _ = daemon.ask()
+        """A request is refused with 503 if no server is registered."""
+        daemon.configure(route())
+        status, headers, _ = daemon.send_request()
         assert (status, headers['Retry-After']) == (503, '0.250')
 
-    def test_too_many(self, daemon: Daemon) -> None:
-        """Refused at once, with when to return and what decided it."""
-        daemon.know(route())
-        daemon.add(b'whole', 'archive')
-        assert daemon.ask()[0] == 200
+    def test_load_shedding(self, daemon: Daemon) -> None:
+        """A shed request has a retry time and the reason in the log."""
+        daemon.configure(route())
+        daemon.add_server(b'whole', 'archive')
+        assert daemon.send_request()[0] == 200
         board = daemon.service.board
         found = board.table.routes[0]
         limits = daemon.service.face.limits
         for _ in range(20):
             limits.try_admit(found)
         limits.record_lag()
-        status, headers, _ = daemon.ask()
+        status, headers, _ = daemon.send_request()
         assert (status, headers['Retry-After']) == (503, '1.000')
-        line = daemon.lines()[-1]
+        line = daemon.log_lines()[-1]
         assert (line['event'], line['code']) == ('request_refused', 'shed')
         assert '20 requests are under way' in line['reason']
         for _ in range(20):
             limits.release(found)
-        assert daemon.ask()[0] == 200
+        assert daemon.send_request()[0] == 200
 
 
 class TestAnswers:
-    """Requests that servers answer."""
+    """Requests that backend servers respond to."""
 
     def test_forwarded(self, daemon: Daemon) -> None:
-        """The answer of the server as it is."""
-        daemon.know(route())
-        daemon.add(b'whole', 'archive')
-        status, headers, body = daemon.ask()
+        """The response of the server is forwarded unchanged."""
+        daemon.configure(route())
+        daemon.add_server(b'whole', 'archive')
+        status, headers, body = daemon.send_request()
         assert (status, body) == (200, b'whole')
         assert headers['X-Server-Stamp'] == 's'
 
-    def test_gathered(self, daemon: Daemon) -> None:
-        """The greatest records of all parts, and who signed them."""
-        daemon.know(_gathered('a', 'b'))
-        daemon.add(b'1' * 16, 'a')
-        daemon.add(b'2' * 16, 'b')
-        status, headers, body = daemon.ask()
+    def test_merged(self, daemon: Daemon) -> None:
+        """The greatest records of all services are merged."""
+        daemon.configure(_fan_out_route('a', 'b'))
+        daemon.add_server(b'1' * 16, 'a')
+        daemon.add_server(b'2' * 16, 'b')
+        status, headers, body = daemon.send_request()
         assert (status, body) == (200, b'2' * 16 + b'1' * 16)
         assert headers['X-Parts-Missing'] == '0'
 
     def test_partial(self, daemon: Daemon) -> None:
-        """A part that cannot be had is said to be missing."""
-        daemon.know(_gathered('a', 'b'))
-        daemon.add(b'1' * 16, 'a')
-        _, headers, body = daemon.ask()
+        """An answer without one service is marked as partial."""
+        daemon.configure(_fan_out_route('a', 'b'))
+        daemon.add_server(b'1' * 16, 'a')
+        _, headers, body = daemon.send_request()
         assert (headers['X-Parts-Missing'], body) == ('1', b'1' * 16)
-        line = daemon.lines()[-1]
+        line = daemon.log_lines()[-1]
         assert line['answer'] == 'partial'
         assert line['version'] == 7
 
     def test_defect(self, daemon: Daemon) -> None:
-        """A defect of ours is logged and promises nothing."""
+        """An internal error is logged; the request may have run."""
         daemon.service.board.table = attrs.make_class('Broken', ())()
-        assert daemon.ask()[0] == 502
-        assert daemon.lines()[-1]['event'] == 'defect'
+        assert daemon.send_request()[0] == 502
+        assert daemon.log_lines()[-1]['event'] == 'defect'
 
 
 class TestBodies:
-    """Bodies that are passed on, and those that are not."""
+    """Forwarding and refusal of request bodies."""
 
     def test_chunked(self, daemon: Daemon) -> None:
-        """A body in chunks is passed on as a whole."""
-        daemon.know(route())
-        daemon.add(b'whole', 'archive')
-        status, _, _ = daemon.ask(b'{}', HTTP_TRANSFER_ENCODING='chunked')
+        """A chunked body is forwarded."""
+        daemon.configure(route())
+        daemon.add_server(b'whole', 'archive')
+        status, _, _ = daemon.send_request(
+            b'{}', HTTP_TRANSFER_ENCODING='chunked'
+        )
         assert status == 200
 
     @pytest.mark.parametrize(
@@ -204,59 +215,59 @@
         [('300000', b'x' * 300_000), ('9', b'short')],
     )
     def test_refused(self, daemon: Daemon, length: str, body: bytes) -> None:
-        """Too large, or not whole: nothing is sent."""
-        daemon.know(route())
-        status, _, _ = daemon.ask(body, CONTENT_LENGTH=length)
+        """A body that is too large or incomplete is refused."""
+        daemon.configure(route())
+        status, _, _ = daemon.send_request(body, CONTENT_LENGTH=length)
         assert status == 400
-        assert daemon.lines()[-1]['code'] == 'bad_request'
+        assert daemon.log_lines()[-1]['code'] == 'bad_request'
 
 
 class TestCallerWatch:
-    """A caller that closes its connection while its request runs."""
+    """Detection of callers that disconnect during a request."""
 
     def setup_method(self) -> None:
-        """Connect a caller."""
+        """Open the connection of a caller."""
         pair = socket.socketpair()
         self.near = pair[0]
         self.far = pair[1]
-        self.left: list[bool] = []
+        self.disconnects: list[bool] = []
 
     def test_close(self) -> None:
-        """It is noticed at once."""
-        with self._watching():
+        """The end of the connection is detected at once."""
+        with self._watch_caller():
             self.far.close()
             sleep(_WAIT_S)
-            assert self.left == [True]
+            assert self.disconnects == [True]
 
     def test_next_request(self) -> None:
-        """A request that is sent early is no leave."""
-        with self._watching():
+        """A pipelined request does not count as a disconnect."""
+        with self._watch_caller():
             self.far.sendall(b'GET')
             sleep(_WAIT_S)
-        assert not self.left
+        assert not self.disconnects
         assert self.near.recv(9) == b'GET'
 
     def test_after_the_request(self) -> None:
-        """Nothing is watched once the request is answered."""
-        with self._watching():
+        """A disconnect after the request is not reported."""
+        with self._watch_caller():
             sleep(_WAIT_S)
         self.far.close()
         sleep(_WAIT_S)
-        assert not self.left
+        assert not self.disconnects
 
-    def _watching(self) -> Any:
+    def _watch_caller(self) -> Any:
         watch = CallerWatch(connection=self.near)
-        return watch.leaving(lambda: self.left.append(True))
+        return watch.leaving(lambda: self.disconnects.append(True))
 
 
-class _Answering(BaseHTTPRequestHandler):
-    """Answers every request with one body."""
+class _FixedResponseHandler(BaseHTTPRequestHandler):
+    """Responds to every request with the same body."""
 
     body = b''
     protocol_version = 'HTTP/1.1'
 
     def do_GET(self) -> None:
-        """Answer, signed."""
+        """Send a signed response."""
         self.send_response(http.HTTPStatus.OK)
         self.send_header('X-Server-Stamp', 's')
         self.send_header('X-Request-Id', self.headers['X-Request-Id'])
@@ -264,11 +275,11 @@
         self.end_headers()
         self.wfile.write(self.body)
 
-    def log_message(self, *words: Any) -> None:
-        """Print nothing."""
+    def log_message(self, *arguments: Any) -> None:
+        """Suppress the log output."""
 
 
-def _gathered(*services: str) -> dict[str, Any]:
+def _fan_out_route(*services: str) -> dict[str, Any]:
     return route(
         Service=None,
         Gather=list(services),
--- a/tests/test_platform_fatal_requests.py
+++ b/tests/test_platform_fatal_requests.py
@@ -1,15 +1,7 @@
-"""Requests that end each backend server that runs them, on real processes.
+"""Tests of poison requests on real processes.
 
-Seen: all 30 servers of a query's shards ended within a second, came back, and
-ended again, five times in a row; nobody's queries over these shards were
-answered meanwhile. It came about when one caller's request, which crashes
-whatever runs it, came again every second or so, at any daemon. Cause: nothing
-knew a request when it came again, as each try has an id of its own and may come
-from another address, and each copy that broke off was sent to one server more,
-so that one try ended two servers of each shard. Proof: `server_ended` of all
-daemons bears the one fingerprint of that request, while servers that others ran
-on lived. 9 to 18 tries reached servers later than 5 s after the third end on the
-code as it was, and 11 to 21 where the fingerprint had the caller's address in it.
+Guards against a request that crashes backend servers again and again because
+no daemon recognises the request when a caller repeats it.
 """
 
 import time
@@ -29,42 +21,44 @@
 from fennelfork_platform_bench._revival import Revival
 from fennelfork_platform_bench._steady_callers import SteadyCaller
 
-# From here on others are to be served, whatever somebody sends.
-_SETTLED_S: Final = 12.0
-_LENGTH_S: Final = 22.0
-_SERVED: Final = 0.97
-_FATAL_PAUSE_S: Final = 0.5
+# Time until the requests of other callers must succeed.
+_SETTLE_S: Final = 12.0
+_DURATION_S: Final = 22.0
+_MIN_SERVED_SHARE: Final = 0.97
+_POISON_PAUSE_S: Final = 0.5
 _PAUSE_S: Final = 0.05
-_LAPSE_S: Final = 2.0
-# Its callers reach the daemons of their own data centre.
+_LEASE_EXPIRY_S: Final = 2.0
+# Source addresses of the callers of the poison request.
 _SOURCES: Final = tuple(f'127.0.0.{number}' for number in range(2, 13))
 
 
 @pytest.fixture
 def fleet(processes: Rig) -> DayFleet:
-    """Give daemons and servers that all know each other."""
+    """Start a store, daemons and registered backend servers."""
     store = processes.start_module('store', 'fennelfork_platform_bench.store')
-    made = DayFleet(rig=processes, store=store.await_ready().ready['address'])
-    made.start()
-    wait_until(made.is_registered, 20, 'all servers to register')
-    for name in made.daemons:
-        await_ready(made, name)
+    started = DayFleet(
+        rig=processes, store=store.await_ready().ready['address']
+    )
+    started.start()
+    wait_until(started.is_registered, 20, 'all servers to register')
+    for name in started.daemons:
+        await_ready(started, name)
     time.sleep(1)
-    return made
+    return started
 
 
 @pytest.mark.process
-class TestFatalRequests:
-    """What one such request takes from others."""
+class TestPoisonRequests:
+    """The effect of a poison request on other callers."""
 
     @pytest.mark.parametrize('route', ['all', 'one', 'once'])
-    def test_comes_again(self, fleet: DayFleet, route: str) -> None:
-        """It is known again at any daemon, and others are served."""
-        fatal = SteadyCaller(
+    def test_repeated_request(self, fleet: DayFleet, route: str) -> None:
+        """All daemons recognise the request, and others are served."""
+        poison = SteadyCaller(
             name='fatal',
             fleet=fleet,
             path_of=lambda number: f'/{route}/{FATAL}',
-            pause_s=_FATAL_PAUSE_S,
+            pause_s=_POISON_PAUSE_S,
             sources=_SOURCES,
         )
         others = SteadyCaller(
@@ -75,17 +69,17 @@
             ),
             pause_s=_PAUSE_S,
         )
-        begun_s = time.monotonic()
-        with Revival(fleet=fleet).running(), others.asking(), fatal.asking():
-            time.sleep(_LENGTH_S)
-        found = arrivals(fleet.runs)
-        assert len(found) >= 3
-        assert len(later_tries(found)) <= MOST_LATER
-        span = (begun_s + _SETTLED_S, begun_s + _LENGTH_S - 1)
-        assert others.served_share(*span) >= _SERVED
+        start_s = time.monotonic()
+        with Revival(fleet=fleet).running(), others.asking(), poison.asking():
+            time.sleep(_DURATION_S)
+        poison_arrivals = arrivals(fleet.runs)
+        assert len(poison_arrivals) >= 3
+        assert len(later_tries(poison_arrivals)) <= MOST_LATER
+        span = (start_s + _SETTLE_S, start_s + _DURATION_S - 1)
+        assert others.served_share(*span) >= _MIN_SERVED_SHARE
 
-    def test_ordinary_one_in_crashes(self, fleet: DayFleet) -> None:
-        """A request under way in each of three crashes of all is no such one."""
+    def test_unrelated_crashes(self, fleet: DayFleet) -> None:
+        """A request in flight during three power losses is not quarantined."""
         popular = SteadyCaller(
             name='popular',
             fleet=fleet,
@@ -97,9 +91,9 @@
                 time.sleep(4)
                 for process in fleet.servers.values():
                     process.kill()
-            # Their registrations lapse, then they are back.
-            time.sleep(_LAPSE_S)
-            wait_until(fleet.is_registered, 20, 'all servers to be back')
-            back_s = time.monotonic()
+            # The registrations expire before the servers register again.
+            time.sleep(_LEASE_EXPIRY_S)
+            wait_until(fleet.is_registered, 20, 'all servers to register again')
+            recovery_s = time.monotonic()
             time.sleep(4)
-        assert popular.served_share(back_s + 1, back_s + 3) == 1
+        assert popular.served_share(recovery_s + 1, recovery_s + 3) == 1
--- a/tests/test_platform_items.py
+++ b/tests/test_platform_items.py
@@ -1,4 +1,4 @@
-"""Items and events of the store, as facts."""
+"""Tests of decoding items and watch events of the store."""
 
 import json
 import math
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 from platform_builders import (
-    FOREIGN_BYTES,
-    FOREIGN_FIELDS,
-    beat,
+    INVALID_BYTES,
+    INVALID_FIELDS,
     config,
     item,
     raw_item,
+    registration,
     route,
 )
 
@@ -38,7 +38,7 @@
 from fennelfork_platform._items import read_event, read_item
 
 _CLOCK = manual_clock(ManualTime(at_ms=1000))
-_DAEMON = 'fennelfork/daemons/vm-1'
+_DAEMON_KEY = 'fennelfork/daemons/vm-1'
 _MEMBER = {
     'incarnation': 3,
     'region': 'delta',
@@ -47,15 +47,15 @@
 }
 
 
-def _encoded(tree: Any) -> bytes:
+def _encode(tree: Any) -> bytes:
     return json.dumps(tree).encode()
 
 
 class TestConfig:
-    """The operators' configuration."""
+    """The configuration of the operators."""
 
     def test_targets(self) -> None:
-        """One service, a split or all shards."""
+        """A route targets one service, weighted services or a fan-out."""
         table = _config(
             route(),
             route(
@@ -72,10 +72,14 @@
                 RouteType='unsafe',
             ),
         )
-        one = table.find('rafts.example', '/rafts/7')
-        assert one.target == SingleService(service='archive')
-        assert one.idempotent
-        assert (one.timeout_ms, one.latency_target_ms, one.max_attempts) == (
+        single = table.find('rafts.example', '/rafts/7')
+        assert single.target == SingleService(service='archive')
+        assert single.idempotent
+        assert (
+            single.timeout_ms,
+            single.latency_target_ms,
+            single.max_attempts,
+        ) == (
             4000,
             297,
             2,
@@ -84,16 +88,16 @@
         assert split.target == WeightedServices(
             shares=(ServiceWeight(service='a', weight=3),)
         )
-        gathered = table.find('rafts.example', '/all/7')
-        assert not gathered.idempotent
-        assert gathered.target == FanOut(
+        fan_out = table.find('rafts.example', '/all/7')
+        assert not fan_out.idempotent
+        assert fan_out.target == FanOut(
             services=('a', 'b'),
             max_records=5,
             min_coverage=0.75,
         )
 
     def test_limits(self) -> None:
-        """Limits of callers, and of connections to a server."""
+        """Limits on callers and on connections to a server are read."""
         table = _config(route())
         assert table.limits.idle_ms == 15_000
         assert table.services['archive'].connections == 41
@@ -101,24 +105,28 @@
 
 
 class TestServers:
-    """What backend servers register."""
+    """The registrations of backend servers."""
 
     def test_ready_and_draining(self) -> None:
-        """The instance is the key; a draining one is about to leave."""
-        fact = read_item(item('servers/i-7', beat()), _CLOCK)
-        assert isinstance(fact, ServerFact)
-        assert fact.server.instance == 'i-7'
-        assert not fact.server.draining
-        leaving = read_item(item('servers/i-7', beat(State='draining')), _CLOCK)
-        assert leaving.server.draining
+        """The instance comes from the key, draining from the state."""
+        update = read_item(item('servers/i-7', registration()), _CLOCK)
+        assert isinstance(update, ServerFact)
+        assert update.server.instance == 'i-7'
+        assert not update.server.draining
+        draining = read_item(
+            item('servers/i-7', registration(State='draining')), _CLOCK
+        )
+        assert draining.server.draining
 
     def test_warm_up(self) -> None:
-        """What is left of it is turned into a time of ours."""
-        fact = read_item(item('servers/i-7', beat(WarmupLeftMs=500)), _CLOCK)
-        assert fact.server.warm_from_ms == 1500
+        """The rest of the warm-up becomes a time of the local clock."""
+        update = read_item(
+            item('servers/i-7', registration(WarmupLeftMs=500)), _CLOCK
+        )
+        assert update.server.warm_from_ms == 1500
 
     def test_gone(self) -> None:
-        """An event without a value means that the key was removed."""
+        """An event without a value is the removal of the key."""
         event = {'Key': 'servers/i-7', 'Revision': 9, 'Compacted': True}
         assert read_event(event, _CLOCK) == ServerGoneFact(instance='i-7')
 
@@ -127,83 +135,85 @@
         [None, [], {}, {'Service': 'archive'}, 'text'],
     )
     def test_unreadable(self, tree: Any) -> None:
-        """What cannot be read is told as that, and nothing breaks."""
-        fact = read_item(item('servers/i-7', tree), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
-        assert fact.key == 'servers/i-7'
-
-    def test_started_again(self) -> None:
-        """The time of its start tells one run of a server from the next."""
-        first = read_item(item('servers/i-7', beat(born=1000)), _CLOCK)
-        second = read_item(item('servers/i-7', beat(born=2000)), _CLOCK)
+        """An entry that is not a registration is reported as invalid."""
+        update = read_item(item('servers/i-7', tree), _CLOCK)
+        assert isinstance(update, UnreadableFact)
+        assert update.key == 'servers/i-7'
+
+    def test_new_incarnation(self) -> None:
+        """A later start time of a server is another incarnation."""
+        first = read_item(item('servers/i-7', registration(born=1000)), _CLOCK)
+        second = read_item(item('servers/i-7', registration(born=2000)), _CLOCK)
         assert first.server.instance == second.server.instance
         assert first.server.incarnation != second.server.incarnation
 
-    @pytest.mark.parametrize('changes', FOREIGN_FIELDS, ids=repr)
-    def test_foreign_field(self, changes: dict[str, Any]) -> None:
-        """A field that no server writes so: nobody is named."""
-        fact = read_item(item('servers/i-7', beat(**changes)), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
-        assert fact.instance == 'i-7'
+    @pytest.mark.parametrize('changes', INVALID_FIELDS, ids=repr)
+    def test_invalid_field(self, changes: dict[str, Any]) -> None:
+        """A registration with an invalid field is rejected."""
+        update = read_item(item('servers/i-7', registration(**changes)), _CLOCK)
+        assert isinstance(update, UnreadableFact)
+        assert update.instance == 'i-7'
 
-    @pytest.mark.parametrize('field', list(beat()))
+    @pytest.mark.parametrize('field', list(registration()))
     def test_missing_field(self, field: str) -> None:
-        """So does an entry that lacks one."""
-        tree = beat()
+        """A registration without a required field is rejected."""
+        tree = registration()
         tree.pop(field)
-        fact = read_item(item('servers/i-7', tree), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
+        update = read_item(item('servers/i-7', tree), _CLOCK)
+        assert isinstance(update, UnreadableFact)
 
-    @pytest.mark.parametrize('raw', FOREIGN_BYTES)
-    def test_foreign_bytes(self, raw: bytes) -> None:
-        """Bytes that no server writes name nobody either."""
-        fact = read_item(raw_item('servers/i-7', raw), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
-        assert fact.instance == 'i-7'
+    @pytest.mark.parametrize('raw', INVALID_BYTES)
+    def test_invalid_bytes(self, raw: bytes) -> None:
+        """Bytes that are not a JSON object of fields are rejected."""
+        update = read_item(raw_item('servers/i-7', raw), _CLOCK)
+        assert isinstance(update, UnreadableFact)
+        assert update.instance == 'i-7'
 
     @pytest.mark.parametrize(
         'name',
         ['', 'with space', 'line\r\nX-Evil: 1', 'naïve', 'x' * 201],
     )
-    def test_foreign_key(self, name: str) -> None:
-        """A key that could not be sent in a header names nobody."""
-        fact = read_item(item(f'servers/{name}', beat()), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
+    def test_invalid_key(self, name: str) -> None:
+        """An instance name that cannot be sent in a header is rejected."""
+        update = read_item(item(f'servers/{name}', registration()), _CLOCK)
+        assert isinstance(update, UnreadableFact)
 
-    @given(raw=st.binary(max_size=300) | json_values.map(_encoded))
+    @given(raw=st.binary(max_size=300) | json_values.map(_encode))
     def test_any_bytes(self, raw: bytes) -> None:
-        """Whatever lies there is read or told as unreadable."""
+        """Any value is decoded or reported as invalid without an error."""
         for key in ('servers/i-7', 'fennelfork/daemons/vm-1', 'op/config'):
             assert read_item(raw_item(key, raw), _CLOCK)
 
     @given(
-        changes=st.dictionaries(st.sampled_from([*beat(), 'born']), json_values)
+        changes=st.dictionaries(
+            st.sampled_from([*registration(), 'born']), json_values
+        )
     )
     def test_any_field(self, changes: dict[str, Any]) -> None:
-        """A server that is named can be called, whatever was written."""
-        fact = read_item(
-            raw_item('servers/i-7', _encoded(beat(**changes))), _CLOCK
+        """Each accepted server has a usable address, slots and warm-up."""
+        update = read_item(
+            raw_item('servers/i-7', _encode(registration(**changes))), _CLOCK
         )
-        if isinstance(fact, ServerFact):
-            assert address(fact.server.address).port
-            assert 1 <= fact.server.slots
-            assert math.isfinite(fact.server.warm_from_ms)
+        if isinstance(update, ServerFact):
+            assert address(update.server.address).port
+            assert 1 <= update.server.slots
+            assert math.isfinite(update.server.warm_from_ms)
 
     def test_unknown_key(self) -> None:
-        """Other keys are not ours to read."""
-        fact = read_item(item('status/x', {}), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
+        """Unknown keys are reported as invalid."""
+        update = read_item(item('status/x', {}), _CLOCK)
+        assert isinstance(update, UnreadableFact)
         assert isinstance(read_event({'Key': 'op/x'}, _CLOCK), UnreadableFact)
 
 
 class TestMembers:
-    """What daemons register."""
+    """The registrations of daemons."""
 
     def test_round_trip(self) -> None:
-        """A daemon reads what another wrote."""
-        fact = read_item(item(_DAEMON, _MEMBER), _CLOCK)
-        assert isinstance(fact, MemberFact)
-        assert read_member('vm-1', write_member(fact.member)) == fact.member
+        """Encoding and decoding preserve a registration."""
+        update = read_item(item(_DAEMON_KEY, _MEMBER), _CLOCK)
+        assert isinstance(update, MemberFact)
+        assert read_member('vm-1', write_member(update.member)) == update.member
 
     @pytest.mark.parametrize(
         'changes',
@@ -216,19 +226,19 @@
             {'caller': None},
         ],
     )
-    def test_foreign_field(self, changes: dict[str, Any]) -> None:
-        """An entry that no daemon writes names none to callers."""
-        fact = read_item(item(_DAEMON, _MEMBER | changes), _CLOCK)
-        assert isinstance(fact, UnreadableFact)
-        assert fact.member == 'vm-1'
+    def test_invalid_field(self, changes: dict[str, Any]) -> None:
+        """A registration of a daemon with an invalid field is rejected."""
+        update = read_item(item(_DAEMON_KEY, _MEMBER | changes), _CLOCK)
+        assert isinstance(update, UnreadableFact)
+        assert update.member == 'vm-1'
 
     def test_gone(self) -> None:
-        """Its key went with its lease."""
-        event = {'Key': _DAEMON, 'Compacted': True}
+        """The removal of the key is the removal of the daemon."""
+        event = {'Key': _DAEMON_KEY, 'Compacted': True}
         assert read_event(event, _CLOCK) == MemberGoneFact(name='vm-1')
 
 
 def _config(*routes: Any) -> Any:
-    fact = read_item(item('op/config', config(*routes)), _CLOCK)
-    assert isinstance(fact, ConfigFact)
-    return fact.table
+    update = read_item(item('op/config', config(*routes)), _CLOCK)
+    assert isinstance(update, ConfigFact)
+    return update.table
--- a/tests/test_platform_requests.py
+++ b/tests/test_platform_requests.py
@@ -1,11 +1,11 @@
-"""Requests and answers, to and from callers and backend servers."""
+"""Tests of the codecs for callers and backend servers."""
 
 from typing import Any
 
 import attrs
 import pytest
 from platform_builders import environ, response
-from returns.result import Failure as Bad
+from returns.result import Failure as Failed
 
 from fennelfork import FailureCode, Verdict, may_have_run, not_run
 from fennelfork.routes import BackendServer
@@ -25,16 +25,16 @@
 
 
 def _fingerprint(body: bytes | None = None, **changes: Any) -> str:
-    """Give the fingerprint of a request."""
+    """Return the fingerprint of a request."""
     fields = {'REMOTE_ADDR': '10.0.0.9', **changes}
     return str(_CALLERS.read_ask(environ(**fields), body).unwrap().fingerprint)
 
 
-class TestAsk:
-    """A caller's request."""
+class TestCallerRequests:
+    """Requests of callers."""
 
-    def test_passed_on(self) -> None:
-        """Unchanged, but for headers of one connection and our own."""
+    def test_forwarded_headers(self) -> None:
+        """Hop-by-hop headers are dropped; the daemon sets its own headers."""
         ask = _CALLERS.read_ask(environ(), None).unwrap()
         assert (ask.target, ask.path) == ('/rafts/7?full=1', '/rafts/7')
         assert ask.host == 'rafts.example'
@@ -49,8 +49,8 @@
             ('X-Expect-Instance', 'i-7'),
         )
 
-    def test_comes_again(self) -> None:
-        """A request is known by what servers see of it, not by its try."""
+    def test_fingerprint(self) -> None:
+        """The fingerprint ignores request id, deadline and caller address."""
         first = _fingerprint()
         assert first == _fingerprint(
             HTTP_X_REQUEST_ID='another',
@@ -64,10 +64,10 @@
         assert first != _fingerprint(body=b'x')
 
     def test_no_deadline(self) -> None:
-        """A caller may say nothing of how long it waits."""
-        found = environ()
-        found.pop('HTTP_X_DEADLINE_MS')
-        assert _CALLERS.read_ask(found, None).unwrap().left_ms is None
+        """The deadline header is optional."""
+        environment = environ()
+        environment.pop('HTTP_X_DEADLINE_MS')
+        assert _CALLERS.read_ask(environment, None).unwrap().left_ms is None
 
     @pytest.mark.parametrize(
         'changes',
@@ -78,17 +78,17 @@
         ],
     )
     def test_refused(self, changes: dict[str, str]) -> None:
-        """A request that cannot be understood did not run."""
+        """An invalid request is refused with 400."""
         refused = _CALLERS.read_ask(environ(**changes), None).failure()
         answer = Refused(failure=refused, request_id=None)
         assert _CALLERS.write_answer(answer).status == 400
 
 
 class TestAnswers:
-    """What callers are answered."""
+    """Answers to callers."""
 
     def test_forwarded(self) -> None:
-        """Status, headers and body of the server."""
+        """Status, headers and body of the response are forwarded."""
         answer = BackendAnswer(
             status=207,
             headers=(('X-Server-Stamp', 's'),),
@@ -100,7 +100,7 @@
         assert reply.headers == answer.headers
 
     def test_merged(self) -> None:
-        """Signatures of the parts, and how many are missing."""
+        """Headers carry the signatures and the number of missing services."""
         merged = Merged(body=b'r', signatures=('a', 'b'), missing=1)
         reply = _CALLERS.write_answer(merged)
         assert dict(reply.headers) == {
@@ -109,15 +109,15 @@
         }
 
     @pytest.mark.parametrize('code', FailureCode)
-    def test_promises(self, code: FailureCode) -> None:
-        """503 and the like only where nothing ran."""
-        ran = _status(may_have_run(code, ''))
-        assert ran in {502, 504}
-        refused = _status(not_run(code, '', retry_after_ms=250))
-        assert refused in {400, 404, 503}
+    def test_verdict_statuses(self, code: FailureCode) -> None:
+        """503, 400 and 404 are used only if the request did not run."""
+        may_have_run_status = _status_code(may_have_run(code, ''))
+        assert may_have_run_status in {502, 504}
+        not_run_status = _status_code(not_run(code, '', retry_after_ms=250))
+        assert not_run_status in {400, 404, 503}
 
     def test_retry_after(self) -> None:
-        """In seconds, with a fraction."""
+        """The retry time is sent in seconds with a fraction."""
         failure = not_run(FailureCode.NO_SERVER, '', retry_after_ms=250)
         answer = Refused(failure=failure, request_id=None)
         assert _CALLERS.write_answer(answer).headers == (
@@ -125,11 +125,11 @@
         )
 
 
-class TestBackendAnswers:
-    """What backend servers answer."""
+class TestBackendResponses:
+    """Responses of backend servers."""
 
     def test_success(self) -> None:
-        """A whole answer with its signature."""
+        """A complete response is decoded with the signature."""
         found = response(X_Server_Stamp='s', X_Request_Id='9', Date='now')
         answer = _BACKENDS.read_answer(found).unwrap()
         assert (answer.status, answer.signature) == (200, 's')
@@ -150,22 +150,22 @@
         ],
     )
     def test_failures(self, found: object, verdict: Verdict) -> None:
-        """Only the server's own word says that nothing ran."""
+        """Only an explicit header or status means that nothing ran."""
         assert _BACKENDS.read_answer(found).failure().verdict is verdict
 
-    def test_crossed(self) -> None:
-        """The answer to another request is refused, its connection closed."""
+    def test_mismatched_request_id(self) -> None:
+        """A response to another request is rejected."""
         ask = _CALLERS.read_ask(environ(), None).unwrap()
         call = _BACKENDS.write_call(ask, _SERVER, 100)
-        own = response(X_Request_Id=ask.request_id)
-        assert call.check(own).unwrap() is own
-        crossed = call.check(response(X_Request_Id='another'))
-        assert isinstance(crossed, Bad)
-        assert crossed.failure().verdict is Verdict.MAY_HAVE_RUN
-        unnamed = attrs.evolve(own, headers=())
-        assert call.check(unnamed).unwrap() is unnamed
+        matching = response(X_Request_Id=ask.request_id)
+        assert call.check(matching).unwrap() is matching
+        mismatched = call.check(response(X_Request_Id='another'))
+        assert isinstance(mismatched, Failed)
+        assert mismatched.failure().verdict is Verdict.MAY_HAVE_RUN
+        without_id = attrs.evolve(matching, headers=())
+        assert call.check(without_id).unwrap() is without_id
 
 
-def _status(failure: object) -> int:
+def _status_code(failure: object) -> int:
     answer = Refused(failure=failure, request_id='9')
     return _CALLERS.write_answer(answer).status
--- a/tests/test_platform_shadow.py
+++ b/tests/test_platform_shadow.py
@@ -1,4 +1,4 @@
-"""The folder `platform/` stands beside the standard library's module."""
+"""Tests that the folder `platform/` is separated from other modules."""
 
 import pathlib
 import re
@@ -6,7 +6,7 @@
 import sys
 
 _ROOT = pathlib.Path(__file__).parents[1]
-_NAMES = re.compile(
+_WIRE_NAMES = re.compile(
     r'X-(Request-Id|Deadline-Ms|Server-Stamp|Part-Stamps|Parts-Missing'
     '|Expect-Instance|Not-Executed)|/-/|FENNELFORK_NODE_FILE'
     '|LatencyGoalMs|MinCoverage|RouteType|WarmupLeftMs|ExpectedRev',
@@ -14,10 +14,10 @@
 
 
 class TestShadow:
-    """The folder's name does not get in the way, and its words stay inside."""
+    """Import of the standard module and isolation of wire names."""
 
-    def test_the_standard_module_is_found(self) -> None:
-        """From the repository's root, `import platform` is the library's."""
+    def test_standard_module(self) -> None:
+        """`import platform` in the root imports the standard library."""
         code = 'import platform; print(platform.python_version())'
         found = subprocess.run(
             [sys.executable, '-c', code],
@@ -29,11 +29,11 @@
         assert found.stdout.split('.')[0] == '3'
         assert not (_ROOT / 'platform' / '__init__.py').exists()
 
-    def test_no_name_of_the_platform_outside(self) -> None:
-        """No source of the product holds a name of the platform's wire."""
+    def test_wire_names_are_isolated(self) -> None:
+        """No source under `packages/` contains a wire name."""
         found = [
             f'{path.relative_to(_ROOT)}: {match.group()}'
             for path in (_ROOT / 'packages').rglob('src/**/*.py')
-            for match in _NAMES.finditer(path.read_text(encoding='utf-8'))
+            for match in _WIRE_NAMES.finditer(path.read_text(encoding='utf-8'))
         ]
         assert not found
--- a/tests/test_platform_store_calls.py
+++ b/tests/test_platform_store_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the store over connections that something between has lost."""
+"""Tests of store calls over connections that stop responding."""
 
 import socket
 import threading
@@ -10,83 +10,85 @@
 
 from fennelfork import system_clock
 from fennelfork_daemon._address import Address
-from fennelfork_platform._store_calls import StoreCalls, store_calls
+from fennelfork_platform._store_calls import StoreClient, store_client
 
 _REPLY = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}'
 _SHORT_MS = 200
 
 
 @attrs.define
-class OneTrackStore:
-    """Answers each connection until all of them are lost; new ones work.
+class StalledConnectionsStore:
+    """Store whose open connections can be stalled; new connections work.
 
-    Two calls that come together are answered together, so that they take a
-    connection each.
+    Before the stall, responses are sent to two concurrent calls at a time, so
+    that each call uses a separate connection.
     """
 
     _listener: socket.socket
-    _lost: threading.Event = attrs.field(factory=threading.Event)
-    _together: threading.Barrier = attrs.field(
+    _stalled: threading.Event = attrs.field(factory=threading.Event)
+    _first_calls: threading.Barrier = attrs.field(
         factory=lambda: threading.Barrier(2),
     )
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
+        """The address of the listener."""
         host, port = self._listener.getsockname()
         return Address(host=host, port=port)
 
     def run(self) -> None:
-        """Take connections until it is closed."""
+        """Accept connections until the listener is closed."""
         while True:
             try:
                 connection, _peer = self._listener.accept()
             except OSError:
                 return
-            is_new = self._lost.is_set()
+            is_new = self._stalled.is_set()
             _start(self._serve, connection, is_new)
 
-    def lose_all(self) -> None:
-        """Answer nothing any more on the connections that there are."""
-        self._lost.set()
+    def stall_connections(self) -> None:
+        """Stop responding on all open connections."""
+        self._stalled.set()
 
     def _serve(self, connection: socket.socket, is_new: bool) -> None:
         while connection.recv(65_536):
-            if not is_new and self._lost.is_set():
+            if not is_new and self._stalled.is_set():
                 continue
             if not is_new:
-                self._together.wait(5)
+                self._first_calls.wait(5)
             connection.sendall(_REPLY)
 
 
 @pytest.fixture
-def store() -> Iterator[OneTrackStore]:
-    """Give a store that listens."""
+def store() -> Iterator[StalledConnectionsStore]:
+    """Yield a store that accepts connections."""
     with socket.create_server(('127.0.0.1', 0)) as listener:
-        made = OneTrackStore(listener)
-        _start(made.run)
-        yield made
+        stalling_store = StalledConnectionsStore(listener)
+        _start(stalling_store.run)
+        yield stalling_store
 
 
 class TestLostConnections:
-    """All open connections fall silent at once; none is reset."""
-
-    def test_one_call_finds_out(self, store: OneTrackStore) -> None:
-        """The next call takes a new connection, not one as old."""
-        calls = store_calls(store.address, system_clock())
-        both = [_start(_ask, calls), _start(_ask, calls)]
-        for thread in both:
+    """All open connections stop responding without a reset."""
+
+    def test_failed_call_closes_connections(
+        self, store: StalledConnectionsStore
+    ) -> None:
+        """The call after a failed call uses a new connection."""
+        client = store_client(store.address, system_clock())
+        threads = [_start(_send_call, client), _start(_send_call, client)]
+        for thread in threads:
             thread.join(5)
-        store.lose_all()
-        assert not is_successful(calls.get('/', _SHORT_MS))
-        assert is_successful(calls.get('/', _SHORT_MS))
+        store.stall_connections()
+        assert not is_successful(client.get('/', _SHORT_MS))
+        assert is_successful(client.get('/', _SHORT_MS))
 
 
-def _ask(calls: StoreCalls) -> None:
-    assert is_successful(calls.get('/', 5000))
+def _send_call(client: StoreClient) -> None:
+    assert is_successful(client.get('/', 5000))
 
 
-def _start(run: object, *arguments: object) -> threading.Thread:
-    thread = threading.Thread(target=run, args=arguments, daemon=True)
+def _start(target: object, *arguments: object) -> threading.Thread:
+    thread = threading.Thread(target=target, args=arguments, daemon=True)
     thread.start()
     return thread
--- a/tests/test_platform_suspicions.py
+++ b/tests/test_platform_suspicions.py
@@ -1,4 +1,4 @@
-"""Entries of requests that ended servers, in the platform's store."""
+"""Tests of the records of suspected poison requests in the store."""
 
 import base64
 import json
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from platform_builders import FOREIGN_BYTES, item, raw_item
+from platform_builders import INVALID_BYTES, item, raw_item
 from returns.result import Result, Success
 
 from fennelfork import Failure, ManualTime, manual_clock
@@ -25,13 +25,13 @@
 )
 from fennelfork_platform._items import read_event, read_item
 from fennelfork_platform._store import PlatformStore
-from fennelfork_platform._store_calls import StoreReply
+from fennelfork_platform._store_calls import StoreResponse
 from fennelfork_platform._suspicions import write_suspicion
 
 _CLOCK = manual_clock(ManualTime())
-_NAME = '0123456789abcdef' * 2
-_KEY = f'fennelfork/requests/{_NAME}'
-_ENDS = st.builds(
+_FINGERPRINT = '0123456789abcdef' * 2
+_KEY = f'fennelfork/requests/{_FINGERPRINT}'
+_CRASHES = st.builds(
     ServerCrash,
     run=st.text(min_size=1, max_size=9),
     service=st.text(min_size=1, max_size=9),
@@ -39,54 +39,56 @@
 )
 _RECORDS = st.builds(
     SuspicionRecord,
-    fingerprint=st.just(_NAME),
+    fingerprint=st.just(_FINGERPRINT),
     status=st.sampled_from(RequestStatus),
-    crashes=st.lists(_ENDS, max_size=16).map(tuple),
+    crashes=st.lists(_CRASHES, max_size=16).map(tuple),
     isolated_crashes=st.integers(0, 99),
     trials=st.integers(0, 9),
     last_crash_ms=st.integers(0, 10**13),
 )
-_WEAK = SuspicionRecord(fingerprint=_NAME, status=RequestStatus.SUSPECTED)
-_LASTING = attrs.evolve(_WEAK, isolated_crashes=1)
+_TRANSIENT = SuspicionRecord(
+    fingerprint=_FINGERPRINT, status=RequestStatus.SUSPECTED
+)
+_DURABLE = attrs.evolve(_TRANSIENT, isolated_crashes=1)
 
 
 @attrs.define
-class FakeCalls:
-    """Notes the calls of the store and answers with a status."""
+class FakeStoreClient:
+    """Store client that records transactions and returns a fixed status."""
 
     status: int = 200
-    orders: list[Any] = attrs.field(factory=list)
+    transactions: list[Any] = attrs.field(factory=list)
 
     def send(
         self,
         method: str,
         path: str,
         tree: Any,
-    ) -> Result[StoreReply, Failure]:
-        """Take one call."""
-        self.orders.append(tree)
+    ) -> Result[StoreResponse, Failure]:
+        """Record the body of a call."""
+        self.transactions.append(tree)
         return Success((self.status, {}))
 
 
 class TestEntry:
-    """What is written and read."""
+    """Encoding and decoding of records."""
 
     @given(record=_RECORDS)
     def test_round_trip(self, record: SuspicionRecord) -> None:
-        """What one daemon writes another reads, with its revision."""
+        """Encoding and decoding preserve a record; the revision is added."""
         written = raw_item(_KEY, write_suspicion(record))
-        found = read_item(written, _CLOCK)
+        update = read_item(written, _CLOCK)
         revision = written['Revision']
-        assert found == SuspicionFact(record=record, revision=revision)
+        assert update == SuspicionFact(record=record, revision=revision)
 
     def test_gone(self) -> None:
-        """An entry that was removed holds nothing any more."""
-        gone = {'Key': _KEY, 'Revision': 9, 'Compacted': True}
-        found = read_event(gone, _CLOCK)
-        assert found == SuspicionGoneFact(fingerprint=_NAME)
+        """The removal of the key is the removal of the suspicion."""
+        event = {'Key': _KEY, 'Revision': 9, 'Compacted': True}
+        update = read_event(event, _CLOCK)
+        assert update == SuspicionGoneFact(fingerprint=_FINGERPRINT)
 
     @pytest.mark.parametrize(
-        'changed',
+        'changes',
         [
             {'standing': 'guilty'},
             {'standing': 3},
@@ -101,64 +103,70 @@
             {'ends': [{'run': '', 'service': 'a', 'alone': True}]},
         ],
     )
-    def test_foreign(self, changed: dict[str, Any]) -> None:
-        """What no daemon writes refuses nobody."""
-        tree = {**json.loads(write_suspicion(_WEAK)), **changed}
+    def test_invalid_field(self, changes: dict[str, Any]) -> None:
+        """A record with an invalid field is rejected."""
+        tree = {**json.loads(write_suspicion(_TRANSIENT)), **changes}
         assert isinstance(read_item(item(_KEY, tree), _CLOCK), UnreadableFact)
 
-    @pytest.mark.parametrize('raw', FOREIGN_BYTES)
-    def test_foreign_bytes(self, raw: bytes) -> None:
-        """Nor do bytes that are no entry at all."""
-        found = read_item(raw_item(_KEY, raw), _CLOCK)
-        assert isinstance(found, UnreadableFact)
+    @pytest.mark.parametrize('raw', INVALID_BYTES)
+    def test_invalid_bytes(self, raw: bytes) -> None:
+        """Bytes that are not a record are rejected."""
+        update = read_item(raw_item(_KEY, raw), _CLOCK)
+        assert isinstance(update, UnreadableFact)
 
-    @pytest.mark.parametrize('name', ['', 'x' * 32, _NAME.upper(), f'{_NAME}0'])
-    def test_foreign_key(self, name: str) -> None:
-        """Nor does one under a key that is no fingerprint."""
+    @pytest.mark.parametrize(
+        'name', ['', 'x' * 32, _FINGERPRINT.upper(), f'{_FINGERPRINT}0']
+    )
+    def test_invalid_key(self, name: str) -> None:
+        """A key without a valid fingerprint is rejected."""
         key = f'fennelfork/requests/{name}'
-        found = read_item(raw_item(key, write_suspicion(_WEAK)), _CLOCK)
-        assert isinstance(found, UnreadableFact)
+        update = read_item(raw_item(key, write_suspicion(_TRANSIENT)), _CLOCK)
+        assert isinstance(update, UnreadableFact)
 
 
-class TestStoreCalls:
-    """How the store is told."""
+class TestTransactions:
+    """Transactions that publish and claim suspicions."""
 
     def setup_method(self) -> None:
-        """Begin with a store that takes everything."""
-        self.calls = FakeCalls()
-        self.store = PlatformStore(calls=self.calls, clock=_CLOCK)
-
-    def test_what_lasts_has_no_lease(self) -> None:
-        """What rests on one moment goes with its daemon."""
-        news = SuspicionUpdates(records=(_WEAK, _LASTING), removed=('e' * 32,))
-        assert self.store.publish(news, 7).unwrap()
-        order = self.calls.orders[0]
-        assert [put['LeaseId'] for put in order['Puts']] == [7, 0]
-        assert order['Deletes'] == [f'fennelfork/requests/{"e" * 32}']
-
-    def test_many(self) -> None:
-        """No change has more entries than the store takes."""
+        """Create a store that accepts all transactions."""
+        self.client = FakeStoreClient()
+        self.store = PlatformStore(client=self.client, clock=_CLOCK)
+
+    def test_durable_record_has_no_lease(self) -> None:
+        """Only records that are not durable are attached to the lease."""
+        updates = SuspicionUpdates(
+            records=(_TRANSIENT, _DURABLE), removed=('e' * 32,)
+        )
+        assert self.store.publish(updates, 7).unwrap()
+        transaction = self.client.transactions[0]
+        assert [put['LeaseId'] for put in transaction['Puts']] == [7, 0]
+        assert transaction['Deletes'] == [f'fennelfork/requests/{"e" * 32}']
+
+    def test_transaction_size(self) -> None:
+        """Large updates are split at the limit of the store."""
         names = [f'{number:032x}' for number in range(70)]
-        records = [attrs.evolve(_WEAK, fingerprint=name) for name in names]
+        records = [attrs.evolve(_TRANSIENT, fingerprint=name) for name in names]
         assert self.store.publish(
             SuspicionUpdates(records=tuple(records)), 7
         ).unwrap()
-        sizes = [len(order['Puts']) for order in self.calls.orders]
+        sizes = [
+            len(transaction['Puts']) for transaction in self.client.transactions
+        ]
         assert sizes == [32, 32, 6]
 
-    def test_lease_has_ended(self) -> None:
-        """Then nothing was written."""
-        self.calls.status = 404
+    def test_expired_lease(self) -> None:
+        """Publishing under an expired lease returns false."""
+        self.client.status = 404
         assert not self.store.publish(
-            SuspicionUpdates(records=(_WEAK,)), 7
+            SuspicionUpdates(records=(_TRANSIENT,)), 7
         ).unwrap()
 
     @pytest.mark.parametrize(('status', 'claimed'), [(200, True), (412, False)])
     def test_claim(self, status: int, claimed: bool) -> None:
-        """One daemon gets a trial: whoever wrote over what all had read."""
-        self.calls.status = status
-        assert self.store.claim(_LASTING, 41).unwrap() is claimed
-        order = self.calls.orders[0]
-        assert order['ExpectedRev'] == [{'Key': _KEY, 'Revision': 41}]
-        raw = base64.b64decode(order['Puts'][0]['Value'])
-        assert raw == write_suspicion(_LASTING)
+        """A claim succeeds only if the revision is current."""
+        self.client.status = status
+        assert self.store.claim(_DURABLE, 41).unwrap() is claimed
+        transaction = self.client.transactions[0]
+        assert transaction['ExpectedRev'] == [{'Key': _KEY, 'Revision': 41}]
+        raw = base64.b64decode(transaction['Puts'][0]['Value'])
+        assert raw == write_suspicion(_DURABLE)
