--- a/tests/test_platform_store_calls.py
+++ b/tests/test_platform_store_calls.py
@@ -10,7 +10,7 @@
 
 from fennelfork import system_clock
 from fennelfork_daemon._address import Address
-from fennelfork_platform._store_calls import StoreClient, store_client
+from fennelfork_platform._store_client import StoreClient, store_client
 
 _REPLY = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}'
 _SHORT_MS = 200
--- a/tests/test_platform_suspicions.py
+++ b/tests/test_platform_suspicions.py
@@ -25,7 +25,7 @@
 )
 from fennelfork_platform._items import read_event, read_item
 from fennelfork_platform._store import PlatformStore
-from fennelfork_platform._store_calls import StoreResponse
+from fennelfork_platform._store_client import StoreResponse
 from fennelfork_platform._suspicions import write_suspicion
 
 _CLOCK = manual_clock(ManualTime())
