--- a/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_families.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_families.py
@@ -68,7 +68,7 @@
         ),
         remembered_ids=Gauge(
             'fennelfork_execute_remembered',
-            'IDs of non-idempotent requests kept in memory.',
+            'Ids of non-idempotent requests kept in memory.',
             registry=registry,
         ),
     )
@@ -100,7 +100,7 @@
         ),
         extra_load=Histogram(
             'fennelfork_query_extra_load_ratio',
-            'Extra attempts for each sub-query that a query needs.',
+            'Hedges, retries and reruns for each sub-query needed.',
             _QUERY_LABELS,
             registry=registry,
             buckets=_EXTRA_LOAD_BUCKETS,
@@ -117,24 +117,24 @@
             (*_QUERY_LABELS, 'verdict', 'code'),
             registry=registry,
         ),
-        hedges=_by_front('hedges', 'Hedges of slow sub-queries', registry),
-        retries=_by_front('retries', 'Retries of sub-queries', registry),
+        hedges=_by_front('hedges', 'Second copies of slow sub-queries', registry),
+        retries=_by_front('retries', 'Sub-queries sent again', registry),
         sheds=_by_front('sheds', 'Sub-queries shed by servers', registry),
         dropped_replies=Counter(
             'fennelfork_dropped_replies',
-            'Discarded responses of backend servers, by reason.',
+            'Replies of servers thrown away, by what was wrong with them.',
             (_FRONT, 'reason'),
             registry=registry,
         ),
         control_bytes=Counter(
             'fennelfork_control_bytes',
-            'Bytes of control traffic, by channel and direction.',
+            'Bytes of control, by channel and direction.',
             ('channel', 'direction'),
             registry=registry,
         ),
         control_processor=Counter(
             'fennelfork_control_processor_seconds',
-            'Processor time of control traffic, by channel.',
+            'Processor time of control, by channel.',
             ('channel',),
             registry=registry,
         ),
@@ -145,7 +145,7 @@
     """Build the gauge of the active configuration version."""
     return Gauge(
         'fennelfork_config_version',
-        'Version of the active configuration.',
+        'Version of the configuration in force.',
         registry=registry,
     )
 
