--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -7,8 +7,8 @@
 import pytest
 
 from fennelfork_platform_bench.soak._checks import once_problems
-from fennelfork_platform_bench.soak._excuses import Excuses
-from fennelfork_platform_bench.soak._menu import draw_faults
+from fennelfork_platform_bench.soak._fault_catalogue import draw_faults
+from fennelfork_platform_bench.soak._fault_tracker import Excuses
 from fennelfork_platform_bench.soak._round import Size, run_platform_round
 
 _DAEMONS = ('vm-0', 'vm-1', 'vm-2')
