--- a/tests/test_platform_day.py
+++ b/tests/test_platform_day.py
@@ -9,7 +9,7 @@
 class TestDay:
     """Daemons, servers and the store fail while callers ask and check."""
 
-    def test_no_answer_is_wrong(self) -> None:
+    def test_responses_are_correct(self) -> None:
         """Every answer is whole or says what is missing; few get none."""
         report = run(seed=1)
         assert not report.failures
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from fennelfork_platform_bench.soak._checks import once_problems
-from fennelfork_platform_bench.soak._fault_catalogue import draw_faults
-from fennelfork_platform_bench.soak._fault_tracker import Excuses
+from fennelfork_platform_bench.soak._checks import duplicate_run_problems
+from fennelfork_platform_bench.soak._fault_catalogue import choose_faults
+from fennelfork_platform_bench.soak._fault_tracker import FaultTracker
 from fennelfork_platform_bench.soak._round import Size, run_platform_round
 
 _DAEMONS = ('vm-0', 'vm-1', 'vm-2')
@@ -29,73 +29,73 @@
 
 
 @pytest.mark.process
-class TestFatalRounds:
+class TestPoisonRounds:
     """Rounds in which requests come that end the servers which run them."""
 
     def test_round(self) -> None:
         """Few of their tries reach servers, and all is whole afterwards."""
-        assert not run_platform_round(4, Size(), fatal=True).broken
+        assert not run_platform_round(4, Size(), with_poison=True).broken
 
 
-class TestDraw:
+class TestChooseFaults:
     """What strikes is fixed by the seed."""
 
     def test_same_seed(self) -> None:
         """The same seed gives the same faults, another gives others."""
-        drawn = [
-            draw_faults(random.Random(seed), _DAEMONS) for seed in (7, 7, 8)
+        chosen = [
+            choose_faults(random.Random(seed), _DAEMONS) for seed in (7, 7, 8)
         ]
-        assert drawn[0] == drawn[1]
-        assert drawn[1] != drawn[2]
+        assert chosen[0] == chosen[1]
+        assert chosen[1] != chosen[2]
 
-    def test_every_kind_comes(self) -> None:
+    def test_every_fault_type_is_chosen(self) -> None:
         """Some hundred rounds leave no kind out."""
         kinds = Counter(
             type(fault).__name__
             for seed in range(100)
-            for fault in draw_faults(random.Random(seed), _DAEMONS)
+            for fault in choose_faults(random.Random(seed), _DAEMONS)
         )
         assert len(kinds) == 10
 
 
-class TestOnce:
+class TestDuplicateRuns:
     """Requests that may run once, as servers and callers saw them."""
 
-    def test_all_well(self, tmp_path: Path) -> None:
+    def test_no_duplicates(self, tmp_path: Path) -> None:
         """One run each, none of what was refused; a torn line counts not."""
         logs = _logs(tmp_path, '{"run": "a"}\n{"run": "b"}\n', '{"run": "a')
-        assert not list(once_problems({'c'}, logs))
+        assert not list(duplicate_run_problems({'c'}, logs))
 
-    def test_twice(self, tmp_path: Path) -> None:
+    def test_request_that_ran_twice(self, tmp_path: Path) -> None:
         """Two runs are told, also on different servers."""
         logs = _logs(tmp_path, '{"run": "a"}\n', '{"run": "a"}\n')
-        assert list(once_problems(set(), logs)) == [
+        assert list(duplicate_run_problems(set(), logs)) == [
             'a may run once and ran 2 times',
         ]
 
     def test_refused_and_run(self, tmp_path: Path) -> None:
         """A refusal that was not true is told."""
         logs = _logs(tmp_path, '{"run": "a"}\n')
-        assert list(once_problems({'a'}, logs)) == [
+        assert list(duplicate_run_problems({'a'}, logs)) == [
             'a was refused as not run, and ran',
         ]
 
 
-class TestExcuses:
+class TestFaultTracker:
     """Who cannot be expected to be up to date."""
 
-    def test_while_struck_and_after(self) -> None:
+    def test_affected_during_and_after_fault(self) -> None:
         """A fault excuses what was due before its end, and no other daemon."""
-        excuses = Excuses()
-        assert excuses.calm_since('vm-0', 0.1)
-        excuses.begin(('vm-0',))
-        excuses.begin(('vm-0',))
-        excuses.end(('vm-0',))
-        assert not excuses.calm_since('vm-0', float('inf'))
-        excuses.end(('vm-0',))
-        assert excuses.calm_since('vm-0', float('inf'))
-        assert not excuses.calm_since('vm-0', 0.1)
-        assert excuses.calm_since('vm-1', 0.1)
+        fault_tracker = FaultTracker()
+        assert fault_tracker.is_unaffected_since('vm-0', 0.1)
+        fault_tracker.record_start(('vm-0',))
+        fault_tracker.record_start(('vm-0',))
+        fault_tracker.record_end(('vm-0',))
+        assert not fault_tracker.is_unaffected_since('vm-0', float('inf'))
+        fault_tracker.record_end(('vm-0',))
+        assert fault_tracker.is_unaffected_since('vm-0', float('inf'))
+        assert not fault_tracker.is_unaffected_since('vm-0', 0.1)
+        assert fault_tracker.is_unaffected_since('vm-1', 0.1)
 
 
 def _logs(directory: Path, *texts: str) -> list[Path]:
