--- a/tests/test_platform_footprint.py
+++ b/tests/test_platform_footprint.py
@@ -1,19 +1,19 @@
-"""What one daemon costs before it serves anyone."""
+"""Resources of one idle daemon."""
 
 import pytest
 
 from fennelfork_platform_bench.footprint import run
 
-# Private memory is 23 MB; what a library more would cost shows here first.
+# Detects the memory of an additional library.
 _MAX_PRIVATE_MB = 27
 
 
 @pytest.mark.process
 class TestFootprint:
-    """The report, and a bound on what a daemon holds at rest."""
+    """Memory, start time and imported modules of an idle daemon."""
 
     def test_resource_bounds(self) -> None:
-        """The daemon on the platform stays small."""
+        """The daemon on the platform stays within its bounds."""
         report = run(seed=1)
         routes, fronts = report.arms
         assert routes.metrics['private_mb'] < _MAX_PRIVATE_MB
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -1,4 +1,4 @@
-"""The soak of the programs on the platform: short rounds, and its own checks."""
+"""Short rounds of the platform's soak test, and tests of its checks."""
 
 import random
 from collections import Counter
@@ -16,32 +16,31 @@
 
 @pytest.mark.process
 class TestRounds:
-    """Seeds that showed a fault once, with its cause."""
+    """Seeds of rounds that found a fault."""
 
     @pytest.mark.parametrize('seed', [10, 26, 28])
     def test_forgotten_watch(self, seed: int) -> None:
-        """The store forgets the watches for up to a second, and nothing else.
+        """Daemons detect that the store dropped their watches.
 
-        Two or three daemons served an old version 3.7 s after the next was
-        acknowledged: nothing bounded the age of what a watch tells.
+        Guards against daemons that keep an old configuration version.
         """
         assert not run_platform_round(seed, Size()).broken
 
 
 @pytest.mark.process
 class TestPoisonRounds:
-    """Rounds in which requests come that end the servers which run them."""
+    """Rounds with poison requests."""
 
     def test_round(self) -> None:
-        """Few of their tries reach servers, and all is whole afterwards."""
+        """Few attempts reach servers, and answers are complete afterwards."""
         assert not run_platform_round(4, Size(), with_poison=True).broken
 
 
 class TestChooseFaults:
-    """What strikes is fixed by the seed."""
+    """Random choice of the faults of a round."""
 
     def test_same_seed(self) -> None:
-        """The same seed gives the same faults, another gives others."""
+        """Equal seeds give equal faults, and different seeds others."""
         chosen = [
             choose_faults(random.Random(seed), _DAEMONS) for seed in (7, 7, 8)
         ]
@@ -49,7 +48,7 @@
         assert chosen[1] != chosen[2]
 
     def test_every_fault_type_is_chosen(self) -> None:
-        """Some hundred rounds leave no kind out."""
+        """A hundred rounds use every type of fault."""
         kinds = Counter(
             type(fault).__name__
             for seed in range(100)
@@ -59,22 +58,22 @@
 
 
 class TestDuplicateRuns:
-    """Requests that may run once, as servers and callers saw them."""
+    """Detection of non-idempotent requests that ran too often."""
 
     def test_no_duplicates(self, tmp_path: Path) -> None:
-        """One run each, none of what was refused; a torn line counts not."""
+        """Single runs are accepted, and a truncated line is ignored."""
         logs = _logs(tmp_path, '{"run": "a"}\n{"run": "b"}\n', '{"run": "a')
         assert not list(duplicate_run_problems({'c'}, logs))
 
     def test_request_that_ran_twice(self, tmp_path: Path) -> None:
-        """Two runs are told, also on different servers."""
+        """Two runs on different servers are reported."""
         logs = _logs(tmp_path, '{"run": "a"}\n', '{"run": "a"}\n')
         assert list(duplicate_run_problems(set(), logs)) == [
             'a may run once and ran 2 times',
         ]
 
     def test_refused_and_run(self, tmp_path: Path) -> None:
-        """A refusal that was not true is told."""
+        """A run of a request that was refused as not run is reported."""
         logs = _logs(tmp_path, '{"run": "a"}\n')
         assert list(duplicate_run_problems({'a'}, logs)) == [
             'a was refused as not run, and ran',
@@ -82,10 +81,10 @@
 
 
 class TestFaultTracker:
-    """Who cannot be expected to be up to date."""
+    """Record of the daemons that faults affect."""
 
     def test_affected_during_and_after_fault(self) -> None:
-        """A fault excuses what was due before its end, and no other daemon."""
+        """A fault affects only its daemon, and only until its end."""
         fault_tracker = FaultTracker()
         assert fault_tracker.is_unaffected_since('vm-0', 0.1)
         fault_tracker.record_start(('vm-0',))
