--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -69,14 +69,14 @@
         """Two runs on different servers are reported."""
         logs = _logs(tmp_path, '{"run": "a"}\n', '{"run": "a"}\n')
         assert list(duplicate_run_problems(set(), logs)) == [
-            'a may run once and ran 2 times',
+            'a is not idempotent and ran 2 times',
         ]
 
     def test_refused_and_run(self, tmp_path: Path) -> None:
         """A run of a request that was refused as not run is reported."""
         logs = _logs(tmp_path, '{"run": "a"}\n')
         assert list(duplicate_run_problems({'a'}, logs)) == [
-            'a was refused as not run, and ran',
+            'a was refused as not run but ran',
         ]
 
 
