--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
@@ -6,7 +6,7 @@
 
 from fennelfork_bench.history._server import DrainAsked
 from fennelfork_bench.soak._fault import End, Fault, begin, nothing
-from fennelfork_bench.soak._pick import pick, pick_spare, switch
+from fennelfork_bench.soak._targets import pick, pick_spare, switch
 from fennelfork_bench.soak._servers import order, server_events
 from fennelfork_bench.soak._trial import Trial
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_round.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_round.py
@@ -11,7 +11,7 @@
 from fennelfork_bench.rig._config import start_fleet
 from fennelfork_bench.rig._process import Rig, rig
 from fennelfork_bench.soak._caller import Habits
-from fennelfork_bench.soak._crew import Crew
+from fennelfork_bench.soak._workers import Crew
 from fennelfork_bench.soak._entry import await_entries
 from fennelfork_bench.soak._fault import Fault, strike
 from fennelfork_bench.soak._menu import small_fleet
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_trial.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_trial.py
@@ -16,12 +16,12 @@
 from fennelfork_bench.rig._process import Process
 from fennelfork_bench.rig._specs import FrontSpec
 from fennelfork_bench.soak._caller import Caller, Habits
-from fennelfork_bench.soak._crew import Crew
+from fennelfork_bench.soak._workers import Crew
 from fennelfork_bench.soak._entry import EntryBook
-from fennelfork_bench.soak._index import index_truth
+from fennelfork_bench.soak._ground_truth import index_truth
 from fennelfork_bench.soak._operator import Operator
 from fennelfork_bench.soak._servers import server_events
-from fennelfork_bench.soak._versions import note_document, note_version
+from fennelfork_bench.soak._config_versions import note_document, note_version
 
 _FIRST_SNAPSHOT: Final = 1
 _POLL_S: Final = 0.1
