--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/__init__.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The randomized soak."""
+"""Randomized soak test that injects faults into real processes."""
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_caller.py
@@ -1,4 +1,4 @@
-"""A caller that asks one request after the other and notes all of it."""
+"""Caller of the soak test: sends requests in sequence and records them."""
 
 import itertools
 import json
@@ -29,67 +29,67 @@
 )
 from fennelfork_bench.history._history import Recorder
 from fennelfork_bench.rig import _http as http
-from fennelfork_bench.soak._entry import Entry, EntryBook
-from fennelfork_bench.soak._replies import ended
+from fennelfork_bench.soak._entry import Entry, EntryCache
+from fennelfork_bench.soak._replies import classify_reply
 
 _MS_PER_S: Final = 1000
-_PATIENCE_MS: Final = 3000
-_ENTRY_PAUSE_S: Final = 0.05
-_TEXTS: Final = ('raft', 'due', 'flare 0')
-_FEW_KEYS: Final = 6
-_TRIES: Final = 3
+_EXTRA_TIMEOUT_MS: Final = 3000
+_ENTRY_RETRY_PAUSE_S: Final = 0.05
+_QUERY_TEXTS: Final = ('raft', 'due', 'flare 0')
+_KEYS_PER_QUERY: Final = 6
+_MAX_ATTEMPTS: Final = 3
 
 
 @attrs.frozen(kw_only=True)
-class Habits:
-    """How a caller asks.
+class CallerProfile:
+    """Parameters of the requests that a caller sends.
 
     Attributes:
-        front: the front it asks.
-        keys: key space of that front.
-        deadline_ms: the deadline of each request.
-        pause_ms: mean time between two requests.
+        front: name of the front that receives the requests.
+        keys: number of keys in the key space of the front.
+        deadline_ms: deadline of each request, in milliseconds.
+        mean_pause_ms: mean pause between two requests, in milliseconds.
         execute_share: share of requests that are not idempotent.
-        partial_share: share of queries that take a partial answer.
+        partial_share: share of queries that accept a partial answer.
     """
 
     front: str
     keys: int
     deadline_ms: int = 1500
-    pause_ms: float = 20
+    mean_pause_ms: float = 20
     execute_share: float = 0.25
     partial_share: float = 0.4
 
 
 @attrs.define(kw_only=True)
 class Caller:
-    """One caller; its requests follow one another."""
+    """Caller that has at most one request in flight."""
 
     name: str
-    habits: Habits
+    profile: CallerProfile
     recorder: Recorder
-    entries: EntryBook
+    entries: EntryCache
     _randomness: random.Random
-    _numbers: 'itertools.count[int]' = attrs.field(factory=itertools.count)
+    _serials: 'itertools.count[int]' = attrs.field(factory=itertools.count)
 
-    def ask_one(self) -> None:
-        """Make one request, with the tries that it takes, and pause."""
+    def send_one_request(self) -> None:
+        """Send one request, with retries of an execution, and pause."""
         entry = self.entries.current()
         if entry is None:
-            time.sleep(_ENTRY_PAUSE_S)
+            time.sleep(_ENTRY_RETRY_PAUSE_S)
             return
-        if self._randomness.random() < self.habits.execute_share:
-            self._execute(entry)
+        if self._randomness.random() < self.profile.execute_share:
+            self._send_execution(entry)
         else:
-            self._query(entry)
-        mean_s = self.habits.pause_ms / _MS_PER_S
+            self._send_query(entry)
+        mean_s = self.profile.mean_pause_ms / _MS_PER_S
         time.sleep(self._randomness.uniform(0, 2 * mean_s))
 
-    def _query(self, entry: Entry) -> None:
+    def _send_query(self, entry: Entry) -> None:
         asked = QueryAsked(
-            **self._common(entry, self._next_id()),
+            **self._common_fields(entry, self._next_request_id()),
             query=json.dumps(self._draw_query(), sort_keys=True),
-            whole=self._randomness.random() >= self.habits.partial_share,
+            whole=self._randomness.random() >= self.profile.partial_share,
             floor=0,
         )
         body = {
@@ -101,87 +101,91 @@
         }
         self._send(asked, 'query', body)
 
-    def _execute(self, entry: Entry) -> None:
-        name = self._next_id()
-        key = self._randomness.randrange(self.habits.keys)
-        once = OnceCaller()
-        for _ in range(self._randomness.choice((1, _TRIES))):
+    def _send_execution(self, entry: Entry) -> None:
+        name = self._next_request_id()
+        key = self._randomness.randrange(self.profile.keys)
+        once_caller = OnceCaller()
+        for _ in range(self._randomness.choice((1, _MAX_ATTEMPTS))):
             asked = ExecuteAsked(
-                **self._common(entry, f'{name}@{entry.serial}'),
+                **self._common_fields(entry, f'{name}@{entry.serial}'),
                 key=key,
                 action='issue',
             )
             body = {'key': key, 'action': 'issue', 'ticket': entry.ticket}
             end = self._send(asked, 'execute', body)
-            step = once.next_step(caller_event(end), self._left_ms(entry))
-            fresh = self._entry_for_retry(entry, step)
-            if fresh is None:
+            step = once_caller.next_step(
+                caller_event(end), self._ticket_left_ms(entry)
+            )
+            next_entry = self._entry_for_retry(entry, step)
+            if next_entry is None:
                 return
-            entry = fresh
+            entry = next_entry
 
     def _entry_for_retry(
         self,
         entry: Entry,
         step: CallerStep,
     ) -> Entry | None:
-        """Give what to use for another try, none if there is to be none."""
+        """Return the entry for the next attempt, or `None` to stop."""
         if step is CallerStep.ASK_AGAIN:
             return entry
-        return self._renewed() if step is CallerStep.RENEW else None
+        return self._renew_entry() if step is CallerStep.RENEW else None
 
-    def _left_ms(self, entry: Entry) -> float:
+    def _ticket_left_ms(self, entry: Entry) -> float:
         return entry.until_ms - self.recorder.now_ms()
 
-    def _renewed(self) -> Entry | None:
-        self.entries.forget()
+    def _renew_entry(self) -> Entry | None:
+        self.entries.invalidate()
         return self.entries.current()
 
-    def _send(self, asked: Asked, call: str, body: dict[str, Any]) -> Ended:
+    def _send(
+        self, asked: Asked, operation: str, body: dict[str, Any]
+    ) -> Ended:
         self.recorder.note(asked)
         reply = http.post(
             asked.daemon,
-            f'/v1/fronts/{asked.front}/{call}',
+            f'/v1/fronts/{asked.front}/{operation}',
             {
                 'request_id': asked.request_id,
-                'deadline_ms': self.habits.deadline_ms,
+                'deadline_ms': self.profile.deadline_ms,
                 'tenant': 'salvare',
                 'class': 'counter',
                 **body,
             },
-            self.habits.deadline_ms + _PATIENCE_MS,
+            self.profile.deadline_ms + _EXTRA_TIMEOUT_MS,
         )
-        end = ended(asked, reply, self.recorder.now_ms())
+        end = classify_reply(asked, reply, self.recorder.now_ms())
         self.recorder.note(end)
         if isinstance(end, ConnectionCut | ConnectRefused):
-            self.entries.forget()
+            self.entries.invalidate()
         return end
 
-    def _common(self, entry: Entry, request_id: str) -> dict[str, Any]:
+    def _common_fields(self, entry: Entry, request_id: str) -> dict[str, Any]:
         return {
             'at_ms': self.recorder.now_ms(),
-            'attempt': f'{self.name}-try-{next(self._numbers)}',
+            'attempt': f'{self.name}-try-{next(self._serials)}',
             'request_id': request_id,
             'caller': self.name,
             'daemon': self._randomness.choice(entry.addresses),
             'entry_until_ms': entry.until_ms,
-            'front': self.habits.front,
+            'front': self.profile.front,
         }
 
-    def _next_id(self) -> str:
-        return f'{self.name}-{next(self._numbers)}'
+    def _next_request_id(self) -> str:
+        return f'{self.name}-{next(self._serials)}'
 
     def _draw_query(self) -> dict[str, Any]:
         kind = self._randomness.randrange(3)
         if kind == 0:
             return {}
         if kind == 1:
-            return {'text': self._randomness.choice(_TEXTS)}
-        wanted = range(self.habits.keys)
-        return {'keys': self._randomness.sample(wanted, _FEW_KEYS)}
+            return {'text': self._randomness.choice(_QUERY_TEXTS)}
+        all_keys = range(self.profile.keys)
+        return {'keys': self._randomness.sample(all_keys, _KEYS_PER_QUERY)}
 
 
 def caller_event(end: Ended) -> CallerEvent:
-    """Put the end of a try in the words of `OnceCaller`."""
+    """Convert the end of an attempt to an event for `OnceCaller`."""
     if isinstance(end, ConnectRefused):
         return ConnectFailed()
     if isinstance(end, Refused):
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_config_versions.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_config_versions.py
@@ -1,4 +1,4 @@
-"""Watches which configuration each daemon says is in force."""
+"""Records of the configuration versions of daemons and platform."""
 
 import base64
 import json
@@ -13,14 +13,14 @@
 from fennelfork_bench.rig._platform import Platform
 from fennelfork_bench.rig._process import Process, RigError
 
-_TIMEOUT_MS: Final = 1000
-_KEY: Final = base64.b64encode(b'/fennelfork/config').decode()
+_REQUEST_TIMEOUT_MS: Final = 1000
+_CONFIG_KEY_BASE64: Final = base64.b64encode(b'/fennelfork/config').decode()
 
 
-def note_version(recorder: Recorder, daemon: Process) -> None:
-    """Note the version that a daemon says it runs, if it answers."""
+def record_active_version(recorder: Recorder, daemon: Process) -> None:
+    """Record the active version of a daemon if the daemon answers."""
     address = daemon.ready['operator']
-    reply = http.get(address, '/v1/config', _TIMEOUT_MS)
+    reply = http.get(address, '/v1/config', _REQUEST_TIMEOUT_MS)
     if reply.fine and 'version' in reply.body:
         text = json.dumps(reply.body, sort_keys=True).encode()
         recorder.note(
@@ -33,19 +33,21 @@
         )
 
 
-def note_document(recorder: Recorder, platform: Platform) -> None:
-    """Note the document that the platform itself holds.
+def record_stored_document(recorder: Recorder, platform: Platform) -> None:
+    """Record the configuration document in the platform's key-value store.
 
     Raises:
-        RigError: if it gives none.
+        RigError: if the store returns no document.
     """
     reply = http.post(
         platform.key_value_address,
         '/v3/kv/range',
-        {'key': _KEY},
+        {'key': _CONFIG_KEY_BASE64},
     )
     if not reply.fine or not reply.body.get('kvs'):
-        raise RigError(f'no document in the platform: {reply}')
+        raise RigError(
+            f'the key-value store has no configuration document: {reply}'
+        )
     value = base64.b64decode(reply.body['kvs'][0]['value'])
     document = json.loads(value)
     recorder.note(
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_counts.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_counts.py
@@ -1,4 +1,4 @@
-"""Counts what happened in a round of the soak."""
+"""Counts of the events in a round of the soak test."""
 
 import collections
 from typing import Final
@@ -24,9 +24,9 @@
 from fennelfork_bench.soak._round import Round
 
 Counts = collections.Counter[str]
-_Kinds = dict[str, type[Event]]
+_EventTypes = dict[str, type[Event]]
 
-_KINDS: Final[_Kinds] = {
+_EVENT_TYPES: Final[_EventTypes] = {
     'tries': Asked,
     'query answers': QueryAnswered,
     'execute answers': ExecuteAnswered,
@@ -42,22 +42,22 @@
 }
 
 
-def count(done: Round) -> Counts:
-    """Count the events of a round by kind, and its broken promises."""
+def count_events(done: Round) -> Counts:
+    """Count the events of a round by type, and the violated guarantees."""
     history = done.history
     counts = Counts(rounds=1, faults=len(done.faults))
-    for name, kind in _KINDS.items():
-        counts[name] = len(history.of(kind))
-    counts['partial answers'] = _partial(history)
-    counts['unknown verdicts'] = _unsure(history)
+    for name, event_type in _EVENT_TYPES.items():
+        counts[name] = len(history.of(event_type))
+    counts['partial answers'] = _count_partial_answers(history)
+    counts['unknown verdicts'] = _count_unknown_verdicts(history)
     counts['promises broken'] = len(done.violations)
     return counts
 
 
-def _partial(history: History) -> int:
+def _count_partial_answers(history: History) -> int:
     return sum(not end.complete for end in history.of(QueryAnswered))
 
 
-def _unsure(history: History) -> int:
+def _count_unknown_verdicts(history: History) -> int:
     refusals = history.of(Refused)
     return sum(end.verdict is Verdict.MAY_HAVE_RUN for end in refusals)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_entry.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_entry.py
@@ -1,4 +1,4 @@
-"""Asks the system which of its addresses to use, as callers do."""
+"""Entries of the caller API: daemon addresses and a ticket."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -11,19 +11,19 @@
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import wait_until
 
-_TIMEOUT_MS: Final = 500
-_KNOWN_CAP_S: Final = 30
+_REQUEST_TIMEOUT_MS: Final = 500
+_ENTRIES_TIMEOUT_S: Final = 30
 
 
 @attrs.frozen(kw_only=True)
 class Entry:
-    """What one entry answer says.
+    """Answer of a daemon to `GET /v1/entries`.
 
     Attributes:
         addresses: caller addresses of daemons, best first.
-        until_ms: end of the time in which it may be used.
-        ticket: binds executions to one daemon.
-        serial: names the ticket in the ids of its executions.
+        until_ms: time at which the entry expires, in milliseconds.
+        ticket: token that binds executions to one daemon.
+        serial: name of the ticket in the request ids of executions.
     """
 
     addresses: tuple[str, ...]
@@ -33,61 +33,63 @@
 
 
 @attrs.define(kw_only=True)
-class EntryBook:
-    """Keeps one entry answer for as long as it says.
+class EntryCache:
+    """Cache of one entry until its expiry.
 
     Attributes:
-        known: gives addresses of daemons that may be asked.
+        known_addresses: function that returns caller addresses of daemons.
     """
 
-    known: Callable[[], Sequence[str]]
+    known_addresses: Callable[[], Sequence[str]]
     _clock: Clock
     _randomness: random.Random
     _entry: Entry | None = None
 
     def current(self) -> Entry | None:
-        """Give a valid entry; none if no daemon gives one now."""
+        """Return a valid entry, or `None` if no daemon provides one."""
         entry = self._entry
         if entry is None or self._clock.now_ms() >= entry.until_ms:
-            self._entry = self._ask()
+            self._entry = self._fetch()
         return self._entry
 
-    def forget(self) -> None:
-        """Ask anew before the next request."""
+    def invalidate(self) -> None:
+        """Discard the cached entry."""
         self._entry = None
 
-    def _ask(self) -> Entry | None:
-        known = list(self.known())
-        self._randomness.shuffle(known)
-        for address in known:
+    def _fetch(self) -> Entry | None:
+        known_addresses = list(self.known_addresses())
+        self._randomness.shuffle(known_addresses)
+        for address in known_addresses:
             asked_ms = self._clock.now_ms()
-            reply = http.get(address, '/v1/entries', _TIMEOUT_MS)
-            # A daemon that leaves still names others, but gives no ticket.
+            reply = http.get(address, '/v1/entries', _REQUEST_TIMEOUT_MS)
+            # A leaving daemon lists other daemons but issues no ticket.
             if reply.fine and reply.body['ticket']:
-                return _entry(reply.body, asked_ms)
+                return _parse_entry(reply.body, asked_ms)
         return None
 
 
 def await_entries(fleet: Fleet) -> None:
-    """Wait until every daemon names every daemon to callers.
+    """Wait until the entries of every daemon list all daemons.
 
     Raises:
-        RigError: if that does not come within 30 s.
+        RigError: if a daemon is still missing after the timeout.
     """
-    everyone = set(fleet.callers)
+    all_addresses = set(fleet.callers)
     wait_until(
-        lambda: all(_named_by(each) == everyone for each in everyone),
-        _KNOWN_CAP_S,
-        'all daemons in every entry answer',
+        lambda: all(
+            _listed_addresses(each) == all_addresses for each in all_addresses
+        ),
+        _ENTRIES_TIMEOUT_S,
+        'the entries of every daemon to list all daemons',
     )
 
 
-def _named_by(address: str) -> set[str]:
-    reply = http.get(address, '/v1/entries', _TIMEOUT_MS)
+def _listed_addresses(address: str) -> set[str]:
+    reply = http.get(address, '/v1/entries', _REQUEST_TIMEOUT_MS)
     return {each['address'] for each in reply.body.get('entries', ())}
 
 
-def _entry(body: dict[str, Any], asked_ms: float) -> Entry:
+def _parse_entry(body: dict[str, Any], asked_ms: float) -> Entry:
     return Entry(
         addresses=tuple(each['address'] for each in body['entries']),
         until_ms=asked_ms + body['ttl_ms'],
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault.py
@@ -1,4 +1,4 @@
-"""What every injected fault has in common: it begins, lasts and ends."""
+"""Base of all faults: injection, duration and clearing."""
 
 import functools
 import time
@@ -9,52 +9,53 @@
 from fennelfork_bench.history._daemon import FaultChanged
 from fennelfork_bench.soak._trial import Trial
 
-# What ends a fault.
-End = Callable[[], None]
+# Function that clears an injected fault.
+Clear = Callable[[], None]
 
 
 @attrs.frozen(kw_only=True)
 class Fault:
-    """A fault of one kind; its target is drawn when it strikes.
+    """Fault of one kind; the target is drawn at injection.
 
     Attributes:
-        hold_s: how long it lasts.
+        hold_s: duration of the fault, in seconds.
     """
 
     hold_s: float = 1
 
 
 @functools.singledispatch
-def begin(fault: Fault, trial: Trial) -> End:
-    """Let a fault begin.
+def inject(fault: Fault, context: Trial) -> Clear:
+    """Inject a fault.
 
     Args:
-        fault: which.
-        trial: whose processes it strikes and whose history it enters.
+        fault: fault to inject.
+        context: round whose processes are affected.
 
     Returns:
-        What ends it again; nothing that can't be undone is.
+        Function that clears the fault; `clear_nothing` if the fault is
+        permanent or clears itself.
     """
-    raise TypeError(f'no fault: {fault!r}')
+    raise TypeError(f'no injection is registered for {fault!r}')
 
 
-def strike(fault: Fault, trial: Trial) -> None:
-    """Let a fault begin, last and end."""
-    end = begin(fault, trial)
-    _note(fault, trial, active=True)
+def run_fault(fault: Fault, context: Trial) -> None:
+    """Inject a fault, wait for `hold_s`, and clear the fault."""
+    clear = inject(fault, context)
+    _record_change(fault, context, active=True)
     time.sleep(fault.hold_s)
-    end()
-    _note(fault, trial, active=False)
+    clear()
+    _record_change(fault, context, active=False)
 
 
-def nothing() -> None:
-    """End a fault that can't be undone."""
+def clear_nothing() -> None:
+    """Do nothing, for faults that are permanent or clear themselves."""
 
 
-def _note(fault: Fault, trial: Trial, *, active: bool) -> None:
-    trial.recorder.note(
+def _record_change(fault: Fault, context: Trial, *, active: bool) -> None:
+    context.recorder.note(
         FaultChanged(
-            at_ms=trial.recorder.now_ms(),
+            at_ms=context.recorder.now_ms(),
             fault=type(fault).__name__,
             target=repr(fault),
             active=active,
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
@@ -1,4 +1,4 @@
-"""Faults of daemons: killed, paused, stopped."""
+"""Faults of daemons: kill, pause and planned stop."""
 
 import functools
 from typing import Final
@@ -13,90 +13,92 @@
     StopAsked,
 )
 from fennelfork_bench.rig._process import Process
-from fennelfork_bench.soak._fault import End, Fault, begin
+from fennelfork_bench.soak._fault import Clear, Fault, inject
 from fennelfork_bench.soak._trial import Trial
 
-_STOP_CAP_S: Final = 60
+_STOP_TIMEOUT_S: Final = 60
 
 
 @attrs.frozen(kw_only=True)
 class KillDaemon(Fault):
-    """A daemon is killed, and later a new run of it is started."""
+    """Kill a daemon, and start a new incarnation when cleared."""
 
 
 @attrs.frozen(kw_only=True)
 class PauseDaemon(Fault):
-    """A daemon stands still, its connections open."""
+    """Suspend a daemon process; its connections stay open."""
 
 
 @attrs.frozen(kw_only=True)
 class StopDaemon(Fault):
-    """A daemon is asked to stop, and a new run follows when it has."""
+    """Stop a daemon gracefully, and start a new incarnation after the exit."""
 
 
-@begin.register
-def _kill(fault: KillDaemon, trial: Trial) -> End:
-    victim = _pick(trial)
-    victim.kill()
-    trial.recorder.note(
-        Killed(at_ms=trial.recorder.now_ms(), daemon=victim.ready['caller']),
+@inject.register
+def _inject_kill(fault: KillDaemon, context: Trial) -> Clear:
+    daemon = _draw_daemon(context)
+    daemon.kill()
+    context.recorder.note(
+        Killed(at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']),
     )
-    trial.fleet.list_vms()
-    return functools.partial(_start_again, trial, victim)
+    context.fleet.list_vms()
+    return functools.partial(_restart, context, daemon)
 
 
-@begin.register
-def _pause(fault: PauseDaemon, trial: Trial) -> End:
-    victim = _pick(trial)
-    trial.recorder.note(
-        Paused(at_ms=trial.recorder.now_ms(), daemon=victim.ready['caller']),
+@inject.register
+def _inject_pause(fault: PauseDaemon, context: Trial) -> Clear:
+    daemon = _draw_daemon(context)
+    context.recorder.note(
+        Paused(at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']),
     )
-    victim.pause()
-    return functools.partial(_resume, trial, victim)
-
-
-@begin.register
-def _stop(fault: StopDaemon, trial: Trial) -> End:
-    victim = _pick(trial)
-    trial.fleet.mark_leaving(victim.name)
-    trial.recorder.note(
-        StopAsked(at_ms=trial.recorder.now_ms(), daemon=victim.ready['caller']),
+    daemon.pause()
+    return functools.partial(_resume, context, daemon)
+
+
+@inject.register
+def _inject_stop(fault: StopDaemon, context: Trial) -> Clear:
+    daemon = _draw_daemon(context)
+    context.fleet.mark_leaving(daemon.name)
+    context.recorder.note(
+        StopAsked(
+            at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']
+        ),
     )
-    victim.terminate()
-    return functools.partial(_await_exit, trial, victim)
+    daemon.terminate()
+    return functools.partial(_await_exit, context, daemon)
 
 
-def _resume(trial: Trial, victim: Process) -> None:
-    victim.resume()
-    trial.recorder.note(
-        Resumed(at_ms=trial.recorder.now_ms(), daemon=victim.ready['caller']),
+def _resume(context: Trial, daemon: Process) -> None:
+    daemon.resume()
+    context.recorder.note(
+        Resumed(at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']),
     )
 
 
-def _await_exit(trial: Trial, victim: Process) -> None:
-    status = victim.wait(_STOP_CAP_S)
+def _await_exit(context: Trial, daemon: Process) -> None:
+    status = daemon.wait(_STOP_TIMEOUT_S)
     if status is not None:
-        trial.recorder.note(
+        context.recorder.note(
             Exited(
-                at_ms=trial.recorder.now_ms(),
-                daemon=victim.ready['caller'],
+                at_ms=context.recorder.now_ms(),
+                daemon=daemon.ready['caller'],
                 status=status,
             ),
         )
-        _start_again(trial, victim)
+        _restart(context, daemon)
 
 
-def _start_again(trial: Trial, victim: Process) -> None:
-    fleet = trial.fleet
-    if fleet.daemons[victim.name] is not victim:
+def _restart(context: Trial, daemon: Process) -> None:
+    fleet = context.fleet
+    if fleet.daemons[daemon.name] is not daemon:
         return
-    # Noted before anyone asks it for its version: the time that it has to
-    # take the configuration begins with its start.
+    # Recorded as soon as the daemon is ready: the checker measures the delay
+    # of the configuration from the start.
     fleet.start_daemons(
-        [fleet.daemon_spec(victim.name)],
-        trial.note_started,
+        [fleet.daemon_spec(daemon.name)],
+        context.record_start,
     )
 
 
-def _pick(trial: Trial) -> Process:
-    return trial.randomness.choice(trial.fleet.living)
+def _draw_daemon(context: Trial) -> Process:
+    return context.randomness.choice(context.fleet.living)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_index.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_index.py
@@ -1,4 +1,4 @@
-"""Changes of the index under running queries."""
+"""Faults of the index: new snapshots and moved shard boundaries."""
 
 import functools
 import time
@@ -6,50 +6,50 @@
 
 import attrs
 
-from fennelfork_bench.soak._fault import End, Fault, begin
+from fennelfork_bench.soak._fault import Clear, Fault, inject
 from fennelfork_bench.soak._servers import order
 from fennelfork_bench.soak._trial import Trial
 
-_STAGGER_S: Final = 0.05
+_PAUSE_BETWEEN_SERVERS_S: Final = 0.05
 
 
 @attrs.frozen(kw_only=True)
 class NextSnapshot(Fault):
-    """Servers take up a new snapshot one by one, then drop the old."""
+    """Load a new snapshot server by server, then drop the old ones."""
 
 
 @attrs.frozen(kw_only=True)
 class Repartition(Fault):
-    """Records move between two shards with the next snapshot."""
+    """Move the boundary between two shards with the next snapshot."""
 
 
-@begin.register
-def _next_snapshot(fault: NextSnapshot, trial: Trial) -> End:
-    version = max(trial.snapshots) + 1
-    _publish(trial, version, keep=tuple(trial.snapshots))
-    return functools.partial(_publish, trial, version, keep=())
+@inject.register
+def _inject_next_snapshot(fault: NextSnapshot, context: Trial) -> Clear:
+    version = max(context.snapshots) + 1
+    _load_snapshot(context, version, keep=tuple(context.snapshots))
+    return functools.partial(_load_snapshot, context, version, keep=())
 
 
-@begin.register
-def _repartition(fault: Repartition, trial: Trial) -> End:
-    first, second = trial.front.shards[:2]
-    low = trial.layout[first.servers[0].name][0]
-    high = trial.layout[second.servers[0].name][1]
-    border = trial.randomness.randrange(low + 1, high)
-    trial.layout |= {each.name: (low, border) for each in first.servers}
-    trial.layout |= {each.name: (border, high) for each in second.servers}
-    version = max(trial.snapshots) + 1
-    _publish(trial, version, keep=tuple(trial.snapshots))
-    return functools.partial(_publish, trial, version, keep=())
+@inject.register
+def _inject_repartition(fault: Repartition, context: Trial) -> Clear:
+    first, second = context.front.shards[:2]
+    low = context.layout[first.servers[0].name][0]
+    high = context.layout[second.servers[0].name][1]
+    boundary = context.randomness.randrange(low + 1, high)
+    context.layout |= {each.name: (low, boundary) for each in first.servers}
+    context.layout |= {each.name: (boundary, high) for each in second.servers}
+    version = max(context.snapshots) + 1
+    _load_snapshot(context, version, keep=tuple(context.snapshots))
+    return functools.partial(_load_snapshot, context, version, keep=())
 
 
-def _publish(trial: Trial, version: int, keep: tuple[int, ...]) -> None:
-    trial.snapshots.add(version)
-    servers = list(trial.fleet.backends.values())
-    trial.randomness.shuffle(servers)
+def _load_snapshot(context: Trial, version: int, keep: tuple[int, ...]) -> None:
+    context.snapshots.add(version)
+    servers = list(context.fleet.backends.values())
+    context.randomness.shuffle(servers)
     for server in servers:
         if server.alive:
-            lo, hi = trial.layout[server.name]
+            lo, hi = context.layout[server.name]
             body = {'version': version, 'ranges': [[lo, hi]], 'keep': keep}
             order(server, 'snapshot', body)
-            time.sleep(_STAGGER_S)
+            time.sleep(_PAUSE_BETWEEN_SERVERS_S)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_platform.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_platform.py
@@ -1,4 +1,4 @@
-"""Faults of the platform's service and of its list of VMs."""
+"""Faults of the platform's key-value store and VM list."""
 
 import functools
 from typing import Any
@@ -6,16 +6,16 @@
 import attrs
 
 from fennelfork_bench.rig import _http as http
-from fennelfork_bench.soak._fault import End, Fault, begin
+from fennelfork_bench.soak._fault import Clear, Fault, inject
 from fennelfork_bench.soak._trial import Trial
 
 
 @attrs.frozen(kw_only=True)
 class PlatformFault(Fault):
-    """The key-value service misbehaves.
+    """Set fault switches of the stand-in for the key-value store.
 
     Attributes:
-        switches: in the words of the stand-in.
+        switches: values of the switches, by name.
     """
 
     switches: dict[str, Any]
@@ -23,10 +23,10 @@
 
 @attrs.frozen(kw_only=True)
 class VmListDown(Fault):
-    """The list of VMs answers nothing."""
+    """Make the VM list unavailable."""
 
 
-_HEALTHY = {
+_HEALTHY_SWITCHES = {
     'down': False,
     'slow_ms': 0,
     'lose_replies': 0,
@@ -35,20 +35,20 @@
 }
 
 
-@begin.register
-def _switch_platform(fault: PlatformFault, trial: Trial) -> End:
-    platform = trial.fleet.platform
+@inject.register
+def _inject_platform_fault(fault: PlatformFault, context: Trial) -> Clear:
+    platform = context.fleet.platform
     platform.switch(**fault.switches)
-    healthy = {name: _HEALTHY[name] for name in fault.switches}
+    healthy = {name: _HEALTHY_SWITCHES[name] for name in fault.switches}
     return functools.partial(platform.switch, **healthy)
 
 
-@begin.register
-def _vm_list_down(fault: VmListDown, trial: Trial) -> End:
-    _switch_list(trial, down=True)
-    return functools.partial(_switch_list, trial, down=False)
+@inject.register
+def _inject_vm_list_down(fault: VmListDown, context: Trial) -> Clear:
+    _set_vm_list_down(context, down=True)
+    return functools.partial(_set_vm_list_down, context, down=False)
 
 
-def _switch_list(trial: Trial, *, down: bool) -> None:
-    address = trial.fleet.platform.vm_list_address
+def _set_vm_list_down(context: Trial, *, down: bool) -> None:
+    address = context.fleet.platform.vm_list_address
     http.post(address, '/control/faults', {'down': down})
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
@@ -1,39 +1,43 @@
-"""Faults of backend servers: lost, frozen, silent, false or leaving."""
+"""Faults of backend servers: crashes, stalls, bad replies, draining."""
 
 import functools
 
 import attrs
 
 from fennelfork_bench.history._server import DrainAsked
-from fennelfork_bench.soak._fault import End, Fault, begin, nothing
-from fennelfork_bench.soak._targets import pick, pick_spare, switch
+from fennelfork_bench.soak._fault import Clear, Fault, clear_nothing, inject
 from fennelfork_bench.soak._servers import order, server_events
+from fennelfork_bench.soak._targets import (
+    draw_redundant_server,
+    draw_server,
+    set_server_faults,
+)
 from fennelfork_bench.soak._trial import Trial
 
 
 @attrs.frozen(kw_only=True)
 class KillServer(Fault):
-    """A replica is lost for good, without warning."""
+    """Kill a backend server permanently."""
 
 
 @attrs.frozen(kw_only=True)
 class FreezeServer(Fault):
-    """A server stands still, its connections open."""
+    """Freeze a backend server; its connections stay open."""
 
 
 @attrs.frozen(kw_only=True)
 class SilenceConnections(Fault):
-    """Open connections of a server go silent; new ones work."""
+    """Stop responses on open connections; new connections work."""
 
 
 @attrs.frozen(kw_only=True)
 class SpoilReplies(Fault):
-    """Some replies of a server are spoiled.
+    """Corrupt, delay or drop a share of the responses of a server.
 
     Attributes:
-        kind: how, in the words of the stand-in.
-        share: probability that a reply is spoiled.
-        delay_ms: for late replies, how late.
+        kind: kind of the fault rule of the stand-in.
+        share: probability that a response is affected.
+        delay_ms: delay of late responses, in milliseconds.
     """
 
     kind: str
@@ -43,56 +47,57 @@
 
 @attrs.frozen(kw_only=True)
 class DrainServer(Fault):
-    """A server is told to leave, and does not come back.
+    """Drain a backend server permanently.
 
     Attributes:
-        lies: whether its health and load say that it serves and is idle.
+        lies: whether the health response still reports an idle, serving
+            server.
     """
 
     lies: bool = False
 
 
-@begin.register
-def _kill(fault: KillServer, trial: Trial) -> End:
-    victim = pick_spare(trial)
-    # A frozen server runs nothing more: its log is whole when it is read.
-    order(victim, 'faults', {'freeze_ms': 60_000})
-    for event in server_events(victim):
-        trial.recorder.note(event)
-    victim.kill()
-    return nothing
+@inject.register
+def _inject_kill(fault: KillServer, context: Trial) -> Clear:
+    server = draw_redundant_server(context)
+    # A frozen server runs no further work, so the log is complete.
+    order(server, 'faults', {'freeze_ms': 60_000})
+    for event in server_events(server):
+        context.recorder.note(event)
+    server.kill()
+    return clear_nothing
 
 
-@begin.register
-def _freeze(fault: FreezeServer, trial: Trial) -> End:
-    switch(pick(trial), freeze_ms=1000 * fault.hold_s)
-    return nothing
+@inject.register
+def _inject_freeze(fault: FreezeServer, context: Trial) -> Clear:
+    set_server_faults(draw_server(context), freeze_ms=1000 * fault.hold_s)
+    return clear_nothing
 
 
-@begin.register
-def _silence(fault: SilenceConnections, trial: Trial) -> End:
-    switch(pick(trial), silence=True)
-    return nothing
+@inject.register
+def _inject_silence(fault: SilenceConnections, context: Trial) -> Clear:
+    set_server_faults(draw_server(context), silence=True)
+    return clear_nothing
 
 
-@begin.register
-def _spoil(fault: SpoilReplies, trial: Trial) -> End:
-    victim = pick(trial)
+@inject.register
+def _inject_reply_fault(fault: SpoilReplies, context: Trial) -> Clear:
+    server = draw_server(context)
     rule = {
         'kind': fault.kind,
         'share': fault.share,
         'delay_ms': fault.delay_ms,
     }
-    switch(victim, rules=[rule])
-    return functools.partial(switch, victim)
+    set_server_faults(server, rules=[rule])
+    return functools.partial(set_server_faults, server)
 
 
-@begin.register
-def _drain(fault: DrainServer, trial: Trial) -> End:
-    victim = pick_spare(trial)
+@inject.register
+def _inject_drain(fault: DrainServer, context: Trial) -> Clear:
+    server = draw_redundant_server(context)
     if fault.lies:
-        switch(victim, health={'state': 'serving', 'busy': 0})
-    order(victim, 'drain', {'draining': True})
-    now_ms = trial.recorder.now_ms()
-    trial.recorder.note(DrainAsked(at_ms=now_ms, server=victim.name))
-    return nothing
+        set_server_faults(server, health={'state': 'serving', 'busy': 0})
+    order(server, 'drain', {'draining': True})
+    now_ms = context.recorder.now_ms()
+    context.recorder.note(DrainAsked(at_ms=now_ms, server=server.name))
+    return clear_nothing
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_ground_truth.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_ground_truth.py
@@ -1,4 +1,4 @@
-"""The truth of the records, computed apart from every process."""
+"""Expected records of a front, computed without the processes."""
 
 import functools
 import json
@@ -11,29 +11,31 @@
 from fennelfork_bench.backend_server._records import Query, select_records
 from fennelfork_bench.checks._base import Truth
 
-# Every backend server of the rig has this seed unless told otherwise.
-_FRONT_SEED: Final = 1
-_CACHED: Final = 4096
+# Default seed of the backend servers of the rig.
+_BACKEND_SEED: Final = 1
+_MAX_CACHED_RESULTS: Final = 4096
 
 
-def index_truth(keys: int, snapshots: Iterable[int]) -> Truth:
-    """Build the truth of a front whose records the stand-ins compute.
+def build_ground_truth(keys: int, snapshots: Iterable[int]) -> Truth:
+    """Build the expected records of a front that stand-ins serve.
 
     Args:
-        keys: size of its key space.
-        snapshots: every version that any server ever held.
+        keys: number of keys in the key space.
+        snapshots: all snapshot versions that any server has held.
     """
     return Truth(
         keys=keys,
         snapshots=frozenset(snapshots),
-        stamps=functools.lru_cache(_CACHED)(
-            functools.partial(_stamps, keys),
+        stamps=functools.lru_cache(_MAX_CACHED_RESULTS)(
+            functools.partial(_expected_stamps, keys),
         ),
     )
 
 
-def _stamps(keys: int, snapshot: int, query: str) -> Mapping[int, str]:
-    wanted = cattrs.structure(json.loads(query), Query)
-    records = select_records(_FRONT_SEED, snapshot, key_range(0, keys), wanted)
-    # The text of a record names its key and its snapshot.
+def _expected_stamps(keys: int, snapshot: int, query: str) -> Mapping[int, str]:
+    parsed_query = cattrs.structure(json.loads(query), Query)
+    records = select_records(
+        _BACKEND_SEED, snapshot, key_range(0, keys), parsed_query
+    )
+    # The text of a record contains the key and the snapshot.
     return {record.key: record.text for record in records}
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_menu.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_menu.py
@@ -1,4 +1,4 @@
-"""The faults that the soak draws from, and the fleet that it strikes."""
+"""Catalogue of the faults of the soak test, and its fleet."""
 
 import random
 from typing import Final
@@ -32,9 +32,9 @@
 )
 
 _KEYS: Final = 120
-_STRAGGLE: Final = 0.02
-_LIST_LAG_MS: Final = 300
-_SPOILED: Final = (
+_STRAGGLER_SHARE: Final = 0.02
+_VM_LIST_LAG_MS: Final = 300
+_REPLY_FAULT_KINDS: Final = (
     'late',
     'lose_reply',
     'cross',
@@ -44,7 +44,7 @@
     'mute',
     'straggle',
 )
-_MENU: Final[tuple[Fault, ...]] = (
+_FAULT_CATALOGUE: Final[tuple[Fault, ...]] = (
     KillDaemon(),
     PauseDaemon(hold_s=2),
     StopDaemon(hold_s=0),
@@ -61,20 +61,22 @@
     PlatformFault(hold_s=3, switches={'refuse': True}),
     PlatformFault(hold_s=3, switches={'lose_replies': 3}),
     PlatformFault(hold_s=3, switches={'stall_watches': True}),
-    *(SpoilReplies(kind=kind) for kind in _SPOILED),
+    *(SpoilReplies(kind=kind) for kind in _REPLY_FAULT_KINDS),
 )
 
 
-def draw_pair(randomness: random.Random) -> tuple[Fault, Fault]:
-    """Draw two faults, which may be the same."""
-    return randomness.choice(_MENU), randomness.choice(_MENU)
+def draw_fault_pair(randomness: random.Random) -> tuple[Fault, Fault]:
+    """Return two random faults, which may be equal."""
+    return randomness.choice(_FAULT_CATALOGUE), randomness.choice(
+        _FAULT_CATALOGUE
+    )
 
 
 def small_fleet(seed: int) -> FleetSpec:
-    """Build two shards of two replicas each and three daemons.
+    """Build the spec of two shards with two replicas, and three daemons.
 
     Args:
-        seed: of the service times of the servers.
+        seed: seed of the service times of the backend servers.
     """
     half = _KEYS // 2
     low = BackendSpec(
@@ -82,7 +84,7 @@
         lo=0,
         hi=half,
         keys=_KEYS,
-        straggle=_STRAGGLE,
+        straggle=_STRAGGLER_SHARE,
         seed=seed,
     )
     high = attrs.evolve(low, lo=half, hi=_KEYS, seed=seed + _KEYS)
@@ -94,4 +96,4 @@
         hedge={'policy': 'quantile', 'delay_ms': 30, 'budget': 0.05},
     )
     daemons = daemon_specs(3)
-    return FleetSpec(fronts=(front,), daemons=daemons, lag_ms=_LIST_LAG_MS)
+    return FleetSpec(fronts=(front,), daemons=daemons, lag_ms=_VM_LIST_LAG_MS)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_operator.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_operator.py
@@ -1,4 +1,4 @@
-"""An operator that races others with patches against the same version."""
+"""Operator of the soak test that proposes conflicting patches."""
 
 import json
 import random
@@ -19,49 +19,49 @@
 from fennelfork_bench.rig import _config as rig_config
 from fennelfork_bench.rig._http import HttpReply
 
-_TRIES: Final = 4
-_RETRY_S: Final = 0.2
-_THINKING_S: Final = 0.3
+_MAX_ATTEMPTS: Final = 4
+_RETRY_DELAY_S: Final = 0.2
+_MAX_EDIT_TIME_S: Final = 0.3
 _NOT_RUN: Final = 'not_run'
 
 
 @attrs.define(kw_only=True)
 class Operator:
-    """One operator; its patches follow one another.
+    """Operator that proposes one patch at a time.
 
     Attributes:
-        known: gives operator addresses of daemons that may be asked.
-        pause_s: mean time between two patches.
+        known_addresses: function that returns operator addresses of daemons.
+        mean_pause_s: mean pause between two patches, in seconds.
     """
 
     name: str
     recorder: Recorder
-    known: Callable[[], Sequence[str]]
-    pause_s: float
+    known_addresses: Callable[[], Sequence[str]]
+    mean_pause_s: float
     _randomness: random.Random
     _count: int = 0
 
-    def patch_one(self) -> None:
-        """Propose one patch until its outcome is known, and pause."""
-        time.sleep(self._randomness.uniform(0, 2 * self.pause_s))
-        known = self.known()
-        if not known:
+    def propose_one_patch(self) -> None:
+        """Pause, and propose one patch until the outcome is known."""
+        time.sleep(self._randomness.uniform(0, 2 * self.mean_pause_s))
+        known_addresses = self.known_addresses()
+        if not known_addresses:
             return
         self._count += 1
         patch_id = f'{self.name}-{self._count}'
-        base = rig_config.version(self._randomness.choice(known))
+        base = rig_config.version(self._randomness.choice(known_addresses))
         if base < 1:
             return
-        # People take a while between reading and sending: races are common.
-        time.sleep(self._randomness.uniform(0, _THINKING_S))
-        for _ in range(_TRIES):
-            event = self._propose(patch_id, base)
+        # The delay between read and write lets patches of operators conflict.
+        time.sleep(self._randomness.uniform(0, _MAX_EDIT_TIME_S))
+        for _ in range(_MAX_ATTEMPTS):
+            event = self._send_patch(patch_id, base)
             self.recorder.note(event)
             if not isinstance(event, PatchUnknown):
                 return
-            time.sleep(_RETRY_S)
+            time.sleep(_RETRY_DELAY_S)
 
-    def _propose(self, patch_id: str, base: int) -> PatchEvent:
+    def _send_patch(self, patch_id: str, base: int) -> PatchEvent:
         self.recorder.note(
             PatchProposed(
                 at_ms=self.recorder.now_ms(),
@@ -71,23 +71,23 @@
             ),
         )
         reply = rig_config.send_patch(
-            self._randomness.choice(self.known()),
+            self._randomness.choice(self.known_addresses()),
             {'tenants': {self.name: {'weight': 1 + self._count}}},
             base,
             self.name,
             patch_id,
         )
-        return self._outcome(patch_id, reply)
+        return self._classify_reply(patch_id, reply)
 
-    def _outcome(self, patch_id: str, reply: HttpReply) -> PatchEvent:
-        common: dict[str, Any] = {
+    def _classify_reply(self, patch_id: str, reply: HttpReply) -> PatchEvent:
+        common_fields: dict[str, Any] = {
             'at_ms': self.recorder.now_ms(),
             'operator': self.name,
             'patch_id': patch_id,
         }
         if reply.fine:
-            return PatchAccepted(**common, version=reply.body['version'])
+            return PatchAccepted(**common_fields, version=reply.body['version'])
         if reply.body.get('verdict') == _NOT_RUN:
-            return PatchRefused(**common, code=reply.body['code'])
+            return PatchRefused(**common_fields, code=reply.body['code'])
         detail = json.dumps(reply.body) if reply.status else reply.fault
-        return PatchUnknown(**common, detail=detail)
+        return PatchUnknown(**common_fields, detail=detail)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_play.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_play.py
@@ -1,4 +1,4 @@
-"""A round on fronts: two faults at once, and what the checkers say."""
+"""Soak round on fronts with two concurrent faults."""
 
 import random
 from pathlib import Path
@@ -6,36 +6,38 @@
 
 from fennelfork_bench.history._caller import Asked
 from fennelfork_bench.history._history import write_history
-from fennelfork_bench.soak._counts import count
-from fennelfork_bench.soak._menu import draw_pair
+from fennelfork_bench.soak._counts import count_events
+from fennelfork_bench.soak._menu import draw_fault_pair
 from fennelfork_bench.soak._round import Round, run_round
 from fennelfork_bench.soak._rounds import Outcome
 
-_DIRECTORY: Final = Path('results')
+_RESULTS_DIRECTORY: Final = Path('results')
 
 
 def play_fronts(seed: int) -> Outcome:
-    """Play a round; keep its history if a promise was broken.
+    """Run a round, and write the history to a file after a violation.
 
     Args:
-        seed: of the faults, their targets and the load.
+        seed: seed of the faults, the targets and the load.
     """
-    done = run_round(seed, draw_pair(random.Random(seed)))
-    if done.violations:
-        _DIRECTORY.mkdir(exist_ok=True)
-        write_history(_DIRECTORY / f'soak-{seed}.jsonl', done.history)
+    round_result = run_round(seed, draw_fault_pair(random.Random(seed)))
+    if round_result.violations:
+        _RESULTS_DIRECTORY.mkdir(exist_ok=True)
+        write_history(
+            _RESULTS_DIRECTORY / f'soak-{seed}.jsonl', round_result.history
+        )
     return Outcome(
-        told=_told(done),
-        counts=count(done),
+        told=_describe(round_result),
+        counts=count_events(round_result),
         broken=tuple(
-            f'{broken.promise.value}: {broken.detail}'
-            for broken in done.violations
+            f'{violation.promise.value}: {violation.detail}'
+            for violation in round_result.violations
         ),
     )
 
 
-def _told(done: Round) -> str:
-    faults = ' + '.join(map(repr, done.faults))
-    tries = len(done.history.of(Asked))
-    broken = len(done.violations)
-    return f'fronts: {faults}: {tries} tries, {broken} broken'
+def _describe(round_result: Round) -> str:
+    faults = ' + '.join(map(repr, round_result.faults))
+    attempts = len(round_result.history.of(Asked))
+    violation_count = len(round_result.violations)
+    return f'fronts: {faults}: {attempts} tries, {violation_count} broken'
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_replies.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_replies.py
@@ -1,4 +1,4 @@
-"""Turns what a caller received into an event."""
+"""Conversion of HTTP replies to events of the history."""
 
 import functools
 from collections.abc import Callable
@@ -21,52 +21,58 @@
 )
 from fennelfork_bench.rig._http import HttpReply
 
-_SHOWN_CHARS: Final = 300
-# Faults of the library after which it is certain that no byte was sent.
-_UNSENT: Final = frozenset(('NewConnectionError', 'ConnectTimeoutError'))
+_MAX_EXCERPT_CHARS: Final = 300
+# Errors of the HTTP library that occur before any byte is sent.
+_UNSENT_ERRORS: Final = frozenset(('NewConnectionError', 'ConnectTimeoutError'))
 
 _Fields = dict[str, Any]
 
 
-def ended(asked: Asked, reply: HttpReply, at_ms: float) -> Ended:
-    """Tell how one try ended.
+def classify_reply(asked: Asked, reply: HttpReply, at_ms: float) -> Ended:
+    """Return the event that ends an attempt.
 
     Args:
-        asked: what was asked.
-        reply: what the HTTP library gave.
-        at_ms: when it gave it.
+        asked: event of the request.
+        reply: reply or error of the HTTP library.
+        at_ms: time of the reply, in milliseconds.
     """
-    common: _Fields = {'at_ms': at_ms, 'attempt': asked.attempt}
+    common_fields: _Fields = {'at_ms': at_ms, 'attempt': asked.attempt}
     if not reply.status:
-        refused = reply.fault in _UNSENT
+        refused = reply.fault in _UNSENT_ERRORS
         kind = ConnectRefused if refused else ConnectionCut
-        return kind(**common, detail=reply.fault)
-    read = functools.partial(_answer, asked) if reply.fine else _refusal
-    return _parsed(read, reply, common)
+        return kind(**common_fields, detail=reply.fault)
+    parse = (
+        functools.partial(_parse_answer, asked)
+        if reply.fine
+        else _parse_refusal
+    )
+    return _parse_or_malformed(parse, reply, common_fields)
 
 
-def _parsed(
-    read: Callable[[_Fields, _Fields], Ended],
+def _parse_or_malformed(
+    parse: Callable[[_Fields, _Fields], Ended],
     reply: HttpReply,
-    common: _Fields,
+    common_fields: _Fields,
 ) -> Ended:
     try:
-        return read(reply.body, common)
+        return parse(reply.body, common_fields)
     except (KeyError, TypeError, ValueError) as error:
-        shown = f'{reply.status} {error!r} {reply.body}'
-        return Malformed(**common, detail=shown[:_SHOWN_CHARS])
+        excerpt = f'{reply.status} {error!r} {reply.body}'
+        return Malformed(**common_fields, detail=excerpt[:_MAX_EXCERPT_CHARS])
 
 
 @functools.singledispatch
-def _answer(asked: Asked, body: _Fields, common: _Fields) -> Ended:
-    raise TypeError(f'no answer is known to {type(asked)}')
+def _parse_answer(asked: Asked, body: _Fields, common_fields: _Fields) -> Ended:
+    raise TypeError(f'no answer format is registered for {type(asked)}')
 
 
-@_answer.register
-def _query_answer(asked: QueryAsked, body: _Fields, common: _Fields) -> Ended:
+@_parse_answer.register
+def _parse_query_answer(
+    asked: QueryAsked, body: _Fields, common_fields: _Fields
+) -> Ended:
     coverage = body['coverage']
     return QueryAnswered(
-        **common,
+        **common_fields,
         reply_to=body['request_id'],
         snapshot=body['snapshot'],
         records=tuple(
@@ -83,14 +89,14 @@
     )
 
 
-@_answer.register
-def _execute_answer(
+@_parse_answer.register
+def _parse_execute_answer(
     asked: ExecuteAsked,
     body: _Fields,
-    common: _Fields,
+    common_fields: _Fields,
 ) -> Ended:
     return ExecuteAnswered(
-        **common,
+        **common_fields,
         reply_to=body['request_id'],
         key=body['key'],
         outcome=body['outcome'],
@@ -98,9 +104,9 @@
     )
 
 
-def _refusal(body: _Fields, common: _Fields) -> Ended:
+def _parse_refusal(body: _Fields, common_fields: _Fields) -> Ended:
     return Refused(
-        **common,
+        **common_fields,
         reply_to=body['request_id'],
         code=body['code'],
         verdict=Verdict(body['verdict']),
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_round.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_round.py
@@ -1,4 +1,4 @@
-"""One round of the soak: a fresh fleet, its load, and two faults at once."""
+"""Soak round: a new fleet under load and concurrent faults."""
 
 import functools
 import time
@@ -10,12 +10,12 @@
 from fennelfork_bench.history._history import History
 from fennelfork_bench.rig._config import start_fleet
 from fennelfork_bench.rig._process import Rig, rig
-from fennelfork_bench.soak._caller import Habits
-from fennelfork_bench.soak._workers import Crew
+from fennelfork_bench.soak._caller import CallerProfile
 from fennelfork_bench.soak._entry import await_entries
-from fennelfork_bench.soak._fault import Fault, strike
+from fennelfork_bench.soak._fault import Fault, run_fault
 from fennelfork_bench.soak._menu import small_fleet
-from fennelfork_bench.soak._trial import Trial, trial
+from fennelfork_bench.soak._trial import Trial, build_round_context
+from fennelfork_bench.soak._workers import Workers
 
 _PATCH_PAUSE_S: Final = 0.5
 _SETTLE_S: Final = 1.0
@@ -23,12 +23,12 @@
 
 @attrs.frozen(kw_only=True)
 class Load:
-    """How much is asked of a small fleet.
+    """Load on a small fleet.
 
     Attributes:
-        callers: how many callers ask at the same time.
+        callers: number of concurrent callers.
         execute_share: share of requests that are not idempotent.
-        operators: how many operators race with patches.
+        operators: number of concurrent operators.
     """
 
     callers: int = 4
@@ -41,51 +41,59 @@
 
 @attrs.frozen(kw_only=True)
 class Round:
-    """What one run under faults showed."""
+    """Result of a round.
+
+    Attributes:
+        faults: faults that were injected.
+        history: events of all processes of the round.
+        violations: guarantees that the history violates.
+    """
 
     faults: tuple[Fault, ...]
     history: History
     violations: tuple[Violation, ...]
 
 
-def small_trial(start_rig: Rig, seed: int, load: Load) -> Trial:
-    """Start a small fleet under load of callers and racing operators.
+def small_trial(round_rig: Rig, seed: int, load: Load) -> Trial:
+    """Start a small fleet, callers and operators.
 
     Args:
-        start_rig: takes the processes.
-        seed: of every random choice.
-        load: how much is asked of it.
+        round_rig: rig that owns the processes.
+        seed: seed of all random choices.
+        load: load on the fleet.
     """
-    fleet = start_fleet(start_rig, small_fleet(seed))
+    fleet = start_fleet(round_rig, small_fleet(seed))
     await_entries(fleet)
-    running = trial(fleet, seed)
-    habits = Habits(
-        front=running.front.name,
-        keys=running.front.keys,
+    context = build_round_context(fleet, seed)
+    profile = CallerProfile(
+        front=context.front.name,
+        keys=context.front.keys,
         execute_share=load.execute_share,
     )
-    running.start_load(load.callers, habits)
-    running.start_operators(load.operators, _PATCH_PAUSE_S)
-    return running
+    context.start_load(load.callers, profile)
+    context.start_operators(load.operators, _PATCH_PAUSE_S)
+    return context
 
 
-def strike_together(running: Trial, faults: tuple[Fault, ...]) -> Round:
-    """Strike with faults at once, settle, and check the history.
+def strike_together(context: Trial, faults: tuple[Fault, ...]) -> Round:
+    """Run faults concurrently, and check the history.
 
     Args:
-        running: a trial under load.
-        faults: each begins a random moment after the others.
+        context: context of a round that is under load.
+        faults: faults, each of which starts after a random delay.
     """
-    crew = Crew()
+    workers = Workers()
     for fault in faults:
-        crew.once(functools.partial(_strike_soon, fault, running))
-    crew.stop()
+        workers.run_once(
+            functools.partial(_run_fault_after_delay, fault, context)
+        )
+    workers.stop()
     time.sleep(_SETTLE_S)
-    history = running.finish()
+    history = context.finish()
     return Round(
         faults=faults,
         history=history,
-        violations=running.violations(history),
+        violations=context.find_violations(history),
     )
 
 
@@ -94,17 +102,17 @@
     faults: tuple[Fault, ...],
     load: Load = _FULL_LOAD,
 ) -> Round:
-    """Run one round on a fleet of its own.
+    """Run one round on a new fleet.
 
     Args:
-        seed: of every random choice.
-        faults: all strike in the same second.
-        load: how much is asked of the fleet.
+        seed: seed of all random choices.
+        faults: faults, all of which start within a second.
+        load: load on the fleet.
     """
-    with rig() as started:
-        return strike_together(small_trial(started, seed, load), faults)
+    with rig() as round_rig:
+        return strike_together(small_trial(round_rig, seed, load), faults)
 
 
-def _strike_soon(fault: Fault, running: Trial) -> None:
-    time.sleep(running.randomness.random())
-    strike(fault, running)
+def _run_fault_after_delay(fault: Fault, context: Trial) -> None:
+    time.sleep(context.randomness.random())
+    run_fault(fault, context)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_rounds.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_rounds.py
@@ -1,4 +1,4 @@
-"""Rounds of the soak, one after the other, drawn from a printed seed."""
+"""Sequence of soak rounds with seeds that derive from one seed."""
 
 import itertools
 import random
@@ -13,17 +13,17 @@
 from fennelfork_bench.rig._report import Arm, Report
 
 _S_PER_MINUTE: Final = 60
-_SEEDS: Final = 1_000_000
+_ROUND_SEED_LIMIT: Final = 1_000_000
 
 
 @attrs.frozen(kw_only=True)
 class Outcome:
-    """What one round showed.
+    """Summary of a round.
 
     Attributes:
-        told: faults and figures, in a line.
-        counts: what happened, by name.
-        broken: promises that were seen broken, in words.
+        told: one-line description of the faults and the outcome.
+        counts: numbers of events, by name.
+        broken: descriptions of the violated guarantees.
     """
 
     told: str
@@ -31,29 +31,36 @@
     broken: tuple[str, ...]
 
 
-# Plays a round of a seed on a fleet of its own.
-Play = Callable[[int], Outcome]
+# Function that runs a round with a seed on a new fleet.
+RunRound = Callable[[int], Outcome]
 
 
-def run_rounds(seed: int, minutes: float, plays: Sequence[Play]) -> Report:
-    """Play rounds of several kinds by turns until the time is over.
+def run_rounds(
+    seed: int, minutes: float, round_functions: Sequence[RunRound]
+) -> Report:
+    """Run rounds of several kinds in rotation until the time is over.
 
     Args:
-        seed: of the seed of each round.
-        minutes: no round begins later than that.
-        plays: the kinds of rounds.
+        seed: seed from which the seeds of the rounds derive.
+        minutes: time after which no further round starts, in minutes.
+        round_functions: functions that run a round, one for each kind.
+
+    Returns:
+        Report with the counts and the violations of all rounds.
     """
     randomness = random.Random(seed)
     counts: Counter[str] = Counter()
     failures: list[str] = []
-    turns = itertools.cycle(plays)
+    rotation = itertools.cycle(round_functions)
     end_s = time.monotonic() + minutes * _S_PER_MINUTE
     while time.monotonic() < end_s:
-        round_seed = randomness.randrange(_SEEDS)
-        done = next(turns)(round_seed)
-        counts.update(done.counts)
-        failures.extend(f'round {round_seed}: {one}' for one in done.broken)
-        sys.stderr.write(f'round {round_seed}: {done.told}\n')
+        round_seed = randomness.randrange(_ROUND_SEED_LIMIT)
+        outcome = next(rotation)(round_seed)
+        counts.update(outcome.counts)
+        failures.extend(
+            f'round {round_seed}: {violation}' for violation in outcome.broken
+        )
+        sys.stderr.write(f'round {round_seed}: {outcome.told}\n')
     metrics = {name: float(counts[name]) for name in sorted(counts)}
     return Report(
         experiment='soak',
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_servers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_servers.py
@@ -1,4 +1,4 @@
-"""Backend stand-ins under test: their orders and their logs."""
+"""Control commands and logs of the backend stand-ins."""
 
 from collections.abc import Iterator
 from typing import Any, Final
@@ -8,35 +8,38 @@
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._process import Process, RigError
 
-_GONE_S: Final = 1
+_EXIT_TIMEOUT_S: Final = 1
 
 
-def order(server: Process, what: str, body: dict[str, Any]) -> None:
-    """Give an order on the control face, which no fault touches.
+def order(server: Process, command: str, body: dict[str, Any]) -> None:
+    """Send a command to the control interface of a stand-in.
 
-    A server that another fault kills meanwhile needs no order.
+    Faults do not affect the control interface. The failure of a command to a
+    server that another fault has killed is ignored.
 
     Args:
-        server: the stand-in.
-        what: `faults`, `snapshot` or `drain`.
-        body: the order.
+        server: process of the stand-in.
+        command: `faults`, `snapshot` or `drain`.
+        body: arguments of the command.
 
     Raises:
-        RigError: if the stand-in refused it.
+        RigError: if the stand-in refuses the command.
     """
-    path = f'/control/{what}'
+    path = f'/control/{command}'
     reply = http.post(server.ready['control'], path, body)
-    if not reply.fine and server.wait(_GONE_S) is None:
-        raise RigError(f'{server.name} refused {what}: {reply}')
+    if not reply.fine and server.wait(_EXIT_TIMEOUT_S) is None:
+        raise RigError(f'{server.name} refused {command}: {reply}')
 
 
 def server_events(server: Process) -> Iterator[Event]:
-    """Read the log of a stand-in as events.
+    """Yield the events in the log of a stand-in.
 
     Raises:
-        RigError: if the log is gone, or dropped events.
+        RigError: if the log is unavailable or incomplete.
     """
     reply = http.get(server.ready['control'], '/control/log')
     if not reply.fine or reply.body['dropped']:
-        raise RigError(f'no whole log of {server.name}: {reply.fault}')
+        raise RigError(
+            f'the log of {server.name} is not complete: {reply.fault}'
+        )
     yield from backend_history.server_events(reply.body)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_targets.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_targets.py
@@ -1,4 +1,4 @@
-"""Draws the servers that faults strike, and switches their faults."""
+"""Random choice of target servers, and their fault settings."""
 
 from typing import Any
 
@@ -7,26 +7,26 @@
 from fennelfork_bench.soak._trial import Trial
 
 
-def switch(victim: Process, **faults: Any) -> None:
-    """Put faults in force on a server, if it still lives."""
-    if victim.alive:
-        order(victim, 'faults', faults)
+def set_server_faults(server: Process, **faults: Any) -> None:
+    """Replace the fault settings of a server if it is alive."""
+    if server.alive:
+        order(server, 'faults', faults)
 
 
-def pick(trial: Trial) -> Process:
-    """Draw a living server."""
-    servers = trial.fleet.backends.values()
-    living = [server for server in servers if server.alive]
-    return trial.randomness.choice(living)
+def draw_server(context: Trial) -> Process:
+    """Return a random backend server that is alive."""
+    servers = context.fleet.backends.values()
+    alive_servers = [server for server in servers if server.alive]
+    return context.randomness.choice(alive_servers)
 
 
-def pick_spare(trial: Trial) -> Process:
-    """Draw a server whose shard can go on without it, and mark it lost."""
-    spare = []
-    for shard in trial.front.shards:
-        names = {server.name for server in shard.servers} - trial.lost
+def draw_redundant_server(context: Trial) -> Process:
+    """Return a random server of a shard with other replicas; mark it lost."""
+    candidates = []
+    for shard in context.front.shards:
+        names = {server.name for server in shard.servers} - context.lost
         if len(names) > 1:
-            spare.extend(sorted(names))
-    name = trial.randomness.choice(spare)
-    trial.lost.add(name)
-    return trial.fleet.backends[name]
+            candidates.extend(sorted(names))
+    name = context.randomness.choice(candidates)
+    context.lost.add(name)
+    return context.fleet.backends[name]
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_trial.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_trial.py
@@ -1,4 +1,4 @@
-"""One run of a fleet under load and faults, and its history."""
+"""Context of a soak round: the fleet, the load and the history."""
 
 import itertools
 import random
@@ -15,27 +15,32 @@
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import Process
 from fennelfork_bench.rig._specs import FrontSpec
-from fennelfork_bench.soak._caller import Caller, Habits
-from fennelfork_bench.soak._workers import Crew
-from fennelfork_bench.soak._entry import EntryBook
-from fennelfork_bench.soak._ground_truth import index_truth
+from fennelfork_bench.soak._caller import Caller, CallerProfile
+from fennelfork_bench.soak._config_versions import (
+    record_active_version,
+    record_stored_document,
+)
+from fennelfork_bench.soak._entry import EntryCache
+from fennelfork_bench.soak._ground_truth import build_ground_truth
 from fennelfork_bench.soak._operator import Operator
 from fennelfork_bench.soak._servers import server_events
-from fennelfork_bench.soak._config_versions import note_document, note_version
+from fennelfork_bench.soak._workers import Workers
 
-_FIRST_SNAPSHOT: Final = 1
-_POLL_S: Final = 0.1
+_INITIAL_SNAPSHOT: Final = 1
+_POLL_INTERVAL_S: Final = 0.1
 
 
 @attrs.define(kw_only=True, eq=False)
 class Trial:
-    """A running fleet, its load, and all that is noted of it.
+    """Running fleet of a round, its load and its recorded events.
 
     Attributes:
-        snapshots: every version that a server was ever told to hold.
-        recorder: takes the events of callers, operators and the rig.
-        layout: the range of keys of each server at the newest snapshot.
-        lost: servers that were killed or drained.
+        fleet: processes of the round.
+        recorder: recorder of the events of callers, operators and faults.
+        randomness: source of all random choices of the round.
+        layout: key range of each server at the newest snapshot, by name.
+        lost: names of the servers that were killed or drained.
+        snapshots: all snapshot versions that any server has loaded.
     """
 
     fleet: Fleet
@@ -43,45 +48,47 @@
     randomness: random.Random
     layout: dict[str, tuple[int, int]]
     lost: set[str] = attrs.field(factory=set)
-    snapshots: set[int] = attrs.field(factory=lambda: {_FIRST_SNAPSHOT})
-    _crew: Crew = attrs.field(factory=Crew)
+    snapshots: set[int] = attrs.field(factory=lambda: {_INITIAL_SNAPSHOT})
+    _workers: Workers = attrs.field(factory=Workers)
 
     @property
     def front(self) -> FrontSpec:
-        """The front under load."""
+        """Spec of the front that receives the requests."""
         return self.fleet.spec.fronts[0]
 
-    def start_load(self, callers: int, habits: Habits) -> None:
-        """Start callers and the watch over the versions.
+    def start_load(self, callers: int, profile: CallerProfile) -> None:
+        """Start callers and the polling of the active versions.
 
         Args:
-            callers: how many.
-            habits: how each asks.
+            callers: number of callers.
+            profile: parameters of the requests.
         """
         for index in range(callers):
-            self._crew.repeat(self._caller(f'desk-{index}', habits).ask_one)
-        self._crew.repeat(self._watch_versions)
+            self._workers.run_repeatedly(
+                self._build_caller(f'desk-{index}', profile).send_one_request
+            )
+        self._workers.run_repeatedly(self._poll_versions)
 
-    def start_operators(self, count: int, pause_s: float) -> None:
-        """Start operators that race with patches."""
+    def start_operators(self, count: int, mean_pause_s: float) -> None:
+        """Start operators that propose conflicting patches."""
         for index in range(count):
             operator = Operator(
                 name=f'op-{index}',
                 recorder=self.recorder,
-                known=self._operators,
-                pause_s=pause_s,
-                randomness=self._fork(),
+                known_addresses=self._operator_addresses,
+                mean_pause_s=mean_pause_s,
+                randomness=self._fork_randomness(),
             )
-            self._crew.repeat(operator.patch_one)
+            self._workers.run_repeatedly(operator.propose_one_patch)
 
     def finish(self) -> History:
-        """Stop the load and gather what every process noted.
+        """Stop the load, and merge the events of all processes.
 
         Raises:
-            ExceptionGroup: if a caller, an operator or the watch broke down.
+            ExceptionGroup: if a caller, an operator or the polling failed.
         """
-        self._crew.stop()
-        note_document(self.recorder, self.fleet.platform)
+        self._workers.stop()
+        record_stored_document(self.recorder, self.fleet.platform)
         logs = (
             server_events(server)
             for server in self.fleet.backends.values()
@@ -89,61 +96,61 @@
         )
         return gather(self.recorder.events, itertools.chain(*logs))
 
-    def violations(self, history: History) -> tuple[Violation, ...]:
-        """Check every promise on the history of this run."""
-        truth = index_truth(self.front.keys, self.snapshots)
+    def find_violations(self, history: History) -> tuple[Violation, ...]:
+        """Return the violations of all guarantees in the history."""
+        truth = build_ground_truth(self.front.keys, self.snapshots)
         return check_history(history, truth, Limits())
 
-    def note_started(self, process: Process) -> None:
-        """Note that a daemon serves."""
+    def record_start(self, process: Process) -> None:
+        """Record that a daemon has started."""
         address = process.ready['caller']
         now_ms = self.recorder.now_ms()
         self.recorder.note(Started(at_ms=now_ms, daemon=address))
 
-    def _caller(self, name: str, habits: Habits) -> Caller:
-        book = EntryBook(
-            known=self._callers,
+    def _build_caller(self, name: str, profile: CallerProfile) -> Caller:
+        entries = EntryCache(
+            known_addresses=self._caller_addresses,
             clock=self.recorder.clock,
-            randomness=self._fork(),
+            randomness=self._fork_randomness(),
         )
         return Caller(
             name=name,
-            habits=habits,
+            profile=profile,
             recorder=self.recorder,
-            entries=book,
-            randomness=self._fork(),
+            entries=entries,
+            randomness=self._fork_randomness(),
         )
 
-    def _callers(self) -> list[str]:
+    def _caller_addresses(self) -> list[str]:
         return self.fleet.callers
 
-    def _operators(self) -> list[str]:
+    def _operator_addresses(self) -> list[str]:
         return self.fleet.operators
 
-    def _watch_versions(self) -> None:
+    def _poll_versions(self) -> None:
         for daemon in self.fleet.living:
-            note_version(self.recorder, daemon)
-        time.sleep(_POLL_S)
+            record_active_version(self.recorder, daemon)
+        time.sleep(_POLL_INTERVAL_S)
 
-    def _fork(self) -> random.Random:
+    def _fork_randomness(self) -> random.Random:
         return random.Random(self.randomness.random())
 
 
-def trial(fleet: Fleet, seed: int) -> Trial:
-    """Build a trial of a fleet that serves.
+def build_round_context(fleet: Fleet, seed: int) -> Trial:
+    """Build the context of a round on a running fleet.
 
     Args:
-        fleet: with its fronts in force.
-        seed: of every random choice of load and faults.
+        fleet: fleet whose fronts are active.
+        seed: seed of all random choices of load and faults.
     """
     shards = fleet.spec.fronts[0].shards
     servers = [each for shard in shards for each in shard.servers]
-    built = Trial(
+    context = Trial(
         fleet=fleet,
         layout={each.name: (each.lo, each.hi) for each in servers},
         recorder=Recorder(clock=wall_clock()),
         randomness=random.Random(seed),
     )
     for daemon in fleet.daemons.values():
-        built.note_started(daemon)
-    return built
+        context.record_start(daemon)
+    return context
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_workers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_workers.py
@@ -1,4 +1,4 @@
-"""Threads that take steps at the same time and stop together."""
+"""Worker threads that run concurrently and stop together."""
 
 import threading
 from collections.abc import Callable
@@ -6,55 +6,55 @@
 
 import attrs
 
-_JOIN_S: Final = 90
+_JOIN_TIMEOUT_S: Final = 90
 
 
 @attrs.define(kw_only=True, eq=False)
-class Crew:
-    """A group of threads that start one by one and stop together."""
+class Workers:
+    """Group of worker threads, each of which runs one function."""
 
     _stopping: threading.Event = attrs.field(factory=threading.Event)
     _threads: list[threading.Thread] = attrs.field(factory=list)
     _errors: list[Exception] = attrs.field(factory=list)
 
-    def repeat(self, step: Callable[[], None]) -> None:
-        """Start a thread that takes the step again and again."""
-        self._start(self._take_again, step)
+    def run_repeatedly(self, task: Callable[[], None]) -> None:
+        """Start a thread that calls a function until the group stops."""
+        self._start(self._call_until_stopped, task)
 
-    def once(self, step: Callable[[], None]) -> None:
-        """Start a thread that takes the step once."""
-        self._start(self._take, step)
+    def run_once(self, task: Callable[[], None]) -> None:
+        """Start a thread that calls a function once."""
+        self._start(self._call, task)
 
     def stop(self) -> None:
-        """Wait until every thread has ended its present step.
+        """Stop all threads after their current calls.
 
         Raises:
-            ExceptionGroup: what the steps raised, if any did.
-            TimeoutError: if a step does not end.
+            ExceptionGroup: the exceptions that the functions raised.
+            TimeoutError: if a thread does not stop in time.
         """
         self._stopping.set()
         for thread in self._threads:
-            thread.join(_JOIN_S)
+            thread.join(_JOIN_TIMEOUT_S)
         if self._errors:
             raise ExceptionGroup('steps broke down', self._errors)
         if any(map(threading.Thread.is_alive, self._threads)):
-            raise TimeoutError('a step does not end')
+            raise TimeoutError('a worker thread did not stop in time')
 
     def _start(
         self,
         target: Callable[[Callable[[], None]], None],
-        step: Callable[[], None],
+        task: Callable[[], None],
     ) -> None:
-        thread = threading.Thread(target=target, args=(step,), daemon=True)
+        thread = threading.Thread(target=target, args=(task,), daemon=True)
         self._threads.append(thread)
         thread.start()
 
-    def _take_again(self, step: Callable[[], None]) -> None:
+    def _call_until_stopped(self, task: Callable[[], None]) -> None:
         while not self._stopping.is_set() and not self._errors:
-            self._take(step)
+            self._call(task)
 
-    def _take(self, step: Callable[[], None]) -> None:
+    def _call(self, task: Callable[[], None]) -> None:
         try:
-            step()
+            task()
         except Exception as error:
             self._errors.append(error)
--- a/packages/fennelfork-bench/tests/test_faults_index.py
+++ b/packages/fennelfork-bench/tests/test_faults_index.py
@@ -1,4 +1,4 @@
-"""Promises hold while the index changes under queries."""
+"""Guard against mixed snapshots when the index changes under queries."""
 
 import pytest
 from bench_builders_faults import broken, cuts, run_under
@@ -12,14 +12,14 @@
 
 
 class TestIndex:
-    """The index moves on, server by server."""
+    """Tests with a new snapshot that servers load one by one."""
 
     @pytest.mark.parametrize('fault', [NextSnapshot(), Repartition()], ids=repr)
-    def test_change(self, rig: Rig, fault: Fault) -> None:
-        """Each answer is of one snapshot, and the newest comes into use."""
+    def test_new_snapshot(self, rig: Rig, fault: Fault) -> None:
+        """Each answer uses one snapshot, and the last one the newest."""
         done = run_under(rig, fault)
         assert broken(done) == []
         assert cuts(done) == []
-        seen = [end.snapshot for end in done.history.of(QueryAnswered)]
-        assert set(seen) == {1, 2}
-        assert seen[-1] == 2
+        snapshots = [end.snapshot for end in done.history.of(QueryAnswered)]
+        assert set(snapshots) == {1, 2}
+        assert snapshots[-1] == 2
--- a/packages/fennelfork-bench/tests/test_faults_platform.py
+++ b/packages/fennelfork-bench/tests/test_faults_platform.py
@@ -1,4 +1,4 @@
-"""Promises hold while the platform fails."""
+"""Guard against violated guarantees when the platform fails."""
 
 import pytest
 from bench_builders_faults import answers, broken, cuts, run_under
@@ -16,12 +16,12 @@
 
 pytestmark = pytest.mark.process
 
-_FEW_ANSWERS = 50
-_RACING = Load(callers=1, operators=5)
+_MIN_ANSWERS = 50
+_CONFLICTING_PATCHES = Load(callers=1, operators=5)
 
 
 class TestPlatform:
-    """Queries and executions need no platform call."""
+    """Tests of queries and executions during platform faults."""
 
     @pytest.mark.parametrize(
         'fault',
@@ -33,21 +33,21 @@
         ],
         ids=repr,
     )
-    def test_no_call_needed(self, rig: Rig, fault: Fault) -> None:
-        """Every request is answered as if nothing were wrong."""
+    def test_requests_without_platform(self, rig: Rig, fault: Fault) -> None:
+        """Platform faults cause no failure except expired tickets."""
         done = run_under(rig, fault)
         assert broken(done) == []
         assert cuts(done) == []
-        # A ticket may end on its way, which no platform has to do with.
-        ended = (FailureCode.TICKET.value, Verdict.NOT_RUN)
+        # A ticket may expire in flight; this is unrelated to the platform.
+        expired_ticket = (FailureCode.TICKET.value, Verdict.NOT_RUN)
         refusals = [(end.code, end.verdict) for end in done.history.of(Refused)]
-        assert set(refusals) <= {ended}
-        assert answers(done) > _FEW_ANSWERS
+        assert set(refusals) <= {expired_ticket}
+        assert answers(done) > _MIN_ANSWERS
         assert done.history.of(ExecuteAnswered)
 
 
 class TestOperators:
-    """Operators race while the key-value service fails."""
+    """Tests of concurrent patches during store faults."""
 
     @pytest.mark.parametrize(
         'fault',
@@ -58,9 +58,9 @@
         ],
         ids=repr,
     )
-    def test_races(self, rig: Rig, fault: Fault) -> None:
-        """Accepted patches stay, refused ones change nothing."""
-        done = run_under(rig, fault, load=_RACING)
+    def test_conflicting_patches(self, rig: Rig, fault: Fault) -> None:
+        """Accepted patches persist, and refused patches change nothing."""
+        done = run_under(rig, fault, load=_CONFLICTING_PATCHES)
         assert broken(done) == []
         assert done.history.of(PatchAccepted)
         assert done.history.of(PatchRefused)
--- a/packages/fennelfork-bench/tests/test_faults_servers.py
+++ b/packages/fennelfork-bench/tests/test_faults_servers.py
@@ -1,4 +1,4 @@
-"""Promises hold while backend servers fail."""
+"""Guard against violated guarantees when backend servers fail."""
 
 import pytest
 from bench_builders_faults import answers, broken, cuts, run_under
@@ -17,11 +17,11 @@
 
 pytestmark = pytest.mark.process
 
-_FEW_ANSWERS = 20
+_MIN_ANSWERS = 20
 
 
 class TestServers:
-    """One backend server of four fails under load."""
+    """Tests with a fault of one of four backend servers under load."""
 
     @pytest.mark.parametrize(
         'fault',
@@ -33,39 +33,39 @@
         ids=repr,
     )
     def test_failing_server(self, rig: Rig, fault: Fault) -> None:
-        """Nothing is broken, and no caller is left without a reply."""
+        """No guarantee is violated, and every caller receives a reply."""
         done = run_under(rig, fault)
         assert broken(done) == []
         assert cuts(done) == []
-        assert answers(done) > _FEW_ANSWERS
+        assert answers(done) > _MIN_ANSWERS
 
 
 class TestDrain:
-    """One backend server is told to leave, and gets no new work."""
+    """Tests with one draining backend server."""
 
     @pytest.mark.parametrize('lies', [False, True])
-    def test_leaving(self, rig: Rig, lies: bool) -> None:
-        """After a few seconds nothing arrives, whatever its health says."""
+    def test_draining_server(self, rig: Rig, lies: bool) -> None:
+        """A draining server gets no new work, whatever health it reports."""
         done = run_under(rig, DrainServer(hold_s=4, lies=lies))
         assert broken(done) == []
         assert cuts(done) == []
-        assert answers(done) > _FEW_ANSWERS
+        assert answers(done) > _MIN_ANSWERS
 
 
 class TestReplies:
-    """Replies of one server are spoiled, one in five."""
+    """Tests with faults in a fifth of the responses of one server."""
 
     @pytest.mark.parametrize(
         'kind',
         ['late', 'lose_reply', 'cross', 'truncate', 'double', 'cut', 'mute'],
     )
-    def test_spoiled(self, rig: Rig, kind: str) -> None:
-        """Answers stay whole and of their own request."""
+    def test_faulty_responses(self, rig: Rig, kind: str) -> None:
+        """Answers stay complete and belong to their request."""
         done = run_under(rig, SpoilReplies(kind=kind))
-        spoiled = done.history.of(ReplySpoiled)
-        assert {reply.kind for reply in spoiled} == {kind}
+        faulty = done.history.of(ReplySpoiled)
+        assert {reply.kind for reply in faulty} == {kind}
         assert broken(done) == []
         assert cuts(done) == []
         complete = [end.complete for end in done.history.of(QueryAnswered)]
-        assert sum(complete) > _FEW_ANSWERS
+        assert sum(complete) > _MIN_ANSWERS
         assert done.history.of(ExecuteAnswered)
--- a/packages/fennelfork-bench/tests/test_faults_verdicts.py
+++ b/packages/fennelfork-bench/tests/test_faults_verdicts.py
@@ -1,4 +1,4 @@
-"""Refusals tell the truth about what ran."""
+"""Guard against `not_run` verdicts for queries that ran."""
 
 import pytest
 from bench_builders_faults import running_trial
@@ -11,35 +11,35 @@
 
 pytestmark = pytest.mark.process
 
-_CAP_S = 20
-_REFUSALS = 8
+_TIMEOUT_S = 20
+_MIN_REFUSALS = 8
 
 
-def _refusals(running: Trial) -> int:
-    noted = running.recorder.events
-    return sum(isinstance(event, Refused) for event in noted)
+def _count_refusals(context: Trial) -> int:
+    events = context.recorder.events
+    return sum(isinstance(event, Refused) for event in events)
 
 
 class TestVerdicts:
-    """A sub-query ran on one replica and was refused by the other."""
+    """Tests with one replica that runs and one that refuses work."""
 
     def test_lost_reply_then_refused(self, rig: Rig) -> None:
-        """The refusal of the query does not say that nothing ran."""
-        running = running_trial(rig)
+        """A query that ran and lost its reply is not refused as `not_run`."""
+        context = running_trial(rig)
         first, second = (
-            running.fleet.backends[server.name]
-            for server in running.front.shards[0].servers
+            context.fleet.backends[server.name]
+            for server in context.front.shards[0].servers
         )
-        lost = {'kind': 'lose_reply', 'call': 'search'}
-        order(first, 'faults', {'rules': [lost]})
+        lost_reply = {'kind': 'lose_reply', 'call': 'search'}
+        order(first, 'faults', {'rules': [lost_reply]})
         order(second, 'faults', {'health': {'state': 'serving'}})
         order(second, 'drain', {})
         wait_until(
-            lambda: _refusals(running) >= _REFUSALS,
-            _CAP_S,
+            lambda: _count_refusals(context) >= _MIN_REFUSALS,
+            _TIMEOUT_S,
             'refused queries',
         )
-        history = running.finish()
-        found = running.violations(history)
+        history = context.finish()
+        violations = context.find_violations(history)
         assert history.of(QueryRan)
-        assert [each.detail for each in found] == []
+        assert [each.detail for each in violations] == []
--- a/packages/fennelfork-bench/tests/test_soak_replies.py
+++ b/packages/fennelfork-bench/tests/test_soak_replies.py
@@ -1,4 +1,4 @@
-"""What a caller received becomes the right event."""
+"""Guard against wrong events for the replies that a caller receives."""
 
 import pytest
 from bench_builders_proof import (
@@ -15,9 +15,9 @@
     Malformed,
 )
 from fennelfork_bench.rig._http import HttpReply
-from fennelfork_bench.soak._replies import ended
+from fennelfork_bench.soak._replies import classify_reply
 
-_PARTIAL = {
+_PARTIAL_ANSWER = {
     'request_id': 'req-1',
     'snapshot': 1,
     'records': [{'key': key, 'text': f'{key}@1'} for key in range(5)],
@@ -28,7 +28,7 @@
     },
     'config_version': 1,
 }
-_OUTCOME = {
+_EXECUTE_ANSWER = {
     'request_id': 'req-1',
     'key': 3,
     'outcome': 'done',
@@ -37,24 +37,24 @@
 _PROBLEM = {'request_id': 'req-1', 'code': 'shed', 'verdict': 'not_run'}
 
 
-class TestEnded:
-    """Replies, problems and silence are told apart."""
+class TestClassifyReply:
+    """Tests of `classify_reply`."""
 
     @pytest.mark.parametrize(
         ('asked', 'status', 'body', 'expected'),
         [
-            (query_asked(), 200, _PARTIAL, partial_answer()),
-            (execute_asked(), 200, _OUTCOME, execute_answered()),
+            (query_asked(), 200, _PARTIAL_ANSWER, partial_answer()),
+            (execute_asked(), 200, _EXECUTE_ANSWER, execute_answered()),
             (query_asked(), 503, _PROBLEM, refused()),
         ],
     )
-    def test_whole(self, asked, status, body, expected) -> None:
-        """A whole reply keeps every field that the checkers read."""
+    def test_complete_reply(self, asked, status, body, expected) -> None:
+        """A complete reply keeps every field that the checkers read."""
         reply = HttpReply(status=status, body=body)
-        assert ended(asked, reply, 150) == expected
+        assert classify_reply(asked, reply, 150) == expected
 
     @pytest.mark.parametrize(
-        ('reply', 'kind'),
+        ('reply', 'event_type'),
         [
             (HttpReply(status=200, body=_PROBLEM), Malformed),
             (HttpReply(status=500, body={}), Malformed),
@@ -68,6 +68,6 @@
             ),
         ],
     )
-    def test_no_reply(self, reply, kind) -> None:
-        """What is no reply of the contract is never taken for one."""
-        assert isinstance(ended(query_asked(), reply, 150), kind)
+    def test_invalid_or_missing_reply(self, reply, event_type) -> None:
+        """An invalid or missing reply does not count as an answer."""
+        assert isinstance(classify_reply(query_asked(), reply, 150), event_type)
--- a/packages/fennelfork-bench/tests/test_soak_servers.py
+++ b/packages/fennelfork-bench/tests/test_soak_servers.py
@@ -1,4 +1,4 @@
-"""Logs of the backend stand-ins become events."""
+"""Guard against lost control commands and lost events of stand-ins."""
 
 import pytest
 
@@ -20,10 +20,10 @@
 
 
 class TestServerEvents:
-    """What a stand-in did can be read as events."""
+    """Tests of control commands and of the events in the logs."""
 
-    def test_run_and_refused(self, rig: Rig) -> None:
-        """Runs, arrivals and refusals come in their order."""
+    def test_executed_and_refused_work(self, rig: Rig) -> None:
+        """Arrivals, executions and refusals are reported in order."""
         server = rig.start_module('raft-a', 'fennelfork_bench.backend')
         server.await_ready()
         address = server.ready['address']
@@ -41,8 +41,8 @@
             WorkRefused,
         ]
 
-    def test_order_to_the_dead(self, rig: Rig) -> None:
-        """An order to a killed server is no error; a bad order is."""
+    def test_command_to_killed_server(self, rig: Rig) -> None:
+        """A command to a killed server is ignored; a bad command fails."""
         server = rig.start_module('raft-a', 'fennelfork_bench.backend')
         server.await_ready()
         with pytest.raises(RigError, match='raft-a refused snapshot'):
@@ -50,9 +50,9 @@
         server.kill()
         order(server, 'drain', {'draining': True})
 
-    def test_no_log(self, rig: Rig) -> None:
-        """A log that can't be read is an error, not an empty history."""
+    def test_unavailable_log(self, rig: Rig) -> None:
+        """An unavailable log raises an error instead of yielding no events."""
         server = rig.start_module('raft-a', 'fennelfork_bench.backend')
         server.await_ready().kill()
-        with pytest.raises(RigError, match='no whole log of raft-a'):
+        with pytest.raises(RigError, match='the log of raft-a is not complete'):
             tuple(server_events(server))
