--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_caller.py
@@ -132,7 +132,7 @@
         return self._renew_entry() if step is CallerStep.RENEW else None
 
     def _ticket_left_ms(self, entry: Entry) -> float:
-        return entry.until_ms - self.recorder.now_ms()
+        return entry.expires_at_ms - self.recorder.now_ms()
 
     def _renew_entry(self) -> Entry | None:
         self.entries.invalidate()
@@ -167,7 +167,7 @@
             'request_id': request_id,
             'caller': self.name,
             'daemon': self._randomness.choice(entry.addresses),
-            'entry_until_ms': entry.until_ms,
+            'entry_until_ms': entry.expires_at_ms,
             'front': self.profile.front,
         }
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_entry.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_entry.py
@@ -21,13 +21,13 @@
 
     Attributes:
         addresses: caller addresses of daemons, best first.
-        until_ms: time at which the entry expires, in milliseconds.
+        expires_at_ms: time at which the entry expires, in milliseconds.
         ticket: token that binds executions to one daemon.
         serial: name of the ticket in the request ids of executions.
     """
 
     addresses: tuple[str, ...]
-    until_ms: float
+    expires_at_ms: float
     ticket: str
     serial: str
 
@@ -48,7 +48,7 @@
     def current(self) -> Entry | None:
         """Return a valid entry, or `None` if no daemon provides one."""
         entry = self._entry
-        if entry is None or self._clock.now_ms() >= entry.until_ms:
+        if entry is None or self._clock.now_ms() >= entry.expires_at_ms:
             self._entry = self._fetch()
         return self._entry
 
@@ -92,7 +92,7 @@
 def _parse_entry(body: dict[str, Any], asked_ms: float) -> Entry:
     return Entry(
         addresses=tuple(each['address'] for each in body['entries']),
-        until_ms=asked_ms + body['ttl_ms'],
+        expires_at_ms=asked_ms + body['ttl_ms'],
         ticket=body['ticket'],
         serial=body['ticket_serial'],
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_menu.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_menu.py
@@ -44,7 +44,7 @@
     'mute',
     'straggle',
 )
-_FAULT_CATALOGUE: Final[tuple[Fault, ...]] = (
+_CATALOGUE: Final[tuple[Fault, ...]] = (
     KillDaemon(),
     PauseDaemon(hold_s=2),
     StopDaemon(hold_s=0),
@@ -67,9 +67,7 @@
 
 def draw_fault_pair(randomness: random.Random) -> tuple[Fault, Fault]:
     """Return two random faults, which may be equal."""
-    return randomness.choice(_FAULT_CATALOGUE), randomness.choice(
-        _FAULT_CATALOGUE
-    )
+    return randomness.choice(_CATALOGUE), randomness.choice(_CATALOGUE)
 
 
 def small_fleet(seed: int) -> FleetSpec:
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_rounds.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_rounds.py
@@ -21,7 +21,7 @@
     """Summary of a round.
 
     Attributes:
-        told: one-line description of the faults and the outcome.
+        told: faults and numbers of the round, in one line.
         counts: numbers of events, by name.
         broken: descriptions of the violated guarantees.
     """
