--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/__init__.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments, a module each."""
+"""Experiments of the test bench, one module per experiment."""
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_control.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_control.py
@@ -1,4 +1,4 @@
-"""Experiment `control`: what control costs one daemon, at rest and patched."""
+"""Experiment `control`: cost of control traffic, idle and with patches."""
 
 import time
 from typing import Final
@@ -22,35 +22,39 @@
 from fennelfork_bench.rig._report import Arm, Report
 
 _CLOCK: Final = system_clock()
-_NEWS_S: Final = 40  # news of the start is told for a while
+_STARTUP_GOSSIP_S: Final = (
+    40  # membership updates of the start are sent for a while
+)
 _WINDOW_S: Final = 60
-_PATCH_EVERY_S: Final = 2
+_PATCH_INTERVAL_S: Final = 2
 _MS_PER_S: Final = 1000
 _DAY_S: Final = 86_400
-_PATCHES_A_DAY: Final = 1800
-_CORE: Final = 'core_percent_mean'
-_BYTES: Final = 'kb_per_s_mean'
+_PATCHES_PER_DAY: Final = 1800
+_CORE_METRIC: Final = 'core_percent_mean'
+_BYTES_METRIC: Final = 'kb_per_s_mean'
 
 
 def run(seed: int) -> Report:
-    """Measure a window of rest and one of patches on the same fleet.
+    """Measure an idle window and a window with patches on one fleet.
 
-    The patches come faster than the letter's 1,800 a day, so that a window of
-    a minute holds thirty; the third arm is worked out from the other two for
-    the letter's rate.
+    The third arm interpolates between the two windows to the daily number of
+    patches of a production fleet.
 
     Args:
-        seed: of the service times.
+        seed: seed of the service times.
     """
     with rig() as started:
         fleet = start_fleet(started, small_fleet(TODAY, seed))
-        time.sleep(_NEWS_S)
-        rest = cost_metrics(costs_over(fleet.living, _WINDOW_S))
+        time.sleep(_STARTUP_GOSSIP_S)
+        idle = cost_metrics(costs_over(fleet.living, _WINDOW_S))
         patched = cost_metrics(_patched_costs(fleet))
     arms = (
-        Arm(name='rest', metrics=rest),
+        Arm(name='rest', metrics=idle),
         Arm(name='patch_each_2_s', metrics=patched),
-        Arm(name='worked_out_1800_a_day', metrics=_at_rate(rest, patched)),
+        Arm(
+            name='worked_out_1800_a_day',
+            metrics=_interpolated_costs(idle, patched),
+        ),
     )
     return Report(experiment='control', seed=seed, arms=arms)
 
@@ -58,24 +62,26 @@
 def _patched_costs(fleet: Fleet) -> list[Cost]:
     before = read_costs(fleet.living)
     base = 1
-    for number in range(_WINDOW_S // _PATCH_EVERY_S):
-        due_ms = _CLOCK.now_ms()
+    for number in range(_WINDOW_S // _PATCH_INTERVAL_S):
+        started_ms = _CLOCK.now_ms()
         operator = fleet.operators[number % TODAY]
         reply = send_patch(operator, hedge_patch(number + 1), base)
         if not reply.fine:
-            raise RigError(f'patch refused: {reply}')
+            raise RigError(
+                f'the daemon at {operator} refused the patch: {reply}'
+            )
         base = reply.body['version']
-        spent_s = (_CLOCK.now_ms() - due_ms) / _MS_PER_S
-        time.sleep(max(0, _PATCH_EVERY_S - spent_s))
+        elapsed_s = (_CLOCK.now_ms() - started_ms) / _MS_PER_S
+        time.sleep(max(0, _PATCH_INTERVAL_S - elapsed_s))
     return costs_between(before, read_costs(fleet.living))
 
 
-def _at_rate(
-    rest: dict[str, float],
+def _interpolated_costs(
+    idle: dict[str, float],
     patched: dict[str, float],
 ) -> dict[str, float]:
-    share = _PATCHES_A_DAY * _PATCH_EVERY_S / _DAY_S
+    share = _PATCHES_PER_DAY * _PATCH_INTERVAL_S / _DAY_S
     return {
-        name: rest[name] + (patched[name] - rest[name]) * share
-        for name in (_CORE, _BYTES)
+        name: idle[name] + (patched[name] - idle[name]) * share
+        for name in (_CORE_METRIC, _BYTES_METRIC)
     }
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_cost.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_cost.py
@@ -1,4 +1,4 @@
-"""What a daemon spends: processor time, memory, bytes of control."""
+"""Costs of a daemon: processor time, memory and control traffic."""
 
 import statistics
 import time
@@ -20,8 +20,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Reading:
-    """One reading of one daemon."""
+class CostReading:
+    """Resource usage of a daemon at one time."""
 
     at_ms: float
     used: Usage
@@ -30,12 +30,12 @@
 
 @attrs.frozen(kw_only=True)
 class Cost:
-    """What one daemon spent over a time.
+    """Resources that one daemon used during an interval.
 
     Attributes:
-        core_percent: of one core.
-        resident_mb: at the end.
-        kb_per_s: control sent and received, as the daemon counts it.
+        core_percent: processor time as a percentage of one core.
+        resident_mb: resident memory at the end of the interval.
+        kb_per_s: control traffic sent and received, from the daemon's metrics.
     """
 
     core_percent: float
@@ -43,43 +43,43 @@
     kb_per_s: float
 
 
-def read_costs(daemons: Sequence[Process]) -> list[Reading]:
-    """Read every daemon once."""
-    return [_reading(each) for each in daemons]
+def read_costs(daemons: Sequence[Process]) -> list[CostReading]:
+    """Read the resource usage of every daemon."""
+    return [_read_cost(each) for each in daemons]
 
 
 def costs_over(daemons: Sequence[Process], seconds: float) -> list[Cost]:
-    """Measure every daemon over a time in which nothing else is done."""
+    """Measure the costs of every daemon while the experiment sleeps."""
     before = read_costs(daemons)
     time.sleep(seconds)
     return costs_between(before, read_costs(daemons))
 
 
 def costs_between(
-    before: Sequence[Reading],
-    after: Sequence[Reading],
+    before: Sequence[CostReading],
+    after: Sequence[CostReading],
 ) -> list[Cost]:
-    """Work out the costs between two readings of the same daemons."""
-    return list(map(_cost, before, after))
+    """Compute the costs between two readings of the same daemons."""
+    return list(map(_cost_between, before, after))
 
 
 def cost_metrics(costs: Sequence[Cost]) -> dict[str, float]:
-    """Give the mean, the median and the highest of each cost.
+    """Return the mean, the median and the maximum of each cost.
 
-    Only two daemons a data centre watch the platform, so in a large fleet
-    the median is a plain member and the highest a watcher.
+    Only two daemons of a data centre watch the platform, so in a large fleet
+    the median describes a plain member and the maximum a watcher.
     """
     metrics: dict[str, float] = {}
     for name in ('core_percent', 'resident_mb', 'kb_per_s'):
-        found = [getattr(cost, name) for cost in costs]
-        metrics[f'{name}_mean'] = statistics.fmean(found)
-        metrics[f'{name}_p50'] = statistics.median(found)
-        metrics[f'{name}_max'] = max(found)
+        observed = [getattr(cost, name) for cost in costs]
+        metrics[f'{name}_mean'] = statistics.fmean(observed)
+        metrics[f'{name}_p50'] = statistics.median(observed)
+        metrics[f'{name}_max'] = max(observed)
     return metrics
 
 
-def sum_of_metric(text: str, name: str) -> float:
-    """Add up all series of one metric in a page of metrics."""
+def sum_metric(text: str, name: str) -> float:
+    """Return the sum of all series of one metric in a metrics page."""
     return sum(
         sample.value
         for family in text_string_to_metric_families(text)
@@ -91,20 +91,20 @@
     return [sample for sample in family.samples if sample.name == name]
 
 
-def _reading(process: Process) -> Reading:
+def _read_cost(process: Process) -> CostReading:
     text = get_text(process.ready['operator'], '/metrics')
-    return Reading(
+    return CostReading(
         at_ms=_CLOCK.now_ms(),
         used=usage(process.pid),
-        control_bytes=sum_of_metric(text, _CONTROL_BYTES),
+        control_bytes=sum_metric(text, _CONTROL_BYTES),
     )
 
 
-def _cost(before: Reading, after: Reading) -> Cost:
+def _cost_between(before: CostReading, after: CostReading) -> Cost:
     elapsed_ms = after.at_ms - before.at_ms
-    grown_kb = (after.control_bytes - before.control_bytes) / _BYTES_PER_KB
+    control_kb = (after.control_bytes - before.control_bytes) / _BYTES_PER_KB
     return Cost(
         core_percent=core_percent(before.used, after.used, elapsed_ms),
         resident_mb=after.used.resident_mb,
-        kb_per_s=grown_kb * _MS_PER_S / elapsed_ms,
+        kb_per_s=control_kb * _MS_PER_S / elapsed_ms,
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_document.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_document.py
@@ -1,4 +1,4 @@
-"""Experiment `document`: what the size of the configuration costs a daemon."""
+"""Experiment `document`: cost of the configuration size for a daemon."""
 
 import gc
 import os
@@ -21,20 +21,20 @@
 from fennelfork_bench.rig._usage import usage
 
 _SERVERS: Final = (30, 310, 3100)
-_SERVERS_A_SHARD: Final = 3
-_SHARDS_A_FRONT: Final = 10
+_SERVERS_PER_SHARD: Final = 3
+_SHARDS_PER_FRONT: Final = 10
 _PATCHES: Final = 64
-_REPEATS: Final = 7
+_SAMPLES: Final = 7
 _EPOCH_MS: Final = 1_790_000_000_000
 _MS_PER_S: Final = 1000
 _BYTES_PER_KB: Final = 1000
 
 
 def run(seed: int) -> Report:
-    """Measure documents of 30, 310 and the letter's 3,100 servers.
+    """Measure configuration documents with three numbers of servers.
 
     Args:
-        seed: not used; the documents are the same each time.
+        seed: unused seed; the documents do not depend on randomness.
     """
     arms = tuple(_arm(servers) for servers in _SERVERS)
     return Report(experiment='document', seed=seed, arms=arms)
@@ -58,17 +58,17 @@
                 lambda: render_document(state.parsed.document),
             ),
             'digest_ms': _median_ms(lambda: digest(raw)),
-            'take_next_ms': _take_next_ms(document_tree(servers)),
+            'take_next_ms': _activate_next_ms(document_tree(servers)),
             'resident_growth_mb': after_mb - before_mb,
         },
     )
 
 
-def _take_next_ms(tree: dict[str, Any]) -> float:
-    """Measure a daemon that takes versions with one front changed."""
+def _activate_next_ms(tree: dict[str, Any]) -> float:
+    """Return the time to activate a version in which one front changed."""
     state = config_state(system_clock())
     times_ms = []
-    for number in range(_REPEATS + 1):
+    for number in range(_SAMPLES + 1):
         tree['version'] = _PATCHES + number
         tree['fronts']['front-0']['hedge'] = {'delay_ms': number}
         raw = render_document(structure_document(tree).unwrap())
@@ -79,13 +79,13 @@
 
 
 def document_tree(servers: int) -> dict[str, Any]:
-    """Build a document with that many servers and a full history.
+    """Build a configuration document with a full patch history.
 
     Args:
-        servers: three a shard and ten shards a front.
+        servers: number of backend servers, three for each shard.
     """
-    shards = max(1, servers // _SERVERS_A_SHARD)
-    fronts = max(1, shards // _SHARDS_A_FRONT)
+    shards = max(1, servers // _SERVERS_PER_SHARD)
+    fronts = max(1, shards // _SHARDS_PER_FRONT)
     return {
         'version': _PATCHES,
         'patches': [_patch(number) for number in range(1, _PATCHES + 1)],
@@ -113,7 +113,7 @@
                 'connections': 40,
                 'connect_ms': 6,
             }
-            for index in range(_SERVERS_A_SHARD)
+            for index in range(_SERVERS_PER_SHARD)
         },
     }
 
@@ -130,7 +130,7 @@
 
 def _median_ms(action: Callable[[], Any]) -> float:
     times_ms = []
-    for _ in range(_REPEATS):
+    for _ in range(_SAMPLES):
         started_s = time.process_time()
         action()
         times_ms.append((time.process_time() - started_s) * _MS_PER_S)
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout.py
@@ -7,36 +7,36 @@
 import numpy as np
 
 from fennelfork_bench.experiments._fanout_server import batch_arms
-from fennelfork_bench.experiments._fleet import FrontSize, start_front
+from fennelfork_bench.experiments._fleet import FrontSize, start_front_fleet
 from fennelfork_bench.experiments._load import (
-    Measured,
-    front_load,
+    LoadResult,
+    collect_violations,
+    front_load_spec,
     measure,
-    violations,
     warm_up,
 )
 from fennelfork_bench.experiments._metrics import (
     latency_metrics,
     outcome_metrics,
 )
-from fennelfork_bench.experiments._processor import idle_us_per_s
+from fennelfork_bench.experiments._processor_time import idle_us_per_s
 from fennelfork_bench.rig._process import rig
 from fennelfork_bench.rig._report import Arm, Report
 
 _FAN_OUTS: Final = (8, 30, 88)
 _SUB_QUERIES_PER_S: Final = 600
-_SPAN_S: Final = 10
+_DURATION_S: Final = 10
 _IDLE_S: Final = 5
 _DEADLINE_MS: Final = 5000
 _MODES: Final = ('home', 'direct')
 
 
 def run(seed: int) -> Report:
-    """Run each fan-out by home and directly, at equal sub-queries a second."""
-    points: dict[str, list[Measured]] = {mode: [] for mode in _MODES}
+    """Run each fan-out in both routing modes at an equal sub-query rate."""
+    results: dict[str, list[LoadResult]] = {mode: [] for mode in _MODES}
     arms = []
     for fan_out in _FAN_OUTS:
-        for mode, measured in points.items():
+        for mode, measured in results.items():
             measured.append(_measure(fan_out, mode, seed))
             arms.append(_arm(f'{mode}@{fan_out}', measured[-1]))
     with rig() as own:
@@ -44,21 +44,23 @@
     return Report(
         experiment='fanout',
         seed=seed,
-        arms=(*arms, *itertools.starmap(_slope, points.items()), *batches),
-        failures=violations(itertools.chain.from_iterable(points.values())),
+        arms=(*arms, *itertools.starmap(_slope_arm, results.items()), *batches),
+        failures=collect_violations(
+            itertools.chain.from_iterable(results.values())
+        ),
     )
 
 
-def _measure(fan_out: int, mode: str, seed: int) -> Measured:
+def _measure(fan_out: int, mode: str, seed: int) -> LoadResult:
     size = FrontSize(shards=fan_out, servers=1)
     rate_per_s = _SUB_QUERIES_PER_S / fan_out
     with rig() as own:
-        fleet = start_front(own, size, seed, {'routing': {'mode': mode}})
-        load = front_load(
+        fleet = start_front_fleet(own, size, seed, {'routing': {'mode': mode}})
+        load = front_load_spec(
             fleet,
             size,
             rate_per_s=rate_per_s,
-            count=round(rate_per_s * _SPAN_S),
+            count=round(rate_per_s * _DURATION_S),
             deadline_ms=_DEADLINE_MS,
             seed=seed,
         )
@@ -67,32 +69,32 @@
         return attrs.evolve(measure(fleet, load), idle_us_per_s=idle)
 
 
-def _arm(name: str, measured: Measured) -> Arm:
+def _arm(name: str, measured: LoadResult) -> Arm:
     return Arm(
         name=name,
         metrics={
             **latency_metrics(measured.tally),
             **outcome_metrics(measured),
             'daemon_us_per_query': _us_per_query(measured),
-            'daemon_us_per_sub_query': measured.busy_us / measured.needed,
+            'daemon_us_per_sub_query': measured.busy_us / measured.required,
             'idle_us_per_s': measured.idle_us_per_s,
-            'server_us_per_sub_query': measured.server_us / measured.needed,
+            'server_us_per_sub_query': measured.server_us / measured.required,
         },
     )
 
 
-def _slope(name: str, points: list[Measured]) -> Arm:
-    """Fit processor time of a query as a line over the fan-out."""
-    costs = [_us_per_query(point) for point in points]
-    slope, fixed = np.polyfit(_FAN_OUTS, costs, 1)
+def _slope_arm(name: str, results: list[LoadResult]) -> Arm:
+    """Fit the processor time of a query as a linear function of the fan-out."""
+    costs = [_us_per_query(result) for result in results]
+    slope, intercept = np.polyfit(_FAN_OUTS, costs, 1)
     return Arm(
         name=f'{name} slope',
         metrics={
-            'fixed_us_per_query': float(fixed),
+            'fixed_us_per_query': float(intercept),
             'slope_us_per_sub_query': float(slope),
         },
     )
 
 
-def _us_per_query(measured: Measured) -> float:
+def _us_per_query(measured: LoadResult) -> float:
     return measured.busy_us / measured.tally.counts['offered']
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout_server.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout_server.py
@@ -1,4 +1,4 @@
-"""Part of experiment `fanout`: what sharing a call to a server brings."""
+"""Part of experiment `fanout`: cost of batched searches on a server."""
 
 import json
 import time
@@ -6,15 +6,15 @@
 
 import urllib3
 
-from fennelfork_bench.experiments._processor import processor_us
+from fennelfork_bench.experiments._processor_time import processor_us
 from fennelfork_bench.rig._process import Process, Rig, RigError
 from fennelfork_bench.rig._report import Arm
 
 _BATCHES: Final = (1, 8, 30)
-_CALLS: Final = 300
+_REQUESTS: Final = 300
 _KEYS: Final = 1000
-_US_PER_SECOND: Final = 1_000_000
-_OK: Final = 200
+_US_PER_S: Final = 1_000_000
+_HTTP_OK: Final = 200
 _OPTIONS: Final = (
     '--multi-search',
     '--slots=100',
@@ -26,27 +26,29 @@
 
 
 def batch_arms(rig: Rig) -> list[Arm]:
-    """Measure both ends of calls that carry 1, 8 and 30 searches.
+    """Measure the client and the server for each batch size.
+
+    The client is the current process, so its processor time covers nothing
+    but the requests.
 
     Args:
-        rig: takes the server; the caller is this process, so that nothing
-            but the calls is in the figures.
+        rig: rig that starts the backend server.
     """
     server = rig.start_module(
         'batch-server',
         'fennelfork_bench.backend',
         _OPTIONS,
     ).await_ready()
-    _send(server, 1)
+    _send_batches(server, 1)
     return [_arm(server, batch) for batch in _BATCHES]
 
 
 def _arm(server: Process, batch: int) -> Arm:
     server_us = processor_us((server,))
-    client_s = time.process_time()
-    _send(server, batch)
-    client_us = (time.process_time() - client_s) * _US_PER_SECOND
-    searches = _CALLS * batch
+    client_started_s = time.process_time()
+    _send_batches(server, batch)
+    client_us = (time.process_time() - client_started_s) * _US_PER_S
+    searches = _REQUESTS * batch
     return Arm(
         name=f'server batch {batch}',
         metrics={
@@ -57,21 +59,23 @@
     )
 
 
-def _send(server: Process, batch: int) -> None:
+def _send_batches(server: Process, batch: int) -> None:
     address = server.ready['address']
     pool = urllib3.connection_from_url(f'http://{address}', retries=False)
-    for number in range(_CALLS):
+    for number in range(_REQUESTS):
         reply = pool.request(
             'POST',
             '/v1/multi-search',
             body=json.dumps({'searches': _searches(number, batch)}),
         )
-        found = json.loads(reply.data)
-        whole = reply.status == _OK and all(
-            one.get('count') == 1 for one in found['replies']
+        response_body = json.loads(reply.data)
+        is_complete = reply.status == _HTTP_OK and all(
+            one.get('count') == 1 for one in response_body['replies']
         )
-        if not whole:
-            raise RigError(f'a call of {batch} gave {reply.data!r}')
+        if not is_complete:
+            raise RigError(
+                f'incomplete response to a batch of {batch}: {reply.data!r}'
+            )
 
 
 def _searches(number: int, batch: int) -> list[dict[str, object]]:
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of the experiments on answers, at the sizes of the brief."""
+"""Fleets with one front for the experiments on answers to callers."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -20,21 +20,21 @@
 )
 
 FRONT: Final = 'raft-search'
-_KEYS_A_SHARD: Final = 100
-_LOG_CAP_MS: Final = 60_000
+_KEYS_PER_SHARD: Final = 100
+_LOG_TIMEOUT_MS: Final = 60_000
 
 
 @attrs.frozen(kw_only=True)
 class FrontSize:
-    """How large a front is.
+    """Size of a front and of its fleet.
 
     Attributes:
-        shards: how many shards, which is the fan-out of a query.
-        servers: backend servers of each shard.
-        slots: slots of each server.
+        shards: number of shards, which is the fan-out of a query.
+        servers: number of backend servers of each shard.
+        slots: number of slots of each backend server.
         mean_ms: mean service time.
-        straggle: share of requests that take ten times as long.
-        daemons: how many daemons.
+        straggle: share of requests that take ten times the service time.
+        daemons: number of daemons.
     """
 
     shards: int
@@ -46,33 +46,35 @@
 
     @property
     def keys(self) -> int:
-        """Size of the key space."""
-        return self.shards * _KEYS_A_SHARD
+        """Number of keys of the front."""
+        return self.shards * _KEYS_PER_SHARD
 
     @property
-    def capacity(self) -> float:
-        """Queries a second that keep all slots busy, without hedges."""
-        slowest = 1 + self.straggle * (_STRAGGLE_FACTOR - 1)
-        return self.servers * self.slots * _MS / (self.mean_ms * slowest)
+    def capacity_per_s(self) -> float:
+        """Queries per second that keep all slots busy, without hedges."""
+        mean_factor = 1 + self.straggle * (_STRAGGLE_FACTOR - 1)
+        return (
+            self.servers * self.slots * _MS_PER_S / (self.mean_ms * mean_factor)
+        )
 
 
-_MS: Final = 1000
+_MS_PER_S: Final = 1000
 _STRAGGLE_FACTOR: Final = 10
 
 
-def start_front(
+def start_front_fleet(
     rig: Rig,
     size: FrontSize,
     seed: int,
     tables: dict[str, dict[str, Any]] | None = None,
 ) -> Fleet:
-    """Start a fleet with one front, and put it in force without hedges.
+    """Start a fleet with one front that is configured without hedges.
 
     Args:
-        rig: takes the processes.
-        size: the size of the front.
-        seed: of the service times.
-        tables: settings that all daemons share.
+        rig: rig that starts the processes.
+        size: size of the front.
+        seed: seed of the service times.
+        tables: settings tables that all daemons share.
     """
     front = FrontSpec(name=FRONT, keys=size.keys, shards=_shards(size, seed))
     spec = FleetSpec(
@@ -80,48 +82,48 @@
         daemons=daemon_specs(size.daemons, tables=tables),
     )
     fleet = empty_fleet(rig, spec).start_backends().start_daemons()
-    put_hedge(fleet, {'policy': 'none'})
+    apply_hedge_policy(fleet, {'policy': 'none'})
     return fleet
 
 
-def put_hedge(fleet: Fleet, hedge: dict[str, Any]) -> None:
-    """Put a hedge policy in force on all daemons."""
+def apply_hedge_policy(fleet: Fleet, hedge: dict[str, Any]) -> None:
+    """Configure a hedge policy and wait until all daemons use it."""
     patch = first_patch(fleet)
     patch['fronts'][FRONT]['hedge'] = hedge
-    wanted = max(map(version, fleet.operators)) + 1
-    document = {'version': max(wanted, 1), 'patches': [], **patch}
+    next_version = max(map(version, fleet.operators)) + 1
+    document = {'version': max(next_version, 1), 'patches': [], **patch}
     fleet.platform.write_document(document)
     await_version(fleet, document['version'])
 
 
 def order_faults(fleet: Fleet, server: str, **faults: Any) -> None:
-    """Switch the faults of one backend server.
+    """Inject faults into one backend server.
 
     Raises:
-        RigError: if it refused.
+        RigError: if the backend server refuses the faults.
     """
     address = fleet.backends[server].ready['control']
     reply = http.post(address, '/control/faults', faults)
     if not reply.fine:
-        raise RigError(f'faults refused: {reply}')
+        raise RigError(f'backend server {server!r} refused the faults: {reply}')
 
 
-def log_pages(fleet: Fleet) -> Iterator[dict[str, Any]]:
-    """Read the logs of all backend servers, one after the other.
+def read_server_logs(fleet: Fleet) -> Iterator[dict[str, Any]]:
+    """Read the event logs of all backend servers, one after the other.
 
     Raises:
-        RigError: if a server does not answer.
+        RigError: if a backend server does not return its log.
     """
     for process in fleet.backends.values():
         address = process.ready['control']
-        reply = http.get(address, '/control/log', _LOG_CAP_MS)
+        reply = http.get(address, '/control/log', _LOG_TIMEOUT_MS)
         if not reply.fine:
-            raise RigError(f'no log of {process.name}: {reply}')
+            raise RigError(f'cannot read the log of {process.name}: {reply}')
         yield reply.body
 
 
-def server_counts(fleet: Fleet) -> Counter[str]:
-    """Add up what all backend servers counted so far."""
+def sum_server_counts(fleet: Fleet) -> Counter[str]:
+    """Return the sum of the counters of all backend servers."""
     total: Counter[str] = Counter()
     for process in fleet.backends.values():
         reply = http.get(process.ready['control'], '/control/counts')
@@ -136,14 +138,14 @@
             size.servers,
             BackendSpec(
                 name='template',
-                lo=index * _KEYS_A_SHARD,
-                hi=(index + 1) * _KEYS_A_SHARD,
+                lo=index * _KEYS_PER_SHARD,
+                hi=(index + 1) * _KEYS_PER_SHARD,
                 keys=size.keys,
                 slots=size.slots,
                 mean_ms=size.mean_ms,
                 straggle=size.straggle,
                 straggle_factor=_STRAGGLE_FACTOR,
-                seed=seed * _KEYS_A_SHARD + index * size.servers,
+                seed=seed * _KEYS_PER_SHARD + index * size.servers,
             ),
             [f'dc-{index % 3 + 1}'],
         )
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_load.py
@@ -1,4 +1,4 @@
-"""One measured load on a fleet: tally, server counts, processor time."""
+"""Load on a fleet, measured by tally, server counts and processor time."""
 
 import itertools
 import os
@@ -11,30 +11,30 @@
 from fennelfork_bench.callers._group import await_callers, start_callers
 from fennelfork_bench.callers._spec import LoadSpec
 from fennelfork_bench.callers._tally import Tally, in_turn
-from fennelfork_bench.experiments._fleet import FrontSize, server_counts
-from fennelfork_bench.experiments._processor import processor_us
+from fennelfork_bench.experiments._fleet import FrontSize, sum_server_counts
+from fennelfork_bench.experiments._processor_time import processor_us
 from fennelfork_bench.rig._fleet import Fleet
 
 _CALLER_LINK_MS: Final = 3
-_WARM_S: Final = 3
-_MS: Final = 1000
+_WARM_UP_S: Final = 3
+_MS_PER_S: Final = 1000
 
 
 @attrs.frozen(kw_only=True)
-class Measured:
-    """What a load came to.
+class LoadResult:
+    """Result of a load.
 
     Attributes:
-        needed: sub-queries that the offered queries need without hedges.
-        tally: what the callers got.
-        counts: what the backend servers counted for it.
+        required: sub-queries that the offered queries need without hedges.
+        tally: tally of the answers to the callers.
+        counts: increase of the counters of the backend servers.
         daemon_us: processor time of all daemons.
         server_us: processor time of all backend servers.
-        load_average: of the whole machine, of the last minute, at the end.
-        idle_us_per_s: what all daemons use in a second without queries.
+        load_average: one-minute load average of the machine at the end.
+        idle_us_per_s: processor time of all daemons per second without load.
     """
 
-    needed: int
+    required: int
     tally: Tally
     counts: Counter[str]
     daemon_us: float
@@ -44,23 +44,23 @@
 
     @property
     def busy_us(self) -> float:
-        """Processor time of all daemons above what they use when idle."""
-        span_s = self.tally.span_ms / _MS
-        return self.daemon_us - self.idle_us_per_s * span_s
+        """Processor time of all daemons in excess of their idle usage."""
+        duration_s = self.tally.span_ms / _MS_PER_S
+        return self.daemon_us - self.idle_us_per_s * duration_s
 
     @property
     def extra_load(self) -> float:
-        """Runs on backend servers above those needed, as a share."""
-        return self.counts['started'] / self.needed - 1
+        """Extra attempts as a share of the required sub-queries."""
+        return self.counts['started'] / self.required - 1
 
     @property
-    def sheds(self) -> float:
-        """Refusals by full backend servers for each sub-query needed."""
-        return self.counts['refused_shed'] / self.needed
+    def sheds_per_sub_query(self) -> float:
+        """Requests shed by backend servers per required sub-query."""
+        return self.counts['refused_shed'] / self.required
 
 
-def front_load(fleet: Fleet, size: FrontSize, **changes: Any) -> LoadSpec:
-    """Build the load of a front: one key of each shard, 3 ms away."""
+def front_load_spec(fleet: Fleet, size: FrontSize, **changes: Any) -> LoadSpec:
+    """Build a load of queries for one key of each shard of a front."""
     load = LoadSpec(
         entries=','.join(fleet.callers),
         keys=size.keys,
@@ -71,11 +71,11 @@
 
 
 def warm_up(fleet: Fleet, load: LoadSpec) -> None:
-    """Open connections and fill histograms with a short load before."""
+    """Open connections and fill histograms with a short load."""
     warm = attrs.evolve(
         load,
         caller=f'warm-{load.caller}',
-        count=max(1, round(load.rate_per_s * _WARM_S)),
+        count=max(1, round(load.rate_per_s * _WARM_UP_S)),
         history=None,
     )
     await_callers(start_callers(fleet.rig, warm), warm)
@@ -84,41 +84,41 @@
 def measure(
     fleet: Fleet,
     load: LoadSpec,
-    meanwhile: Callable[[], object] = bool,
-) -> Measured:
-    """Run a load and measure what it took.
+    on_poll: Callable[[], object] = bool,
+) -> LoadResult:
+    """Run a load and measure its answers and costs.
 
     Args:
-        fleet: takes the load.
-        load: the load.
-        meanwhile: called again and again until the callers have ended.
+        fleet: fleet that serves the load.
+        load: specification of the load.
+        on_poll: function called repeatedly until the callers exit.
     """
-    counts = server_counts(fleet)
+    counts = sum_server_counts(fleet)
     daemon_us = processor_us(fleet.living)
     server_us = processor_us(fleet.backends.values())
     started = start_callers(fleet.rig, load)
     while any(process.alive for process in started):
-        meanwhile()
+        on_poll()
         started[0].wait(1)
     tally = await_callers(started, load)
-    return Measured(
-        needed=tally.counts['offered'] * len(fleet.spec.fronts[0].shards),
+    return LoadResult(
+        required=tally.counts['offered'] * len(fleet.spec.fronts[0].shards),
         tally=tally,
-        counts=server_counts(fleet) - counts,
+        counts=sum_server_counts(fleet) - counts,
         daemon_us=processor_us(fleet.living) - daemon_us,
         server_us=processor_us(fleet.backends.values()) - server_us,
         load_average=os.getloadavg()[0],
     )
 
 
-def joined(rounds: Iterable[Measured]) -> Measured:
-    """Add rounds of the same arm that ran one after the other."""
+def merge_rounds(rounds: Iterable[LoadResult]) -> LoadResult:
+    """Merge the results of consecutive rounds of one arm."""
     parts = list(rounds)
     counts: Counter[str] = Counter()
     for each in parts:
         counts.update(each.counts)
-    return Measured(
-        needed=sum(part.needed for part in parts),
+    return LoadResult(
+        required=sum(part.required for part in parts),
         tally=in_turn(part.tally for part in parts),
         counts=counts,
         daemon_us=sum(part.daemon_us for part in parts),
@@ -127,7 +127,7 @@
     )
 
 
-def violations(measured: Iterable[Measured]) -> tuple[str, ...]:
-    """Give every broken promise that callers saw."""
+def collect_violations(measured: Iterable[LoadResult]) -> tuple[str, ...]:
+    """Return all violations of guarantees that callers detected."""
     found = (one.tally.violations for one in measured)
     return tuple(itertools.chain.from_iterable(found))
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_members.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_members.py
@@ -1,4 +1,4 @@
-"""What the daemons of a fleet believe of each other."""
+"""Membership states that the daemons of a fleet report."""
 
 import time
 from collections.abc import Sequence
@@ -14,90 +14,90 @@
 _CLOCK: Final = system_clock()
 _MS_PER_S: Final = 1000
 _POLL_S: Final = 0.2
-_CAP_MS: Final = 60_000
-_NEVER_MS: Final = 1e6
-_SERVING: Final = frozenset(('alive', 'leaving'))
+_POLL_TIMEOUT_MS: Final = 60_000
+_TIMED_OUT_MS: Final = 1e6
+_SERVING_STATES: Final = frozenset(('alive', 'leaving'))
 _ALIVE: Final = 'alive'
 
 
 @attrs.frozen(kw_only=True, order=True)
-class Doubt:
-    """One daemon believes that another is not alive."""
+class FalseSuspicion:
+    """Report of a daemon that a running daemon is not alive."""
 
     observer: str
     subject: str
     state: str
 
 
-def beliefs(operator: str) -> dict[str, str]:
-    """Read the states of all members as one daemon believes them."""
+def member_states(operator: str) -> dict[str, str]:
+    """Return the state of each member in the view of one daemon."""
     members = http.get(operator, '/v1/members').body.get('members', ())
     return {member['name']: member['state'] for member in members}
 
 
-def noticed_ms(
+def detection_times_ms(
     observers: Sequence[Process],
     killed: str,
     since_ms: float,
 ) -> list[float]:
-    """Wait until each observer no longer takes `killed` for alive.
+    """Wait until each observer stops reporting a killed daemon as serving.
 
     Args:
-        observers: the daemons that live on.
-        killed: name of the one that was killed.
-        since_ms: when it was killed.
+        observers: daemons that are still running.
+        killed: name of the killed daemon.
+        since_ms: time at which the daemon was killed.
 
     Returns:
-        How long each took.
+        Detection time of each observer in milliseconds.
     """
     pool = eventlet.GreenPool()
-    waiting = [
-        pool.spawn(_one_noticed_ms, each, killed, since_ms)
+    pending = [
+        pool.spawn(_detection_time_ms, each, killed, since_ms)
         for each in observers
     ]
-    return [each.wait() for each in waiting]
+    return [each.wait() for each in pending]
 
 
-def watch_for_doubts(
+def watch_for_false_suspicions(
     daemons: Sequence[Process],
     seconds: float,
-) -> set[Doubt]:
-    """Poll the beliefs of daemons that are all alive.
+) -> set[FalseSuspicion]:
+    """Poll the membership states of running daemons.
 
     Args:
-        daemons: every one of them truly alive.
-        seconds: how long.
+        daemons: daemons that run during the whole interval.
+        seconds: length of the interval.
 
     Returns:
-        Each false belief seen, once.
+        Distinct false suspicions.
     """
     end_ms = _CLOCK.now_ms() + seconds * _MS_PER_S
-    doubts: set[Doubt] = set()
+    suspicions: set[FalseSuspicion] = set()
     while _CLOCK.now_ms() < end_ms:
         for process in daemons:
-            doubts |= _doubts(process)
+            suspicions |= _false_suspicions(process)
         time.sleep(_POLL_S)
-    return doubts
+    return suspicions
 
 
-def _doubts(observer: Process) -> set[Doubt]:
+def _false_suspicions(observer: Process) -> set[FalseSuspicion]:
     return {
-        Doubt(observer=observer.name, subject=subject, state=state)
-        for subject, state in beliefs(observer.ready['operator']).items()
+        FalseSuspicion(observer=observer.name, subject=subject, state=state)
+        for subject, state in member_states(observer.ready['operator']).items()
         if state != _ALIVE
     }
 
 
-def _one_noticed_ms(
+def _detection_time_ms(
     observer: Process,
     killed: str,
     since_ms: float,
 ) -> float:
-    took_ms: float = 0
-    while took_ms < _CAP_MS:
-        state = beliefs(observer.ready['operator']).get(killed, '')
-        took_ms = _CLOCK.now_ms() - since_ms
-        if state not in _SERVING:
-            return took_ms
+    elapsed_ms: float = 0
+    while elapsed_ms < _POLL_TIMEOUT_MS:
+        state = member_states(observer.ready['operator']).get(killed, '')
+        elapsed_ms = _CLOCK.now_ms() - since_ms
+        if state not in _SERVING_STATES:
+            return elapsed_ms
         time.sleep(_POLL_S)
-    return _NEVER_MS
+    return _TIMED_OUT_MS
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_metrics.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_metrics.py
@@ -1,35 +1,35 @@
-"""Metrics that the experiments on answers share."""
+"""Metrics and hedge policies shared by the experiments on answers."""
 
 from typing import Any, Final, TypeAlias
 
 from fennelfork_bench.callers._tally import Tally
-from fennelfork_bench.experiments._load import Measured
+from fennelfork_bench.experiments._load import LoadResult
 
-Hedge: TypeAlias = dict[str, Any]
+HedgePolicy: TypeAlias = dict[str, Any]
 
 _MEDIAN: Final = 0.5
 _P99: Final = 0.99
 _P999: Final = 0.999
 _BUDGET: Final = 0.05
-_FIXED_MS: Final = 30
+_FIXED_DELAY_MS: Final = 30
 _QUANTILE: Final = 0.95
 
-NO_HEDGE: Final[Hedge] = {'policy': 'none'}
-FIXED_HEDGE: Final[Hedge] = {
+NO_HEDGE: Final[HedgePolicy] = {'policy': 'none'}
+FIXED_HEDGE: Final[HedgePolicy] = {
     'policy': 'fixed',
-    'delay_ms': _FIXED_MS,
+    'delay_ms': _FIXED_DELAY_MS,
     'budget': _BUDGET,
 }
-QUANTILE_HEDGE: Final[Hedge] = {
+QUANTILE_HEDGE: Final[HedgePolicy] = {
     'policy': 'quantile',
     'quantile': _QUANTILE,
-    'delay_ms': _FIXED_MS,
+    'delay_ms': _FIXED_DELAY_MS,
     'budget': _BUDGET,
 }
 
 
 def latency_metrics(tally: Tally) -> dict[str, float]:
-    """Give the quantiles of the latency of answers."""
+    """Return the median, p99 and p99.9 latency of answers."""
     return {
         'p50_ms': tally.quantile_ms(_MEDIAN),
         'p99_ms': tally.quantile_ms(_P99),
@@ -38,12 +38,12 @@
 
 
 def refusal_p99_ms(tally: Tally) -> float:
-    """Give the time to a refusal that 99 in 100 stay below."""
+    """Return the p99 latency of refusals."""
     return tally.refusal_ms(_P99)
 
 
-def outcome_metrics(measured: Measured) -> dict[str, float]:
-    """Give how many requests met each outcome, and how busy it all was."""
+def outcome_metrics(measured: LoadResult) -> dict[str, float]:
+    """Return the number of requests per outcome and the machine load."""
     tally = measured.tally
     return {
         'queries': tally.counts['offered'],
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once.py
@@ -1,8 +1,8 @@
-"""Experiment `once`: a ticket against a claim in the platform.
+"""Experiment `once`: tickets compared with claims in the key-value service.
 
-All arms send the same requests to the same daemons. The arm `claim` first
-writes a claim of each request id by compare-and-swap, the arm `mix` one of
-ten. The platform answers in milliseconds, is then away, then very slow.
+All arms send the same load to the same daemons. The arm `claim` first writes
+a claim of each request id by compare-and-swap, the arm `mix` for one request
+in ten. The key-value service is first fast, then unavailable, then very slow.
 """
 
 import random
@@ -15,12 +15,16 @@
 
 from fennelfork_bench.experiments._fleet import (
     FrontSize,
-    log_pages,
-    start_front,
+    read_server_logs,
+    start_front_fleet,
 )
 from fennelfork_bench.experiments._once_claim import Claims
 from fennelfork_bench.experiments._once_cost import memory_costs
-from fennelfork_bench.experiments._once_load import OnceLoad, OnceTally, Phase
+from fennelfork_bench.experiments._once_load import (
+    LoadPhase,
+    OnceLoad,
+    OnceTally,
+)
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import rig
 from fennelfork_bench.rig._report import Arm, Report, percentile
@@ -29,39 +33,39 @@
 _ARMS: Final = (('ticket', 0), ('mix', 0.1), ('claim', 1))
 _ROUNDS: Final = 2
 _RATE_PER_S: Final = 50
-_CALM_COUNT: Final = 500
-_TROUBLE_COUNT: Final = 100
-_ANSWER_MS: Final = 3
+_NORMAL_COUNT: Final = 500
+_FAULT_COUNT: Final = 100
+_RESPONSE_MS: Final = 3
 _VERY_SLOW_MS: Final = 1500
-_MS: Final = 1000
+_MS_PER_S: Final = 1000
 _MEDIAN: Final = 0.5
 _P99: Final = 0.99
 
 
 @attrs.define(kw_only=True)
-class _Measured:
-    """What one arm came to over its rounds."""
+class _ArmResult:
+    """Tallies of one arm over all rounds."""
 
-    calm: list[OnceTally] = attrs.field(factory=list)
-    away: list[OnceTally] = attrs.field(factory=list)
+    normal: list[OnceTally] = attrs.field(factory=list)
+    unavailable: list[OnceTally] = attrs.field(factory=list)
     slow: list[OnceTally] = attrs.field(factory=list)
     writes: int = 0
 
     @property
     def refused(self) -> set[str]:
-        """All ids that were refused as not run."""
-        tallies = (*self.calm, *self.away, *self.slow)
+        """Ids of the requests refused with the verdict `not_run`."""
+        tallies = (*self.normal, *self.unavailable, *self.slow)
         return set().union(*(tally.refused for tally in tallies))
 
 
 def run(seed: int) -> Report:
-    """Run every arm in turn, in two rounds, on one fleet."""
-    measured = {name: _Measured() for name, _ in _ARMS}
+    """Run all arms in turn, in two rounds, on one fleet."""
+    measured = {name: _ArmResult() for name, _ in _ARMS}
     with rig() as own:
-        fleet = start_front(own, _SIZE, seed)
+        fleet = start_front_fleet(own, _SIZE, seed)
         for turn in range(_ROUNDS):
-            _turn(fleet, measured, f'{seed}/{turn}')
-        started = _started(fleet)
+            _run_turn(fleet, measured, f'{seed}/{turn}')
+        started = _count_started(fleet)
     return Report(
         experiment='once',
         seed=seed,
@@ -69,17 +73,17 @@
             *(_arm(name, arm) for name, arm in measured.items()),
             Arm(name='memory', metrics=memory_costs(seed)),
         ),
-        failures=tuple(_broken(started, measured)),
+        failures=tuple(_failures(started, measured)),
     )
 
 
-def _turn(fleet: Fleet, measured: dict[str, _Measured], seed: str) -> None:
+def _run_turn(fleet: Fleet, measured: dict[str, _ArmResult], seed: str) -> None:
     for name, share in _ARMS:
-        load = _load(fleet, share, f'{seed}/{name}')
-        _round(fleet, measured[name], load)
+        load = _arm_load(fleet, share, f'{seed}/{name}')
+        _run_round(fleet, measured[name], load)
 
 
-def _load(fleet: Fleet, share: float, seed: str) -> OnceLoad:
+def _arm_load(fleet: Fleet, share: float, seed: str) -> OnceLoad:
     return OnceLoad(
         addresses=fleet.callers,
         claims=Claims(address=fleet.platform.key_value_address),
@@ -88,46 +92,47 @@
     )
 
 
-def _round(fleet: Fleet, arm: _Measured, load: OnceLoad) -> None:
+def _run_round(fleet: Fleet, arm: _ArmResult, load: OnceLoad) -> None:
     platform = fleet.platform
-    calm = Phase(
-        count=_CALM_COUNT,
+    normal = LoadPhase(
+        count=_NORMAL_COUNT,
         rate_per_s=_RATE_PER_S,
         keys=_SIZE.keys,
     )
-    trouble = attrs.evolve(calm, count=_TROUBLE_COUNT)
-    platform.switch(slow_ms=_ANSWER_MS)
-    before = _writes(fleet)
-    arm.calm.append(load.run(calm))
-    arm.writes += _writes(fleet) - before
+    faulty = attrs.evolve(normal, count=_FAULT_COUNT)
+    platform.switch(slow_ms=_RESPONSE_MS)
+    writes_before = _count_writes(fleet)
+    arm.normal.append(load.run(normal))
+    arm.writes += _count_writes(fleet) - writes_before
     platform.switch(down=True)
-    arm.away.append(load.run(trouble))
+    arm.unavailable.append(load.run(faulty))
     platform.switch(down=False, slow_ms=_VERY_SLOW_MS)
-    arm.slow.append(load.run(trouble))
-    platform.switch(slow_ms=_ANSWER_MS)
-    # Claims given up by the caller still take effect; not in the next arm.
-    eventlet.sleep(2 * _VERY_SLOW_MS / _MS)
+    arm.slow.append(load.run(faulty))
+    platform.switch(slow_ms=_RESPONSE_MS)
+    # Claims that timed out still take effect; wait for them before the next
+    # arm.
+    eventlet.sleep(2 * _VERY_SLOW_MS / _MS_PER_S)
 
 
-def _writes(fleet: Fleet) -> int:
+def _count_writes(fleet: Fleet) -> int:
     counts: dict[str, int] = fleet.platform.log()['counts']
     return counts.get('kv/txn', 0) + counts.get('kv/put', 0)
 
 
-def _started(fleet: Fleet) -> Counter[str]:
+def _count_started(fleet: Fleet) -> Counter[str]:
     return Counter(
         event['request_id']
-        for page in log_pages(fleet)
+        for page in read_server_logs(fleet)
         for event in page['events']
         if event['call'] == 'execute' and event['kind'] == 'started'
     )
 
 
-def _arm(name: str, measured: _Measured) -> Arm:
+def _arm(name: str, measured: _ArmResult) -> Arm:
     latencies = [
-        latency for tally in measured.calm for latency in tally.latencies_ms
+        latency for tally in measured.normal for latency in tally.latencies_ms
     ]
-    requests = sum(tally.total for tally in measured.calm)
+    requests = sum(tally.total for tally in measured.normal)
     return Arm(
         name=name,
         metrics={
@@ -135,8 +140,8 @@
             'p50_ms': percentile(latencies, _MEDIAN),
             'p99_ms': percentile(latencies, _P99),
             'writes_per_request': measured.writes / requests,
-            **_shares('calm', measured.calm),
-            **_shares('away', measured.away),
+            **_shares('calm', measured.normal),
+            **_shares('away', measured.unavailable),
             **_shares('slow', measured.slow),
         },
     )
@@ -144,19 +149,19 @@
 
 def _shares(phase: str, tallies: list[OnceTally]) -> dict[str, Any]:
     return {
-        f'{phase}_{end}': sum(tally.share(end) for tally in tallies)
+        f'{phase}_{outcome}': sum(tally.share(outcome) for tally in tallies)
         / len(tallies)
-        for end in ('refused', 'in_doubt')
+        for outcome in ('refused', 'in_doubt')
     }
 
 
-def _broken(
+def _failures(
     started: Counter[str],
-    measured: dict[str, _Measured],
+    measured: dict[str, _ArmResult],
 ) -> Iterator[str]:
     for request_id, runs in started.items():
         if runs > 1:
-            yield f'{request_id} ran {runs} times'
+            yield f'request {request_id} ran {runs} times'
     refused = set().union(*(arm.refused for arm in measured.values()))
-    for lie in refused & started.keys():
-        yield f'{lie} was refused as not run, and ran'
+    for refused_id in refused & started.keys():
+        yield f'request {refused_id} was refused as not run, but ran'
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_claim.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_claim.py
@@ -1,4 +1,4 @@
-"""The arm that a ticket is weighed against: a claim by compare-and-swap."""
+"""Claims of request ids by compare-and-swap, as an alternative to tickets."""
 
 import base64
 from typing import Final
@@ -13,38 +13,43 @@
 
 @attrs.frozen(kw_only=True)
 class Claims:
-    """Claims of request ids in the platform's key-value service.
+    """Client that claims request ids in the platform's key-value service.
 
     Attributes:
-        address: of the service.
+        address: address of the key-value service.
     """
 
     address: str
 
-    def take(self, request_id: str) -> bool:
-        """Write the claim of an id, once and for all.
+    def try_claim(self, request_id: str) -> bool:
+        """Claim a request id permanently.
 
         Returns:
-            Whether this caller now surely holds it. A write whose reply was
-            lost is not read back, as the service is then away.
+            Whether the write of the claim is confirmed. After a lost response
+            the claim is not read back, because the service is unavailable.
         """
-        name = _base64(f'{_PREFIX}{request_id}')
+        encoded_key = _encoded(f'{_PREFIX}{request_id}')
         body = {
             'compare': [
                 {
-                    'key': name,
+                    'key': encoded_key,
                     'target': 'CREATE',
                     'result': 'EQUAL',
                     'create_revision': '0',
                 },
             ],
             'success': [
-                {'request_put': {'key': name, 'value': _base64('bench')}},
+                {
+                    'request_put': {
+                        'key': encoded_key,
+                        'value': _encoded('bench'),
+                    }
+                },
             ],
         }
         reply = http.post(self.address, '/v3/kv/txn', body, _TIMEOUT_MS)
         return reply.fine and bool(reply.body.get('succeeded'))
 
 
-def _base64(text: str) -> str:
+def _encoded(text: str) -> str:
     return base64.b64encode(text.encode()).decode()
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_cost.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_cost.py
@@ -1,4 +1,4 @@
-"""What a ticket and a remembered request id cost a daemon."""
+"""Time and memory that tickets and request ids cost a daemon."""
 
 import random
 import time
@@ -16,26 +16,26 @@
     ticket_key,
 )
 
-_IDS: Final = 4096
+_REQUESTS: Final = 4096
 _LIFETIME_MS: Final = 600_000
 _SECRET_BYTES: Final = 32
-_US: Final = 1_000_000
+_US_PER_S: Final = 1_000_000
 _OUTCOME: Final = 'certificate-0000004096'
 
 
 def memory_costs(seed: int) -> dict[str, float]:
-    """Measure time and memory of tickets and of remembered ids.
+    """Measure the time of ticket operations and the memory per request id.
 
     Args:
-        seed: of the serials.
+        seed: seed of the ticket serials.
     """
     gate = _gate(seed)
     issue_us = _time_us(lambda: gate.issue(_LIFETIME_MS))
-    requests = [_request(gate, number) for number in range(_IDS)]
+    requests = [_request(gate, number) for number in range(_REQUESTS)]
     fresh = iter(requests)
-    admit_us = _time_us(lambda: _run(gate, next(fresh)))
-    again = iter(requests)
-    repeat_us = _time_us(lambda: gate.admit(next(again)))
+    admit_us = _time_us(lambda: _run_request(gate, next(fresh)))
+    repeated = iter(requests)
+    repeat_us = _time_us(lambda: gate.admit(next(repeated)))
     return {
         'issue_us': issue_us,
         'run_us': admit_us,
@@ -47,21 +47,21 @@
 def _bytes_per_id(seed: int) -> float:
     gate = _gate(seed)
     tracemalloc.start()
-    for number in range(_IDS):
-        _run(gate, _request(gate, number))
+    for number in range(_REQUESTS):
+        _run_request(gate, _request(gate, number))
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return held / _IDS
+    return held / _REQUESTS
 
 
-def _time_us(call: Callable[[], object]) -> float:
+def _time_us(action: Callable[[], object]) -> float:
     started_s = time.perf_counter()
-    for _ in range(_IDS):
-        call()
-    return (time.perf_counter() - started_s) * _US / _IDS
+    for _ in range(_REQUESTS):
+        action()
+    return (time.perf_counter() - started_s) * _US_PER_S / _REQUESTS
 
 
-def _run(gate: OnceGate, request: ExecuteRequest) -> None:
+def _run_request(gate: OnceGate, request: ExecuteRequest) -> None:
     gate.admit(request)
     gate.table.begin_send(request.request_id)
     gate.table.record_outcome(request.request_id, f'{_OUTCOME}-{request.key}')
@@ -70,7 +70,9 @@
 def _gate(seed: int) -> OnceGate:
     rng = random.Random(seed)
     key = ticket_key('vm-1', 1, rng.randbytes(_SECRET_BYTES))
-    return once_gate(key, system_clock(), rng, OnceLimits(max_entries=_IDS))
+    return once_gate(
+        key, system_clock(), rng, OnceLimits(max_entries=_REQUESTS)
+    )
 
 
 def _request(gate: OnceGate, number: int) -> ExecuteRequest:
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_outage.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_outage.py
@@ -1,4 +1,4 @@
-"""Experiment `outage`: the platform's key-value service is away for 60 s."""
+"""Experiment `outage`: an outage of the platform's key-value service."""
 
 import time
 from typing import Final
@@ -24,11 +24,11 @@
 from fennelfork_bench.rig._report import Arm, Report
 
 _CLOCK: Final = system_clock()
-_AWAY_S: Final = 60
+_OUTAGE_S: Final = 60
 _RESTART_AFTER_S: Final = 20
-_AFTER_S: Final = 10
-_SECOND_MS: Final = 1000
-_RESTARTED: Final = 'vm-3'
+_RECOVERY_S: Final = 10
+_MS_PER_S: Final = 1000
+_RESTARTED_DAEMON: Final = 'vm-3'
 _FAULTS: Final = {
     'down': {'down': True},
     'slow': {'slow_ms': 30_000},
@@ -37,10 +37,10 @@
 
 
 def run(seed: int) -> Report:
-    """Measure each kind of outage on a fleet of its own.
+    """Measure each kind of outage on a separate fleet.
 
     Args:
-        seed: of the keys asked for and the service times.
+        seed: seed of the requested keys and of the service times.
     """
     arms = tuple(_arm(name, seed) for name in _FAULTS)
     failures = tuple(
@@ -57,46 +57,50 @@
         fleet = start_fleet(started, small_fleet(TODAY, seed))
         load = steady_load(fleet.callers, seed)
         load.start()
-        metrics = _away(fleet, load, name)
+        metrics = _outage_metrics(fleet, load, name)
         load.stop()
     return Arm(name=name, metrics=metrics)
 
 
-def _away(fleet: Fleet, load: SteadyLoad, name: str) -> dict[str, float]:
+def _outage_metrics(
+    fleet: Fleet, load: SteadyLoad, name: str
+) -> dict[str, float]:
     from_ms = _CLOCK.now_ms()
     fleet.platform.switch(**_FAULTS[name])
     time.sleep(_RESTART_AFTER_S)
     refused = send_patch(fleet.operators[0], hedge_patch(2), 1)
-    started_ms = _restart(fleet)
-    time.sleep(_AWAY_S - (_CLOCK.now_ms() - from_ms) / _SECOND_MS)
-    back_ms = _CLOCK.now_ms()
+    restart_ms = _restart_daemon(fleet)
+    time.sleep(_OUTAGE_S - (_CLOCK.now_ms() - from_ms) / _MS_PER_S)
+    recovered_ms = _CLOCK.now_ms()
     fleet.platform.switch(down=False, slow_ms=0, refuse=False)
-    time.sleep(_AFTER_S)
+    time.sleep(_RECOVERY_S)
     calls = fleet.platform.log(from_ms)['calls']
-    samples = load.between(from_ms, back_ms)
+    samples = load.samples_between(from_ms, recovered_ms)
     accepted = send_patch(fleet.operators[0], hedge_patch(3), 1)
     if accepted.fine:
         await_version(fleet, accepted.body['version'])
     return {
         **load_metrics(samples),
         'patches_taken': int(refused.fine),
-        'restart_ms': started_ms,
-        'calls_while_away': _count(calls, from_ms, back_ms),
-        'calls_first_second': _count(calls, back_ms, back_ms + _SECOND_MS),
-        'calls_after': _count(calls, back_ms, _CLOCK.now_ms()),
+        'restart_ms': restart_ms,
+        'calls_while_away': _count_calls(calls, from_ms, recovered_ms),
+        'calls_first_second': _count_calls(
+            calls, recovered_ms, recovered_ms + _MS_PER_S
+        ),
+        'calls_after': _count_calls(calls, recovered_ms, _CLOCK.now_ms()),
         'lost_patch': int(not accepted.fine),
     }
 
 
-def _restart(fleet: Fleet) -> float:
-    fleet.daemons[_RESTARTED].kill()
+def _restart_daemon(fleet: Fleet) -> float:
+    fleet.daemons[_RESTARTED_DAEMON].kill()
     from_ms = _CLOCK.now_ms()
-    fleet.start_daemons((fleet.daemon_spec(_RESTARTED),))
+    fleet.start_daemons((fleet.daemon_spec(_RESTARTED_DAEMON),))
     await_version(fleet, 1)
     return _CLOCK.now_ms() - from_ms
 
 
-def _count(
+def _count_calls(
     calls: list[dict[str, float]],
     from_ms: float,
     to_ms: float,
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_overload.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_overload.py
@@ -1,4 +1,4 @@
-"""Experiment `overload`: goodput and refusals under a stampede."""
+"""Experiment `overload`: goodput and refusals above the capacity."""
 
 from collections.abc import Iterable, Iterator
 from typing import Any, Final
@@ -7,14 +7,14 @@
 from fennelfork_bench.checks._refusal import check_refusal
 from fennelfork_bench.experiments._fleet import (
     FrontSize,
-    log_pages,
-    start_front,
+    read_server_logs,
+    start_front_fleet,
 )
 from fennelfork_bench.experiments._load import (
-    Measured,
-    front_load,
+    LoadResult,
+    collect_violations,
+    front_load_spec,
     measure,
-    violations,
     warm_up,
 )
 from fennelfork_bench.experiments._metrics import (
@@ -29,41 +29,40 @@
 from fennelfork_bench.rig._report import Arm, Report
 
 _STRAGGLE: Final = 0.01
-# Fifty times the brief's service time, so that one machine can offer ten
-# times what the slots take.
+# A long service time lets one machine offer ten times the capacity.
 _MEAN_MS: Final = 300
 _SIZE: Final = FrontSize(shards=4, mean_ms=_MEAN_MS, straggle=_STRAGGLE)
-_SPAN_S: Final = 15
+_DURATION_S: Final = 15
 _DEADLINE_MS: Final = 3000
 _FACTORS: Final = (1, 3, 10)
 
 
 def run(seed: int) -> Report:
-    """Offer 1, 3 and 10 times what the slots take, one after the other."""
+    """Offer multiples of the capacity of the slots, one after the other."""
     with rig() as own:
-        fleet = start_front(own, _SIZE, seed)
+        fleet = start_front_fleet(own, _SIZE, seed)
         measured = [_measure(fleet, factor, seed) for factor in _FACTORS]
-        pages = list(log_pages(fleet))
-        untrue = _untrue_refusals(fleet, pages)
+        pages = list(read_server_logs(fleet))
+        false_refusals = _false_refusals(fleet, pages)
     return Report(
         experiment='overload',
         seed=seed,
         arms=_arms(measured),
         failures=(
-            *violations(measured),
-            *untrue,
-            *_dropped(pages),
+            *collect_violations(measured),
+            *false_refusals,
+            *_dropped_events(pages),
         ),
     )
 
 
-def _measure(fleet: Fleet, factor: int, seed: int) -> Measured:
-    rate_per_s = _SIZE.capacity * factor
-    load = front_load(
+def _measure(fleet: Fleet, factor: int, seed: int) -> LoadResult:
+    rate_per_s = _SIZE.capacity_per_s * factor
+    load = front_load_spec(
         fleet,
         _SIZE,
         rate_per_s=rate_per_s,
-        count=round(rate_per_s * _SPAN_S),
+        count=round(rate_per_s * _DURATION_S),
         deadline_ms=_DEADLINE_MS,
         whole=True,
         caller=f'offer-{factor}',
@@ -75,33 +74,33 @@
     return measure(fleet, load)
 
 
-def _untrue_refusals(
+def _false_refusals(
     fleet: Fleet,
     pages: Iterable[dict[str, Any]],
 ) -> Iterator[str]:
-    """Find refusals as not run whose request a server started."""
+    """Find requests that were refused as not run, but were started."""
     sources: list[Iterable[Event]] = [server_events(page) for page in pages]
     for path in fleet.rig.directory.glob('offer-*'):
         sources.append(read_history(path).events)
-    for found in check_refusal(gather(*sources)):
-        yield f'{found.promise.value}: {found.detail}'
+    for violation in check_refusal(gather(*sources)):
+        yield f'{violation.promise.value}: {violation.detail}'
 
 
-def _dropped(pages: Iterable[dict[str, Any]]) -> Iterator[str]:
+def _dropped_events(pages: Iterable[dict[str, Any]]) -> Iterator[str]:
     for page in pages:
         if page['dropped']:
-            yield f'not checked: {page["name"]} dropped {page["dropped"]}'
+            yield f'not checked: {page["name"]} dropped {page["dropped"]} events'
 
 
-def _arms(measured: list[Measured]) -> tuple[Arm, ...]:
-    base = measured[0].tally.per_second('complete')
+def _arms(measured: list[LoadResult]) -> tuple[Arm, ...]:
+    baseline_per_s = measured[0].tally.per_second('complete')
     return tuple(
-        _arm(factor, one, base)
-        for factor, one in zip(_FACTORS, measured, strict=True)
+        _arm(factor, result, baseline_per_s)
+        for factor, result in zip(_FACTORS, measured, strict=True)
     )
 
 
-def _arm(factor: int, measured: Measured, base: float) -> Arm:
+def _arm(factor: int, measured: LoadResult, baseline_per_s: float) -> Arm:
     tally = measured.tally
     goodput = tally.per_second('complete')
     return Arm(
@@ -110,10 +109,10 @@
             **latency_metrics(tally),
             **outcome_metrics(measured),
             'goodput_per_s': goodput,
-            'goodput_of_1x': goodput / max(base, 1),
+            'goodput_of_1x': goodput / max(baseline_per_s, 1),
             'refusal_p99_ms': refusal_p99_ms(tally),
             'not_run': tally.counts['not_run'],
-            'sheds_per_sub_query': measured.sheds,
+            'sheds_per_sub_query': measured.sheds_per_sub_query,
             'extra_load': measured.extra_load,
         },
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_silent.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_silent.py
@@ -1,4 +1,4 @@
-"""Experiment `silent`: open connections go silent in the middle."""
+"""Experiment `silent`: open connections that become unresponsive."""
 
 import itertools
 from collections.abc import Callable, Iterator
@@ -8,15 +8,15 @@
 
 from fennelfork_bench.experiments._fleet import (
     FrontSize,
+    apply_hedge_policy,
     order_faults,
-    put_hedge,
-    start_front,
+    start_front_fleet,
 )
 from fennelfork_bench.experiments._load import (
-    Measured,
-    front_load,
+    LoadResult,
+    collect_violations,
+    front_load_spec,
     measure,
-    violations,
     warm_up,
 )
 from fennelfork_bench.experiments._metrics import (
@@ -37,38 +37,38 @@
 
 @attrs.frozen(kw_only=True)
 class _Case:
-    """One arm: the hedge policy, and whether connections go silent."""
+    """Hedge policy and fault injection of one arm."""
 
     name: str
     hedge: dict[str, Any]
-    silences: bool
+    injects_silence: bool
 
 
-# A connection without a byte by the hedge time is suspect: without a hedge
-# there is no such time, and nothing but the deadline finds it.
+# A connection without a response at the hedge delay becomes suspect. Without
+# hedging, an unresponsive connection is only detected by the deadline.
 _CASES: Final = (
-    _Case(name='steady', hedge=QUANTILE_HEDGE, silences=False),
-    _Case(name='undetected', hedge=NO_HEDGE, silences=True),
-    _Case(name='detected', hedge=QUANTILE_HEDGE, silences=True),
+    _Case(name='steady', hedge=QUANTILE_HEDGE, injects_silence=False),
+    _Case(name='undetected', hedge=NO_HEDGE, injects_silence=True),
+    _Case(name='detected', hedge=QUANTILE_HEDGE, injects_silence=True),
 )
 
 
 def run(seed: int) -> Report:
-    """Run the arms in turn; a second, one server's connections go silent."""
+    """Run the arms in turn and silence connections of one server at a time."""
     with rig() as own:
-        fleet = start_front(own, _SIZE, seed)
+        fleet = start_front_fleet(own, _SIZE, seed)
         measured = [_measure(fleet, case, seed) for case in _CASES]
     return Report(
         experiment='silent',
         seed=seed,
         arms=tuple(map(_arm, _CASES, measured)),
-        failures=violations(measured),
+        failures=collect_violations(measured),
     )
 
 
-def _measure(fleet: Fleet, case: _Case, seed: int) -> Measured:
-    put_hedge(fleet, case.hedge)
-    load = front_load(
+def _measure(fleet: Fleet, case: _Case, seed: int) -> LoadResult:
+    apply_hedge_policy(fleet, case.hedge)
+    load = front_load_spec(
         fleet,
         _SIZE,
         rate_per_s=_RATE_PER_S,
@@ -78,17 +78,17 @@
         seed=seed,
     )
     warm_up(fleet, load)
-    return measure(fleet, load, _silencer(fleet, case))
+    return measure(fleet, load, _silence_injector(fleet, case))
 
 
-def _silencer(fleet: Fleet, case: _Case) -> Callable[[], object]:
-    if not case.silences:
+def _silence_injector(fleet: Fleet, case: _Case) -> Callable[[], object]:
+    if not case.injects_silence:
         return bool
     servers: Iterator[str] = itertools.cycle(fleet.backends)
     return lambda: order_faults(fleet, next(servers), silence=True)
 
 
-def _arm(case: _Case, measured: Measured) -> Arm:
+def _arm(case: _Case, measured: LoadResult) -> Arm:
     tally = measured.tally
     return Arm(
         name=case.name,
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_small_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_small_fleet.py
@@ -1,4 +1,4 @@
-"""The small fleet that the fleet's experiments run on."""
+"""Small fleet shared by the experiments on the control plane."""
 
 from typing import Any, Final
 
@@ -23,12 +23,12 @@
     seed: int,
     entry_ttl_ms: int = _ENTRY_TTL_MS,
 ) -> FleetSpec:
-    """Build daemons in three data centres and one front of one shard.
+    """Build a fleet in three data centres with one front of one shard.
 
     Args:
-        daemons: how many.
-        seed: of the service times.
-        entry_ttl_ms: how long callers keep an answer on entries.
+        daemons: number of daemons.
+        seed: seed of the service times.
+        entry_ttl_ms: time for which callers cache a response on entries.
     """
     server = BackendSpec(name='', lo=0, hi=KEYS, keys=KEYS, seed=seed)
     shard = shard_spec('registry', _SERVERS, server)
@@ -40,5 +40,5 @@
 
 
 def hedge_patch(delay_ms: int) -> dict[str, Any]:
-    """Build a small change of the configuration."""
+    """Build a patch that sets the hedge delay of the front."""
     return {'fronts': {FRONT: {'hedge': {'delay_ms': delay_ms}}}}
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_steady_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_steady_load.py
@@ -1,4 +1,4 @@
-"""Steady lookups for experiments that disturb the fleet meanwhile."""
+"""Steady load of lookups for experiments that inject faults."""
 
 import itertools
 import random
@@ -17,98 +17,98 @@
 
 _CLOCK: Final = system_clock()
 _CALLERS: Final = 8
-_GAP_S: Final = 0.03
-_TAIL: Final = 0.99
+_PAUSE_S: Final = 0.03
+_P99: Final = 0.99
 
 
 @attrs.frozen(kw_only=True)
 class Sample:
-    """One request of the load.
+    """Completed request of the load.
 
     Attributes:
-        at_ms: when its final answer came.
-        faults: what was wrong with it; nothing if it was right.
+        at_ms: time of the final answer.
+        faults: faults found in the answer; empty if the answer is correct.
     """
 
     at_ms: float
-    asked: Asked
+    result: Asked
     faults: tuple[str, ...]
 
     @property
     def failed(self) -> bool:
-        """Whether no answer came in the end."""
-        return not self.asked.reply.fine
+        """Whether the request ended without a successful answer."""
+        return not self.result.reply.fine
 
 
 @attrs.define(kw_only=True)
 class SteadyLoad:
-    """Callers that each ask, wait a moment and ask again."""
+    """Callers that send requests with a short pause in between."""
 
     samples: list[Sample] = attrs.field(factory=list)
     _seeds: tuple[str, ...]
-    _randomness: random.Random
+    _rng: random.Random
     _stopped: bool = False
     _pool: eventlet.GreenPool = attrs.field(factory=eventlet.GreenPool)
 
     def start(self) -> None:
         """Start every caller."""
         for _ in range(_CALLERS):
-            self._pool.spawn(self._call)
+            self._pool.spawn(self._run_caller)
 
     def stop(self) -> None:
-        """Let every caller finish its request and end."""
+        """Stop every caller after the current request."""
         self._stopped = True
         self._pool.waitall()
 
-    def between(self, from_ms: float, to_ms: float) -> list[Sample]:
-        """List the samples that ended between two times."""
+    def samples_between(self, from_ms: float, to_ms: float) -> list[Sample]:
+        """Return the samples that completed between two times."""
         return [each for each in self.samples if from_ms <= each.at_ms < to_ms]
 
-    def _call(self) -> None:
+    def _run_caller(self) -> None:
         caller = Caller(seeds=self._seeds)
-        for _ in itertools.takewhile(self._goes_on, itertools.count()):
-            key = self._randomness.randrange(KEYS)
-            asked = caller.query(FRONT, _lookup(key))
+        for _ in itertools.takewhile(self._is_running, itertools.count()):
+            key = self._rng.randrange(KEYS)
+            result = caller.query(FRONT, _lookup(key))
             expected = Expected(keys=KEYS, wanted=frozenset((key,)))
             self.samples.append(
                 Sample(
                     at_ms=_CLOCK.now_ms(),
-                    asked=asked,
-                    faults=tuple(faults_of(asked, expected)),
+                    result=result,
+                    faults=tuple(faults_of(result, expected)),
                 ),
             )
-            time.sleep(_GAP_S)
+            time.sleep(_PAUSE_S)
 
-    def _goes_on(self, _: int) -> bool:
+    def _is_running(self, _: int) -> bool:
         return not self._stopped
 
 
 def steady_load(seeds: list[str], seed: int) -> SteadyLoad:
-    """Build a load that starts from these caller addresses."""
-    return SteadyLoad(seeds=tuple(seeds), randomness=random.Random(seed))
+    """Build a load whose callers start from the given addresses."""
+    return SteadyLoad(seeds=tuple(seeds), rng=random.Random(seed))
 
 
 def load_metrics(samples: list[Sample]) -> dict[str, float]:
-    """Count what became of requests.
+    """Return the metrics of completed requests.
 
     Returns:
-        Requests, those that failed, answers that were wrong, attempts that
-        were cut without an answer, and the tail of latency.
+        Numbers of requests, failed requests, wrong answers and attempts cut
+        off without an answer, and the p99 latency.
     """
-    times_ms = [sample.asked.took_ms for sample in samples]
+    times_ms = [sample.result.took_ms for sample in samples]
     wrong = [each for each in samples if each.faults and not each.failed]
     return {
         'requests': len(samples),
         'failed': sum(sample.failed for sample in samples),
         'wrong': len(wrong),
-        'cut': sum(len(sample.asked.cuts) for sample in samples),
-        'p99_ms': percentile(times_ms, _TAIL) if times_ms else 0,
+        'cut': sum(len(sample.result.cuts) for sample in samples),
+        'p99_ms': percentile(times_ms, _P99) if times_ms else 0,
         **_failures_by_code(samples),
     }
 
 
 def _failures_by_code(samples: list[Sample]) -> dict[str, float]:
-    failed = [sample.asked.reply for sample in samples if sample.failed]
+    failed = [sample.result.reply for sample in samples if sample.failed]
     codes = Counter(reply.body.get('code', 'no_answer') for reply in failed)
     return {f'failed_{code}': count for code, count in codes.items()}
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_stop.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_stop.py
@@ -18,76 +18,76 @@
 from fennelfork_bench.rig._report import Arm, Report
 
 _CLOCK: Final = system_clock()
-_REST_S: Final = 15
-_STOP_CAP_S: Final = 60
+_BASELINE_S: Final = 15
+_STOP_TIMEOUT_S: Final = 60
 _MS_PER_S: Final = 1000
-_CUT: Final = 'cut'
-_TAIL: Final = 'p99_ms'
+_CUT_METRIC: Final = 'cut'
+_P99_METRIC: Final = 'p99_ms'
 
 
 @attrs.define(kw_only=True)
-class Restarts:
-    """What the stopping daemons did."""
+class RestartStats:
+    """Statistics of the daemons that were stopped."""
 
-    unclean: int = 0
-    slowest_ms: float = 0
+    unclean_exits: int = 0
+    slowest_stop_ms: float = 0
 
 
 def run(seed: int) -> Report:
-    """Measure a time of rest, then the restarts, on one fleet.
+    """Measure a baseline without restarts, then a rolling restart.
 
     Args:
-        seed: of the keys asked for and the service times.
+        seed: seed of the requested keys and of the service times.
     """
     with rig() as started:
         fleet = start_fleet(started, small_fleet(TODAY, seed))
         load = steady_load(fleet.callers, seed)
         load.start()
-        arms = (_rest_arm(load), _rolling_arm(fleet, load))
+        arms = (_baseline_arm(load), _rolling_arm(fleet, load))
         load.stop()
-    rest, rolling = (arm.metrics for arm in arms)
-    rolling['p99_ratio'] = rolling[_TAIL] / rest[_TAIL]
+    baseline, rolling = (arm.metrics for arm in arms)
+    rolling['p99_ratio'] = rolling[_P99_METRIC] / baseline[_P99_METRIC]
     failures = tuple(
         f'{name}: {rolling[name]:.0f}'
-        for name in (_CUT, 'failed', 'wrong', 'unclean_exits')
+        for name in (_CUT_METRIC, 'failed', 'wrong', 'unclean_exits')
         if rolling[name]
     )
     return Report(experiment='stop', seed=seed, arms=arms, failures=failures)
 
 
-def _rest_arm(load: SteadyLoad) -> Arm:
+def _baseline_arm(load: SteadyLoad) -> Arm:
     from_ms = _CLOCK.now_ms()
-    time.sleep(_REST_S)
-    samples = load.between(from_ms, _CLOCK.now_ms())
+    time.sleep(_BASELINE_S)
+    samples = load.samples_between(from_ms, _CLOCK.now_ms())
     return Arm(name='rest', metrics=load_metrics(samples))
 
 
 def _rolling_arm(fleet: Fleet, load: SteadyLoad) -> Arm:
     from_ms = _CLOCK.now_ms()
-    restarts = Restarts()
+    restarts = RestartStats()
     for spec in fleet.spec.daemons:
-        _restart(fleet, spec.name, restarts)
-    samples = load.between(from_ms, _CLOCK.now_ms())
+        _restart_daemon(fleet, spec.name, restarts)
+    samples = load.samples_between(from_ms, _CLOCK.now_ms())
     return Arm(
         name='rolling_restart',
         metrics={
             **load_metrics(samples),
             'restarts': len(fleet.spec.daemons),
-            'unclean_exits': restarts.unclean,
-            'slowest_stop_ms': restarts.slowest_ms,
+            'unclean_exits': restarts.unclean_exits,
+            'slowest_stop_ms': restarts.slowest_stop_ms,
         },
     )
 
 
-def _restart(fleet: Fleet, name: str, restarts: Restarts) -> None:
+def _restart_daemon(fleet: Fleet, name: str, restarts: RestartStats) -> None:
     process = fleet.daemons[name]
     fleet.mark_leaving(name)
     from_ms = _CLOCK.now_ms()
     process.terminate()
-    if process.wait(_STOP_CAP_S) != 0:
-        restarts.unclean += 1
+    if process.wait(_STOP_TIMEOUT_S) != 0:
+        restarts.unclean_exits += 1
         process.kill()
-    took_ms = _CLOCK.now_ms() - from_ms
-    restarts.slowest_ms = max(restarts.slowest_ms, took_ms)
+    elapsed_ms = _CLOCK.now_ms() - from_ms
+    restarts.slowest_stop_ms = max(restarts.slowest_stop_ms, elapsed_ms)
     fleet.start_daemons((fleet.daemon_spec(name),))
     await_version(fleet, 1)
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_tail.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_tail.py
@@ -1,19 +1,19 @@
-"""Experiment `tail`: what a hedge brings when one in 100 straggles."""
+"""Experiment `tail`: effect of hedges on the tail latency."""
 
 import itertools
 from typing import Final
 
 from fennelfork_bench.experiments._fleet import (
     FrontSize,
-    put_hedge,
-    start_front,
+    apply_hedge_policy,
+    start_front_fleet,
 )
 from fennelfork_bench.experiments._load import (
-    Measured,
-    front_load,
-    joined,
+    LoadResult,
+    collect_violations,
+    front_load_spec,
     measure,
-    violations,
+    merge_rounds,
     warm_up,
 )
 from fennelfork_bench.experiments._metrics import (
@@ -41,10 +41,10 @@
 
 
 def run(seed: int) -> Report:
-    """Run every arm in turn, in two rounds, on one fleet."""
-    rounds: dict[str, list[Measured]] = {policy: [] for policy in _ARMS}
+    """Run all hedge policies in turn, in two rounds, on one fleet."""
+    rounds: dict[str, list[LoadResult]] = {policy: [] for policy in _ARMS}
     with rig() as own:
-        fleet = start_front(own, _SIZE, seed)
+        fleet = start_front_fleet(own, _SIZE, seed)
         for turn in range(_ROUNDS):
             for policy, measured in rounds.items():
                 measured.append(_measure(fleet, policy, turn, seed))
@@ -52,13 +52,15 @@
         experiment='tail',
         seed=seed,
         arms=_arms(rounds),
-        failures=violations(itertools.chain.from_iterable(rounds.values())),
+        failures=collect_violations(
+            itertools.chain.from_iterable(rounds.values())
+        ),
     )
 
 
-def _measure(fleet: Fleet, policy: str, turn: int, seed: int) -> Measured:
-    put_hedge(fleet, _ARMS[policy])
-    load = front_load(
+def _measure(fleet: Fleet, policy: str, turn: int, seed: int) -> LoadResult:
+    apply_hedge_policy(fleet, _ARMS[policy])
+    load = front_load_spec(
         fleet,
         _SIZE,
         rate_per_s=_RATE_PER_S,
@@ -70,23 +72,26 @@
     return measure(fleet, load)
 
 
-def _arms(rounds: dict[str, list[Measured]]) -> tuple[Arm, ...]:
-    base_ms = latency_metrics(joined(rounds['none']).tally)['p99_ms']
+def _arms(rounds: dict[str, list[LoadResult]]) -> tuple[Arm, ...]:
+    baseline_p99_ms = latency_metrics(merge_rounds(rounds['none']).tally)[
+        'p99_ms'
+    ]
     return tuple(
-        _arm(policy, joined(parts), base_ms) for policy, parts in rounds.items()
+        _arm(policy, merge_rounds(parts), baseline_p99_ms)
+        for policy, parts in rounds.items()
     )
 
 
-def _arm(name: str, measured: Measured, base_ms: float) -> Arm:
+def _arm(name: str, measured: LoadResult, baseline_p99_ms: float) -> Arm:
     tally = measured.tally
     latency = latency_metrics(tally)
     return Arm(
         name=name,
         metrics={
             **latency,
-            'p99_of_none': latency['p99_ms'] / max(base_ms, 1),
+            'p99_of_none': latency['p99_ms'] / max(baseline_p99_ms, 1),
             **outcome_metrics(measured),
             'extra_load': measured.extra_load,
-            'hedges_per_sub_query': tally.counts['hedges'] / measured.needed,
+            'hedges_per_sub_query': tally.counts['hedges'] / measured.required,
         },
     )
--- a/packages/fennelfork-bench/tests/test_exp_parts.py
+++ b/packages/fennelfork-bench/tests/test_exp_parts.py
@@ -3,9 +3,9 @@
 import json
 
 from fennelfork_bench.experiments._cost import (
-    Reading,
+    CostReading,
     costs_between,
-    sum_of_metric,
+    sum_metric,
 )
 from fennelfork_bench.experiments._steady_load import Sample, load_metrics
 from fennelfork_bench.rig._caller import Asked
@@ -22,14 +22,14 @@
 
 
 def _sample(status: int, faults: tuple[str, ...], cuts: int) -> Sample:
-    asked = Asked(
+    result = Asked(
         request_id='r',
         reply=HttpReply(status=status, body={}),
         attempts=1 + cuts,
         took_ms=5,
         cuts=('ProtocolError',) * cuts,
     )
-    return Sample(at_ms=1, asked=asked, faults=faults)
+    return Sample(at_ms=1, result=result, faults=faults)
 
 
 class TestCosts:
@@ -38,14 +38,14 @@
     def test_adds_up_the_series_of_one_metric(self) -> None:
         """Labels are added up and other series of the family left out."""
         name = 'fennelfork_control_bytes_total'
-        assert sum_of_metric(_PAGE, name) == 42
+        assert sum_metric(_PAGE, name) == 42
 
     def test_cost_between_two_readings(self) -> None:
         """Costs are by the time between the readings."""
         used = Usage(cpu_ms=100, resident_mb=50)
-        before = Reading(at_ms=0, used=used, control_bytes=1000)
+        before = CostReading(at_ms=0, used=used, control_bytes=1000)
         later = Usage(cpu_ms=200, resident_mb=60)
-        after = Reading(at_ms=2000, used=later, control_bytes=5000)
+        after = CostReading(at_ms=2000, used=later, control_bytes=5000)
         cost = costs_between([before], [after])[0]
         assert cost.core_percent == 5
         assert cost.kb_per_s == 2
--- a/packages/fennelfork-bench/tests/test_experiments_load.py
+++ b/packages/fennelfork-bench/tests/test_experiments_load.py
@@ -6,15 +6,15 @@
 from fennelfork_bench.callers._spec import LoadSpec
 from fennelfork_bench.experiments._fleet import (
     FrontSize,
+    apply_hedge_policy,
     order_faults,
-    put_hedge,
-    start_front,
+    start_front_fleet,
 )
 from fennelfork_bench.experiments._load import (
-    front_load,
-    joined,
+    collect_violations,
+    front_load_spec,
     measure,
-    violations,
+    merge_rounds,
 )
 from fennelfork_bench.experiments._metrics import NO_HEDGE
 from fennelfork_bench.rig._config import version
@@ -30,32 +30,32 @@
 
     def test_tallies_counts_and_processor_time(self, rig: Rig) -> None:
         """Callers, server logs and the system agree that the load ran."""
-        fleet = start_front(rig, _SIZE, seed=1)
-        load = front_load(fleet, _SIZE, count=_COUNT, deadline_ms=20_000)
+        fleet = start_front_fleet(rig, _SIZE, seed=1)
+        load = front_load_spec(fleet, _SIZE, count=_COUNT, deadline_ms=20_000)
         first = measure(fleet, load)
         again = measure(fleet, load)
-        both = joined((first, again))
-        assert not violations((first, again))
+        both = merge_rounds((first, again))
+        assert not collect_violations((first, again))
         assert first.tally.counts['complete'] == _COUNT
-        assert first.needed == _COUNT * _SIZE.shards
-        assert first.counts['ran'] >= first.needed
+        assert first.required == _COUNT * _SIZE.shards
+        assert first.counts['ran'] >= first.required
         assert first.daemon_us > 0
         assert both.tally.counts['complete'] == 2 * _COUNT
         assert both.counts['ran'] == first.counts['ran'] + again.counts['ran']
 
     def test_spoiled_replies_are_seen(self, rig: Rig) -> None:
         """The load really meets the faults that the experiment orders."""
-        fleet = start_front(rig, _SIZE, seed=1)
+        fleet = start_front_fleet(rig, _SIZE, seed=1)
         rule = {'kind': 'lose_reply', 'limit': 3}
         order_faults(fleet, 's0-0', rules=[rule])
-        measured = measure(fleet, front_load(fleet, _SIZE, count=_COUNT))
+        measured = measure(fleet, front_load_spec(fleet, _SIZE, count=_COUNT))
         assert measured.counts['fault_lose_reply'] == 3
         assert not measured.tally.violations
 
     def test_policy_is_in_force_everywhere(self, rig: Rig) -> None:
         """Each change of the policy is a new version on every daemon."""
-        fleet = start_front(rig, _SIZE, seed=1)
-        put_hedge(fleet, NO_HEDGE)
+        fleet = start_front_fleet(rig, _SIZE, seed=1)
+        apply_hedge_policy(fleet, NO_HEDGE)
         assert [version(each) for each in fleet.operators] == [2, 2]
 
 
--- a/packages/fennelfork-bench/tests/test_once_claim.py
+++ b/packages/fennelfork-bench/tests/test_once_claim.py
@@ -25,7 +25,7 @@
     def test_one_holder(self, service: str) -> None:
         """An id is claimed once; another id is free."""
         claims = Claims(address=service)
-        taken = [claims.take(each) for each in ('a', 'a', 'b')]
+        taken = [claims.try_claim(each) for each in ('a', 'a', 'b')]
         assert taken == [True, False, True]
 
     @pytest.mark.parametrize(
@@ -39,7 +39,7 @@
     ) -> None:
         """A claim without an answer is not held by anybody."""
         http.post(service, '/control/faults', fault)
-        assert not Claims(address=service).take('a')
+        assert not Claims(address=service).try_claim('a')
 
 
 class TestCosts:
