--- a/packages/fennelfork-bench/tests/bench_builders_fuzz.py
+++ b/packages/fennelfork-bench/tests/bench_builders_fuzz.py
@@ -1,4 +1,4 @@
-"""Builders of bad input, and the checks of what comes back for it."""
+"""Builders of invalid input and checks of the responses."""
 
 import json
 from pathlib import Path
@@ -20,8 +20,8 @@
 _VERDICTS = {verdict.value for verdict in Verdict}
 _CODES = {code.value for code in FailureCode}
 
-# A busy machine draws slowly; that says nothing about the input.
-patient = settings(
+# Data generation is slow on a busy machine.
+fuzz_settings = settings(
     max_examples=100,
     suppress_health_check=[HealthCheck.too_slow],
 )
@@ -42,37 +42,37 @@
 
 @attrs.frozen(kw_only=True)
 class RawReply:
-    """A reply, not interpreted."""
+    """Response with an unparsed body."""
 
     status: int
     text: str
 
     @property
     def body(self) -> dict[str, Any]:
-        """The JSON object of the reply."""
+        """JSON object of the response."""
         return json.loads(self.text)
 
 
-def bodies(valid: dict[str, Any]) -> st.SearchStrategy[dict[str, Any]]:
-    """Build bodies that differ from a valid one in a few members."""
+def mutated_bodies(valid: dict[str, Any]) -> st.SearchStrategy[dict[str, Any]]:
+    """Build bodies that differ from a valid body in a few members."""
     members = st.sampled_from([*valid, 'unknown'])
     changes = st.dictionaries(members, json_values, max_size=2)
     dropped = st.sets(st.sampled_from(list(valid)), max_size=1)
-    return st.builds(_changed, st.just(valid), changes, dropped)
+    return st.builds(_mutated, st.just(valid), changes, dropped)
 
 
-def nested(depth: int) -> str:
-    """Write JSON objects within objects."""
+def nested_json(depth: int) -> str:
+    """Return JSON objects nested to a depth."""
     opening = '{"keys":' * depth
     closing = '}' * depth
     return f'{opening}1{closing}'
 
 
 @attrs.define(kw_only=True, repr=False, eq=False)
-class Target:
-    """One daemon under bad input, over kept connections.
+class FuzzTarget:
+    """Daemon that gets invalid input over persistent connections.
 
-    A kept connection shows a reply that belongs to an earlier request.
+    A persistent connection reveals a response to an earlier request.
     """
 
     fleet: Fleet
@@ -80,7 +80,7 @@
 
     @property
     def daemon(self) -> Process:
-        """The only daemon."""
+        """Daemon under test."""
         return self.fleet.living[0]
 
     def send(
@@ -88,12 +88,12 @@
         payload: bytes,
         path: str = '/v1/fronts/raft-search/query',
         method: str = 'POST',
-        face: str = 'caller',
+        interface: str = 'caller',
     ) -> RawReply:
-        """Send raw bytes; no reply within 8 s is an error."""
+        """Send raw bytes and return the response; a timeout is an error."""
         reply = self.pool.request(
             method,
-            f'http://{self.daemon.ready[face]}{path}',
+            f'http://{self.daemon.ready[interface]}{path}',
             body=payload,
             timeout=_TIMEOUT_S,
             retries=False,
@@ -111,21 +111,21 @@
         )
         return int(line.split()[1])
 
-    def assert_calm(self) -> None:
-        """Check that the daemon lives and wrote no traceback."""
+    def assert_healthy(self) -> None:
+        """Check that the daemon is running and has written no traceback."""
         errors = self.daemon.stderr.read_text(errors='replace')
         assert self.daemon.alive
         assert 'Traceback' not in errors, errors[-2000:]
 
 
-def target(own: Rig) -> Target:
-    """Start a fleet of one daemon."""
+def start_target(own: Rig) -> FuzzTarget:
+    """Start a fleet with one daemon."""
     spec = attrs.evolve(small_fleet(1), daemons=daemon_specs(1))
-    return Target(fleet=start_fleet(own, spec))
+    return FuzzTarget(fleet=start_fleet(own, spec))
 
 
 def assert_problem(reply: RawReply, request_id: Any) -> None:
-    """Check that a reply is a problem document of the contract."""
+    """Check that a response is a problem document of the API."""
     assert 'Traceback' not in reply.text
     body = reply.body
     assert body['code'] in _CODES - {'internal'}, reply
@@ -133,7 +133,7 @@
     assert body.get('request_id') in (None, request_id), reply
 
 
-def _changed(
+def _mutated(
     valid: dict[str, Any],
     changes: dict[str, Any],
     dropped: set[str],
--- a/packages/fennelfork-bench/tests/bench_builders_golden.py
+++ b/packages/fennelfork-bench/tests/bench_builders_golden.py
@@ -1,4 +1,4 @@
-"""Builders of whole sessions, written down for golden files."""
+"""Builders of session transcripts for golden files."""
 
 import json
 import re
@@ -17,65 +17,67 @@
 from fennelfork_bench.soak._menu import small_fleet
 from fennelfork_bench.soak._servers import server_events
 
-# What a home adds to the name of a sub-query for each copy of it.
-_SERIAL = re.compile(r'(\d)#[-\w.]+')
+# Suffix that the home daemon adds to a sub-query for each attempt.
+_ATTEMPT_SUFFIX = re.compile(r'(\d)#[-\w.]+')
 _ADDRESS = re.compile(r'127\.0\.0\.1:\d+')
-# Members whose numbers differ from run to run.
-_TIMED = frozenset(('took_ms', 'ttl_ms', 'retry_after_ms', 'at_ms'))
-_COUNTED = frozenset(('retries', 'reruns', 'sub_queries'))
+# JSON members whose numbers differ between test runs.
+_TIME_MEMBERS = frozenset(('took_ms', 'ttl_ms', 'retry_after_ms', 'at_ms'))
+_COUNT_MEMBERS = frozenset(('retries', 'reruns', 'sub_queries'))
 
 
 @attrs.define(kw_only=True, eq=False)
 class Session:
-    """What crossed the interfaces, line by line, normalised."""
+    """Normalised transcript of the messages of a fleet."""
 
     fleet: Fleet
     _lines: list[str] = attrs.field(factory=list)
 
     @property
     def text(self) -> str:
-        """Everything so far."""
-        return _SERIAL.sub(r'\1', '\n'.join(self._lines))
+        """Transcript of the session."""
+        return _ATTEMPT_SUFFIX.sub(r'\1', '\n'.join(self._lines))
 
     def call(
         self,
-        who: str,
-        face: str,
+        party: str,
+        interface: str,
         path: str,
         body: dict[str, Any],
     ) -> http.HttpReply:
-        """Make one call to the first daemon and write both sides down."""
+        """Send a request to the first daemon and record both messages."""
         daemon = self.fleet.living[0]
-        address = daemon.ready[face]
-        self._lines.append(f'{who} -> daemon: POST {path} {_tidy(body)}')
+        address = daemon.ready[interface]
+        self._lines.append(
+            f'{party} -> daemon: POST {path} {_normalised_json(body)}'
+        )
         reply = http.post(address, path, body)
         self._lines.append(
-            f'daemon -> {who}: {reply.status} {_tidy(reply.body)}',
+            f'daemon -> {party}: {reply.status} {_normalised_json(reply.body)}',
         )
         return reply
 
-    def note(self, line: str) -> None:
-        """Write a line of one's own."""
+    def add_line(self, line: str) -> None:
+        """Add a line to the transcript."""
         self._lines.append(line)
 
-    def forget(self) -> None:
-        """Begin the session anew."""
+    def clear(self) -> None:
+        """Remove all lines of the transcript."""
         self._lines.clear()
 
-    def entries(self, daemon: Process) -> None:
-        """Ask a daemon for entries and write down which it names."""
+    def request_entries(self, daemon: Process) -> None:
+        """Request the entries of a daemon and record the listed daemons."""
         reply = http.get(daemon.ready['caller'], '/v1/entries')
-        named = sorted(each['daemon'] for each in reply.body['entries'])
+        listed = sorted(each['daemon'] for each in reply.body['entries'])
         self._lines.append(
             f'caller -> {daemon.name}: GET /v1/entries: {reply.status}'
-            f' names {", ".join(named)}',
+            f' names {", ".join(listed)}',
         )
 
-    def note_servers(self, request_id: str) -> None:
-        """Write down what a request caused on the backend servers.
+    def record_server_work(self, request_id: str) -> None:
+        """Record the work of a request on the backend servers.
 
-        Servers are named by their shard and the order of their first work;
-        what came again for the same sub-query is written once.
+        Servers are named by shard and by the order of their first work.
+        Equal events of a sub-query are recorded once.
         """
         logs = map(server_events, self.fleet.backends.values())
         work = [
@@ -83,13 +85,13 @@
             for event in gather(*logs).of(Work)
             if event.request_id == request_id
         ]
-        names = _by_first_work(work)
+        names = _lines_by_server(work)
         for server, lines in sorted(names.items()):
             self._lines.append(f'{server}: {", ".join(dict.fromkeys(lines))}')
 
 
-def session(rig: Rig, daemons: int = 1) -> Session:
-    """Start a fleet of two shards and two replicas each."""
+def start_session(rig: Rig, daemons: int = 1) -> Session:
+    """Start a fleet of two shards with two replicas each."""
     spec = attrs.evolve(small_fleet(1), daemons=daemon_specs(daemons))
     fleet = start_fleet(rig, spec)
     await_entries(fleet)
@@ -108,7 +110,7 @@
     return {**body, **changes}
 
 
-def _by_first_work(work: list[Work]) -> dict[str, list[str]]:
+def _lines_by_server(work: list[Work]) -> dict[str, list[str]]:
     names: dict[str, str] = {}
     lines: dict[str, list[str]] = {}
     for event in work:
@@ -129,22 +131,22 @@
     return ' '.join(words)
 
 
-def _tidy(body: Any) -> str:
-    text = json.dumps(_without_times(body), sort_keys=True)
+def _normalised_json(body: Any) -> str:
+    text = json.dumps(_normalised(body), sort_keys=True)
     return _ADDRESS.sub('<address>', text)
 
 
-def _without_times(body: Any) -> Any:
+def _normalised(body: Any) -> Any:
     if isinstance(body, list):
-        return [_without_times(part) for part in body]
+        return [_normalised(part) for part in body]
     if not isinstance(body, dict):
         return body
-    return {name: _normal(name, part) for name, part in body.items()}
+    return {name: _normalised_member(name, part) for name, part in body.items()}
 
 
-def _normal(name: str, part: Any) -> Any:
-    if name in _TIMED:
+def _normalised_member(name: str, part: Any) -> Any:
+    if name in _TIME_MEMBERS:
         return '<ms>'
-    if name in _COUNTED:
+    if name in _COUNT_MEMBERS:
         return '<some>' if part else part
-    return _without_times(part)
+    return _normalised(part)
--- a/packages/fennelfork-bench/tests/bench_builders_once.py
+++ b/packages/fennelfork-bench/tests/bench_builders_once.py
@@ -1,4 +1,4 @@
-"""A small fleet, its callers, and what the backend servers' logs prove."""
+"""Small fleet, callers and checks of at-most-once execution."""
 
 import itertools
 from collections import Counter
@@ -22,8 +22,8 @@
 KEYS: Final = 40
 FRONT: Final = 'registry'
 _PATH: Final = f'/v1/fronts/{FRONT}/execute'
-_PATIENCE_MS: Final = 30_000
-_KNOWN_CAP_S: Final = 30
+_TIMEOUT_MS: Final = 30_000
+_DISCOVERY_TIMEOUT_S: Final = 30
 
 
 def once_spec(
@@ -31,7 +31,7 @@
     ttl_ms: int = 30_000,
     connect_ms: int = 500,
 ) -> FleetSpec:
-    """Describe two shards of one server each and a few daemons."""
+    """Build a fleet with two shards of one backend server each."""
     servers = [
         BackendSpec(name=f'reg-{lo}', lo=lo, hi=lo + 20, keys=KEYS, mean_ms=2)
         for lo in (0, 20)
@@ -52,36 +52,40 @@
 
 
 def start_once_fleet(rig: Rig, spec: FleetSpec) -> Fleet:
-    """Start it, with its front in force on all daemons."""
+    """Start a fleet and wait until all daemons know each other."""
     fleet = empty_fleet(rig, spec).start_backends().start_daemons()
     document = {'version': 1, 'patches': [], **first_patch(fleet)}
     fleet.platform.write_document(document)
     await_version(fleet, 1)
-    wait_until(lambda: _all_known(fleet), _KNOWN_CAP_S, 'daemons to know all')
+    wait_until(
+        lambda: _entries_are_complete(fleet),
+        _DISCOVERY_TIMEOUT_S,
+        'daemons to know all',
+    )
     return fleet
 
 
-def _all_known(fleet: Fleet) -> bool:
-    """Tell whether each daemon names all of them, so that it can pass on."""
-    found = [http.get(each, '/v1/entries').body for each in fleet.callers]
+def _entries_are_complete(fleet: Fleet) -> bool:
+    """Return whether the entries of each daemon contain all daemons."""
+    entries = [http.get(each, '/v1/entries').body for each in fleet.callers]
     wanted = len(fleet.callers)
-    return all(len(body.get('entries', ())) == wanted for body in found)
+    return all(len(body.get('entries', ())) == wanted for body in entries)
 
 
 @attrs.define(kw_only=True)
 class Caller:
-    """A caller that keeps what it was told of each request id."""
+    """Caller that records the answers to each request id."""
 
     answers: list[tuple[str, http.HttpReply]] = attrs.field(factory=list)
-    _numbers: Any = attrs.field(factory=lambda: itertools.count(1))
+    _serials: Any = attrs.field(factory=lambda: itertools.count(1))
 
     def ticket(self, address: str) -> str:
-        """Ask a daemon for a ticket."""
+        """Request a ticket from a daemon."""
         return str(http.get(address, '/v1/entries').body['ticket'])
 
     def request(self, ticket: str, key: int = 7) -> dict[str, Any]:
-        """Write a new request under a ticket."""
-        name = f'cert-{next(self._numbers)}'
+        """Build a new request for a ticket."""
+        name = f'cert-{next(self._serials)}'
         return {
             'request_id': bind_request_id(name, ticket),
             'ticket': ticket,
@@ -96,16 +100,16 @@
         self,
         address: str,
         request: dict[str, Any],
-        patience_ms: float = _PATIENCE_MS,
+        timeout_ms: float = _TIMEOUT_MS,
     ) -> http.HttpReply:
-        """Send a request, and keep what came back."""
-        reply = http.post(address, _PATH, request, patience_ms)
+        """Send a request and record the answer."""
+        reply = http.post(address, _PATH, request, timeout_ms)
         self.answers.append((request['request_id'], reply))
         return reply
 
     @property
     def refused(self) -> set[str]:
-        """The ids of which this caller was told that they did not run."""
+        """Ids of the requests refused with the verdict `not_run`."""
         return {
             request_id
             for request_id, reply in self.answers
@@ -113,14 +117,14 @@
         }
 
 
-def faults(fleet: Fleet, server: str, **order: Any) -> None:
-    """Switch faults of a backend server; none switches all off."""
-    reply = http.post(_address(fleet, server), '/control/faults', order)
+def set_faults(fleet: Fleet, server: str, **settings: Any) -> None:
+    """Inject faults into a backend server; no settings clear all faults."""
+    reply = http.post(_address(fleet, server), '/control/faults', settings)
     assert reply.fine, reply
 
 
-def events(fleet: Fleet, kind: str) -> Counter[str]:
-    """Count events of executes in all servers' logs, by request id."""
+def count_events(fleet: Fleet, kind: str) -> Counter[str]:
+    """Count execute events in the logs of all servers by request id."""
     counts: Counter[str] = Counter()
     for name in fleet.backends:
         page = http.get(_address(fleet, name), '/control/log').body
@@ -133,13 +137,13 @@
     return counts
 
 
-def assert_once(fleet: Fleet, *callers: Caller) -> Counter[str]:
-    """Assert the promise by the servers' own logs.
+def assert_at_most_once(fleet: Fleet, *callers: Caller) -> Counter[str]:
+    """Check from the servers' logs that requests ran at most once.
 
     Returns:
-        How often each request id started.
+        Number of starts of each request id.
     """
-    started = events(fleet, 'started')
+    started = count_events(fleet, 'started')
     assert max(started.values(), default=0) <= 1
     for caller in callers:
         assert not caller.refused & started.keys()
--- a/packages/fennelfork-bench/tests/bench_builders_once_chaos.py
+++ b/packages/fennelfork-bench/tests/bench_builders_once_chaos.py
@@ -1,4 +1,4 @@
-"""Callers and troubles of the random test of at most once."""
+"""Callers and faults of the random test of at-most-once execution."""
 
 import random
 import time
@@ -6,10 +6,10 @@
 from typing import Final
 
 import attrs
-from bench_builders_once import Caller, faults
+from bench_builders_once import Caller, set_faults
 
 from fennelfork import Verdict
-from fennelfork.once import (
+from fennelfork.caller_state import (
     AnswerLost,
     AnswerReceived,
     CallerEvent,
@@ -20,10 +20,10 @@
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._fleet import Fleet
 
-_PATIENCE_MS: Final = 3000
-_MOST_TRIES: Final = 12
-_ODD_SHARE: Final = 0.3
-_RULES: Final = (
+_TIMEOUT_MS: Final = 3000
+_MAX_ATTEMPTS: Final = 12
+_WRONG_TICKET_SHARE: Final = 0.3
+_RESPONSE_FAULTS: Final = (
     {'kind': 'lose_reply', 'share': 0.4, 'call': 'execute'},
     {'kind': 'late', 'share': 0.5, 'delay_ms': 400, 'call': 'execute'},
     {'kind': 'cross', 'share': 0.4, 'call': 'execute'},
@@ -33,46 +33,46 @@
 
 
 @attrs.define(kw_only=True)
-class Deeds:
-    """A caller that wants deeds done, each once.
+class ChaosCaller:
+    """Caller that executes operations, each at most once.
 
-    Now and then it sends an id under a ticket that is not its own, as a
-    caller with a fault would; the system has to refuse that.
+    Some requests are also sent with a ticket that does not match the request
+    id, as a faulty caller does. The daemons have to refuse these requests.
     """
 
     caller: Caller
     fleet: Fleet
     rng: random.Random
-    names: dict[str, str] = attrs.field(factory=dict)
+    names_by_id: dict[str, str] = attrs.field(factory=dict)
 
-    def work(self, count: int) -> None:
-        """Do deeds one after the other."""
+    def run_operations(self, count: int) -> None:
+        """Execute operations one after the other."""
         for number in range(count):
-            self._one(f'deed-{self.rng.random()}-{number}')
+            self._execute_operation(f'deed-{self.rng.random()}-{number}')
 
-    def _one(self, name: str) -> None:
-        once = OnceCaller()
+    def _execute_operation(self, name: str) -> None:
+        caller_state = OnceCaller()
         step = CallerStep.RENEW
         request: dict[str, object] = {}
-        for _ in range(_MOST_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             if step is CallerStep.RENEW:
-                request = self._renew(name)
+                request = self._new_request(name)
             elif step is not CallerStep.ASK_AGAIN:
                 return
-            step = once.next_step(self._send(request), 1)
+            step = caller_state.next_step(self._send(request), 1)
             time.sleep(self.rng.uniform(0, 0.05))
 
-    def _renew(self, name: str) -> dict[str, object]:
+    def _new_request(self, name: str) -> dict[str, object]:
         request = self.caller.request(self._ticket(), self.rng.randrange(40))
-        self.names[str(request['request_id'])] = name
+        self.names_by_id[str(request['request_id'])] = name
         return {**request, 'deadline_ms': 600}
 
     def _send(self, request: dict[str, object]) -> CallerEvent:
-        if self.rng.random() < _ODD_SHARE:
-            odd = {**request, 'ticket': self._ticket()}
-            self.caller.send(self._address(), odd, _PATIENCE_MS)
-        return _event(
-            self.caller.send(self._address(), request, _PATIENCE_MS),
+        if self.rng.random() < _WRONG_TICKET_SHARE:
+            mismatched = {**request, 'ticket': self._ticket()}
+            self.caller.send(self._address(), mismatched, _TIMEOUT_MS)
+        return _caller_event(
+            self.caller.send(self._address(), request, _TIMEOUT_MS),
         )
 
     def _ticket(self) -> str:
@@ -86,17 +86,17 @@
         return self.rng.choice(list(self.fleet.callers))
 
 
-Trouble = Callable[[Fleet, random.Random], None]
+Fault = Callable[[Fleet, random.Random], None]
 
 
-def trouble(fleet: Fleet, rng: random.Random) -> None:
-    """Bring one trouble over the fleet, and end what can be ended."""
-    rng.choice(_TROUBLES)(fleet, rng)
+def inject_fault(fleet: Fleet, rng: random.Random) -> None:
+    """Inject one random fault into the fleet."""
+    rng.choice(_FAULTS)(fleet, rng)
 
 
-def _event(reply: http.HttpReply) -> CallerEvent:
+def _caller_event(reply: http.HttpReply) -> CallerEvent:
     if reply.status == 0:
-        # urllib3 says NewConnectionError only if no connection was opened.
+        # urllib3 raises NewConnectionError only if no connection was opened.
         opened = reply.fault != 'NewConnectionError'
         return AnswerLost() if opened else ConnectFailed()
     if reply.fine:
@@ -104,42 +104,46 @@
     return AnswerReceived(verdict=Verdict(reply.body['verdict']))
 
 
-def _kill(fleet: Fleet, rng: random.Random) -> None:
+def _restart_daemon(fleet: Fleet, rng: random.Random) -> None:
     name = rng.choice(list(fleet.daemons))
     fleet.daemons[name].kill()
     time.sleep(rng.uniform(0, 0.5))
     fleet.start_daemons([fleet.daemon_spec(name)])
 
 
-def _pause(fleet: Fleet, rng: random.Random) -> None:
+def _pause_daemon(fleet: Fleet, rng: random.Random) -> None:
     daemon = rng.choice(list(fleet.daemons.values()))
     daemon.pause()
     time.sleep(rng.uniform(0.3, 2))
     daemon.resume()
 
 
-def _spoil(fleet: Fleet, rng: random.Random) -> None:
-    faults(fleet, rng.choice(list(fleet.backends)), rules=[rng.choice(_RULES)])
+def _inject_response_fault(fleet: Fleet, rng: random.Random) -> None:
+    set_faults(
+        fleet,
+        rng.choice(list(fleet.backends)),
+        rules=[rng.choice(_RESPONSE_FAULTS)],
+    )
     time.sleep(0.5)
 
 
-def _freeze(fleet: Fleet, rng: random.Random) -> None:
+def _freeze_server(fleet: Fleet, rng: random.Random) -> None:
     server = rng.choice(list(fleet.backends))
-    faults(fleet, server, freeze_ms=rng.uniform(300, 1500))
+    set_faults(fleet, server, freeze_ms=rng.uniform(300, 1500))
     time.sleep(0.3)
 
 
-def _platform(fleet: Fleet, rng: random.Random) -> None:
+def _pause_key_value_store(fleet: Fleet, rng: random.Random) -> None:
     fleet.platform.key_value.pause()
     time.sleep(rng.uniform(0.3, 1))
     fleet.platform.key_value.resume()
 
 
-_TROUBLES: Final[tuple[Trouble, ...]] = (
-    _kill,
-    _pause,
-    _spoil,
-    _spoil,
-    _freeze,
-    _platform,
+_FAULTS: Final[tuple[Fault, ...]] = (
+    _restart_daemon,
+    _pause_daemon,
+    _inject_response_fault,
+    _inject_response_fault,
+    _freeze_server,
+    _pause_key_value_store,
 )
--- a/packages/fennelfork-bench/tests/bench_builders_openapi.py
+++ b/packages/fennelfork-bench/tests/bench_builders_openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI file, and answers of a daemon held against it."""
+"""Validation of responses of a daemon against the OpenAPI document."""
 
 import pathlib
 from typing import Any, Final
@@ -14,17 +14,17 @@
 
 
 @attrs.frozen(kw_only=True)
-class Answer:
-    """One answer that the file allows."""
+class ApiResponse:
+    """Response that matches the OpenAPI document."""
 
     status: int
-    tree: Any
+    content_tree: Any
     headers: Any
 
 
 @attrs.frozen(kw_only=True)
-class Asked:
-    """One request, and the path of the file that it is under."""
+class ApiRequest:
+    """Request and the path template of the OpenAPI document."""
 
     address: str
     path: str
@@ -35,19 +35,19 @@
 
 @attrs.frozen(kw_only=True)
 class Operation:
-    """A path and method of the file."""
+    """Path and method of the OpenAPI document."""
 
     tag: str
     method: str
     path: str
 
     def __str__(self) -> str:
-        """Name it in the output of tests."""
+        """Return the name of the operation for the output of tests."""
         return f'{self.method} {self.path}'
 
 
-def documented() -> list[Operation]:
-    """List all operations of the file."""
+def documented_operations() -> list[Operation]:
+    """Return all operations of the OpenAPI document."""
     return [
         Operation(tag=found['tags'][0], method=method.upper(), path=path)
         for path, methods in _SPEC['paths'].items()
@@ -56,15 +56,15 @@
 
 
 def metrics_page() -> str:
-    """Read the operators' page on metrics."""
+    """Return the text of the operators' page on metrics."""
     return (_ROOT / 'docs/operators/metrics.md').read_text()
 
 
-def touch(address: str, operation: Operation) -> tuple[int, str]:
-    """Call an operation with names that stand for nothing.
+def call_operation(address: str, operation: Operation) -> tuple[int, str]:
+    """Call an operation with placeholder names.
 
     Returns:
-        The status, and the detail of the problem if there is one.
+        Status, and the detail of the problem or an empty text.
     """
     path = operation.path.replace('{', '').replace('}', '')
     response = urllib3.request(
@@ -80,46 +80,48 @@
     return response.status, response.json()['detail']
 
 
-def ask(asked: Asked) -> Answer:
-    """Send a request and hold the answer against the file.
+def send_checked(request: ApiRequest) -> ApiResponse:
+    """Send a request and validate the response.
 
     Raises:
-        AssertionError: if the status or the type of content is not in it.
-        jsonschema.ValidationError: if the body is not as it says.
+        AssertionError: if the status or content type is not documented.
+        jsonschema.ValidationError: if the body does not match the schema.
     """
-    method = 'GET' if asked.body is None else 'POST'
+    method = 'GET' if request.body is None else 'POST'
     response = urllib3.request(
         method,
-        f'http://{asked.address}{asked.path}',
-        body=asked.body,
-        headers=asked.headers,
+        f'http://{request.address}{request.path}',
+        body=request.body,
+        headers=request.headers,
         timeout=_TIMEOUT_S,
         retries=False,
     )
-    operation = _SPEC['paths'][asked.template][method.lower()]
-    documented = operation['responses']
-    assert str(response.status) in documented, response.data
-    content = _resolved(documented[str(response.status)])['content']
+    operation = _SPEC['paths'][request.template][method.lower()]
+    responses = operation['responses']
+    assert str(response.status) in responses, response.data
+    content = _resolved(responses[str(response.status)])['content']
     kind = response.headers['Content-Type'].partition(';')[0]
     assert kind in content, kind
-    tree = response.json() if kind.endswith('json') else response.data.decode()
-    _validate(tree, content[kind]['schema'])
-    return Answer(
+    content_tree = (
+        response.json() if kind.endswith('json') else response.data.decode()
+    )
+    _validate(content_tree, content[kind]['schema'])
+    return ApiResponse(
         status=response.status,
-        tree=tree,
+        content_tree=content_tree,
         headers=response.headers,
     )
 
 
-def _resolved(tree: dict[str, Any]) -> dict[str, Any]:
-    if '$ref' not in tree:
-        return tree
+def _resolved(content_tree: dict[str, Any]) -> dict[str, Any]:
+    if '$ref' not in content_tree:
+        return content_tree
     found: Any = _SPEC
-    for name in tree['$ref'].removeprefix('#/').split('/'):
+    for name in content_tree['$ref'].removeprefix('#/').split('/'):
         found = found[name]
     return found
 
 
-def _validate(tree: Any, schema: dict[str, Any]) -> None:
+def _validate(content_tree: Any, schema: dict[str, Any]) -> None:
     whole = {'components': _SPEC['components'], **schema}
-    jsonschema.Draft202012Validator(whole).validate(tree)
+    jsonschema.Draft202012Validator(whole).validate(content_tree)
--- a/packages/fennelfork-bench/tests/test_exp_parts.py
+++ b/packages/fennelfork-bench/tests/test_exp_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the experiments that judge or work out figures."""
+"""Computation of costs, load metrics and reports of the experiments."""
 
 import json
 
@@ -33,15 +33,15 @@
 
 
 class TestCosts:
-    """Processor time, memory and bytes over a time."""
+    """Costs of a daemon during an interval."""
 
     def test_adds_up_the_series_of_one_metric(self) -> None:
-        """Labels are added up and other series of the family left out."""
+        """All labels are summed; other series of the family are ignored."""
         name = 'fennelfork_control_bytes_total'
         assert sum_metric(_PAGE, name) == 42
 
     def test_cost_between_two_readings(self) -> None:
-        """Costs are by the time between the readings."""
+        """Costs are relative to the time between the readings."""
         used = Usage(cpu_ms=100, resident_mb=50)
         before = CostReading(at_ms=0, used=used, control_bytes=1000)
         later = Usage(cpu_ms=200, resident_mb=60)
@@ -53,10 +53,10 @@
 
 
 class TestLoadMetrics:
-    """What became of a load's requests."""
+    """Metrics of the requests of a load."""
 
-    def test_failed_and_wrong_are_told_apart(self) -> None:
-        """A request without an answer failed; a false answer is wrong."""
+    def test_distinguishes_failed_and_wrong(self) -> None:
+        """A request without an answer is failed; an incorrect answer is wrong."""
         samples = [
             _sample(200, (), 0),
             _sample(200, ('wrong records',), 1),
@@ -71,10 +71,10 @@
 
 
 class TestReport:
-    """Results for people and machines."""
+    """Reports as JSON and as a text table."""
 
-    def test_json_has_the_agreed_members(self) -> None:
-        """Experiment, seed, arms with their metrics, failures, and no more."""
+    def test_json_members(self) -> None:
+        """The JSON report has exactly the documented members."""
         arms = (Arm(name='a', metrics={'p50_ms': 1.5}),)
         report = Report(experiment='x', seed=3, arms=arms)
         assert json.loads(report.to_json()) == {
@@ -84,8 +84,8 @@
             'failures': [],
         }
 
-    def test_table_shows_a_dash_for_what_an_arm_lacks(self) -> None:
-        """Arms may have different metrics."""
+    def test_table_shows_a_dash_for_a_missing_metric(self) -> None:
+        """Arms with different metrics share one table."""
         arms = (
             Arm(name='a', metrics={'x': 1}),
             Arm(name='b', metrics={'y': 2}),
@@ -98,6 +98,6 @@
         ]
 
     def test_percentile_of_few_samples(self) -> None:
-        """The highest share gives the highest sample."""
+        """A percentile of few samples is one of the samples."""
         assert percentile([3, 1, 2], 0.5) == 2
         assert percentile([3, 1, 2], 0.99) == 3
--- a/packages/fennelfork-bench/tests/test_experiments_document.py
+++ b/packages/fennelfork-bench/tests/test_experiments_document.py
@@ -1,4 +1,4 @@
-"""The documents that the experiment `document` measures."""
+"""Documents that the experiment `document` measures."""
 
 import pytest
 
@@ -7,11 +7,11 @@
 
 
 class TestDocumentTree:
-    """Synthetic documents."""
+    """Synthetic configuration documents."""
 
     @pytest.mark.parametrize('servers', [30, 300, 3000])
-    def test_is_valid_and_of_the_size_asked_for(self, servers: int) -> None:
-        """The product's own check takes it, and every server is there."""
+    def test_is_valid_and_has_the_requested_size(self, servers: int) -> None:
+        """The document passes validation and contains every server."""
         document = structure_document(document_tree(servers)).unwrap()
         shards = [
             shard
--- a/packages/fennelfork-bench/tests/test_experiments_load.py
+++ b/packages/fennelfork-bench/tests/test_experiments_load.py
@@ -1,4 +1,4 @@
-"""What the experiments on answers share, on a small fleet."""
+"""Shared parts of the experiments on answers, on a small fleet."""
 
 import pytest
 
@@ -29,7 +29,7 @@
     """One load on a fleet of two daemons and two servers."""
 
     def test_tallies_counts_and_processor_time(self, rig: Rig) -> None:
-        """Callers, server logs and the system agree that the load ran."""
+        """Tally, server counts and processor time reflect the load."""
         fleet = start_front_fleet(rig, _SIZE, seed=1)
         load = front_load_spec(fleet, _SIZE, count=_COUNT, deadline_ms=20_000)
         first = measure(fleet, load)
@@ -43,8 +43,8 @@
         assert both.tally.counts['complete'] == 2 * _COUNT
         assert both.counts['ran'] == first.counts['ran'] + again.counts['ran']
 
-    def test_spoiled_replies_are_seen(self, rig: Rig) -> None:
-        """The load really meets the faults that the experiment orders."""
+    def test_injected_faults_are_counted(self, rig: Rig) -> None:
+        """Requests of the load meet the injected faults."""
         fleet = start_front_fleet(rig, _SIZE, seed=1)
         rule = {'kind': 'lose_reply', 'limit': 3}
         order_faults(fleet, 's0-0', rules=[rule])
@@ -52,8 +52,8 @@
         assert measured.counts['fault_lose_reply'] == 3
         assert not measured.tally.violations
 
-    def test_policy_is_in_force_everywhere(self, rig: Rig) -> None:
-        """Each change of the policy is a new version on every daemon."""
+    def test_policy_is_active_on_all_daemons(self, rig: Rig) -> None:
+        """A change of the hedge policy is a new version on every daemon."""
         fleet = start_front_fleet(rig, _SIZE, seed=1)
         apply_hedge_policy(fleet, NO_HEDGE)
         assert [version(each) for each in fleet.operators] == [2, 2]
@@ -61,10 +61,10 @@
 
 @pytest.mark.process
 class TestRunCallers:
-    """A load split over processes."""
+    """A load that is split over caller processes."""
 
-    def test_a_failed_caller_is_no_result(self, rig: Rig) -> None:
-        """A caller process that ends with an error fails the experiment."""
+    def test_failed_caller_is_an_error(self, rig: Rig) -> None:
+        """A caller process that exits with an error fails the experiment."""
         load = LoadSpec(entries='127.0.0.1:9', rate_per_s=50, count=1, keys=0)
         with pytest.raises(RigError, match='caller-0'):
             run_callers(rig, load)
--- a/packages/fennelfork-bench/tests/test_fuzz_operator.py
+++ b/packages/fennelfork-bench/tests/test_fuzz_operator.py
@@ -1,4 +1,4 @@
-"""The operator face stands bad patches."""
+"""Invalid patches on the operator API."""
 
 import itertools
 import json
@@ -6,13 +6,13 @@
 
 import pytest
 from bench_builders_fuzz import (
-    Target,
+    FuzzTarget,
     assert_problem,
-    bodies,
+    fuzz_settings,
     json_values,
-    nested,
-    patient,
-    target,
+    mutated_bodies,
+    nested_json,
+    start_target,
 )
 from hypothesis import given
 from hypothesis import strategies as st
@@ -29,9 +29,9 @@
     'author': 'op',
     'patch': {'tenants': {'salvare': {'weight': 2}}},
 }
-_FRESH = {**_BODY, 'patch_id': 'deep-1'}
-_numbers = itertools.count()
-_WHERE = (
+_DEEP_BODY = {**_BODY, 'patch_id': 'deep-1'}
+_serials = itertools.count()
+_PATCHED_PATHS = (
     ('fronts',),
     ('fronts', 'raft-search'),
     ('fronts', 'raft-search', 'keys'),
@@ -46,56 +46,56 @@
 
 
 @pytest.fixture(scope='module')
-def face() -> Iterator[Target]:
-    """Give one daemon with its servers."""
+def daemon_target() -> Iterator[FuzzTarget]:
+    """Start one daemon with backend servers."""
     with rig() as own:
-        yield target(own)
+        yield start_target(own)
 
 
-def _config(face: Target) -> dict:
-    return http.get(face.daemon.ready['operator'], '/v1/config').body
+def _config(daemon_target: FuzzTarget) -> dict:
+    return http.get(daemon_target.daemon.ready['operator'], '/v1/config').body
 
 
-def _send(face: Target, body: object) -> int:
-    before = _config(face)
+def _send(daemon_target: FuzzTarget, body: object) -> int:
+    before = _config(daemon_target)
     payload = body if isinstance(body, bytes) else json.dumps(body).encode()
-    reply = face.send(payload, _PATH, face='operator')
-    after = _config(face)
+    reply = daemon_target.send(payload, _PATH, interface='operator')
+    after = _config(daemon_target)
     if reply.status == 200:
         assert reply.body['version'] <= after['version']
     else:
         assert_problem(reply, None)
         assert after == before
-    face.assert_calm()
+    daemon_target.assert_healthy()
     return reply.status
 
 
 def _deep_patch() -> bytes:
-    body = json.dumps({**_FRESH, 'patch': 0})
-    return body.replace(': 0}', f': {nested(900)}}}').encode()
+    body = json.dumps({**_DEEP_BODY, 'patch': 0})
+    return body.replace(': 0}', f': {nested_json(900)}}}').encode()
 
 
 class TestPatches:
-    """Only what is a good document comes into force."""
-
-    @patient
-    @given(body=bodies(_BODY))
-    def test_members(self, face, body) -> None:
-        """A request with wrong members changes nothing."""
-        _send(face, body)
-
-    @patient
-    @given(where=st.sampled_from(_WHERE), changed=json_values)
-    def test_values(self, face, where, changed) -> None:
-        """A bad value is refused; a good one leaves a readable document."""
+    """Only valid documents become active."""
+
+    @fuzz_settings
+    @given(body=mutated_bodies(_BODY))
+    def test_members(self, daemon_target, body) -> None:
+        """A request with invalid members does not change the configuration."""
+        _send(daemon_target, body)
+
+    @fuzz_settings
+    @given(keys=st.sampled_from(_PATCHED_PATHS), changed=json_values)
+    def test_values(self, daemon_target, keys, changed) -> None:
+        """An invalid value is refused; a valid one keeps the document readable."""
         patch = changed
-        for name in reversed(where):
+        for name in reversed(keys):
             patch = {name: patch}
-        base = _config(face)['version']
-        identity = f'v-{next(_numbers)}'
-        body = {**_BODY, 'base': base, 'patch_id': identity, 'patch': patch}
-        _send(face, body)
-        assert _config(face)['version'] >= base
+        base = _config(daemon_target)['version']
+        patch_id = f'v-{next(_serials)}'
+        body = {**_BODY, 'base': base, 'patch_id': patch_id, 'patch': patch}
+        _send(daemon_target, body)
+        assert _config(daemon_target)['version'] >= base
 
     @pytest.mark.parametrize(
         'payload',
@@ -110,6 +110,6 @@
         ],
         ids=['empty', 'list', 'bytes', 'brackets', 'deep', 'lines', 'huge'],
     )
-    def test_hostile(self, face, payload) -> None:
-        """Deep, long and broken bodies change nothing."""
-        assert _send(face, payload) != 200
+    def test_hostile(self, daemon_target, payload) -> None:
+        """Deep, long and broken bodies do not change the configuration."""
+        assert _send(daemon_target, payload) != 200
--- a/packages/fennelfork-bench/tests/test_fuzz_settings.py
+++ b/packages/fennelfork-bench/tests/test_fuzz_settings.py
@@ -1,10 +1,10 @@
-"""Settings files stand bad input."""
+"""Invalid input in settings files."""
 
 import json
 from pathlib import Path
 
 import pytest
-from bench_builders_fuzz import json_values, patient
+from bench_builders_fuzz import fuzz_settings, json_values
 from hypothesis import given
 from hypothesis import strategies as st
 from returns.pipeline import is_successful
@@ -26,46 +26,46 @@
 
 @pytest.fixture(scope='module')
 def path(tmp_path_factory) -> Path:
-    """Give a file that each example writes anew."""
+    """Return the path of a file that each example overwrites."""
     return tmp_path_factory.mktemp('settings') / 'fennelforkd.toml'
 
 
 class TestReadSettings:
-    """A parsed document is taken, or refused with path and reason."""
+    """Parsed settings are accepted, or refused with path and reason."""
 
-    @patient
+    @fuzz_settings
     @given(
         table=st.sampled_from([*_VALID, 'unknown']),
         member=st.sampled_from(('name', 'caller', 'key_value', 'stop_ms', 'x')),
         changed=json_values,
     )
     def test_members(self, table, member, changed) -> None:
-        """A wrong value names where it stands."""
+        """The problem of an invalid value contains the path of the value."""
         tables = _VALID | {table: {**_VALID.get(table, {}), member: changed}}
         found = read_settings(tables)
         if not is_successful(found):
             assert all(problem.path for problem in found.failure())
             assert any(table in problem.path for problem in found.failure())
 
-    @patient
+    @fuzz_settings
     @given(table=st.sampled_from([*_VALID, 'unknown']), changed=json_values)
     def test_tables(self, table, changed) -> None:
-        """A table of another type is refused, never raised."""
+        """A table of the wrong type is a problem, not an exception."""
         found = read_settings(_VALID | {table: changed})
         if not is_successful(found):
             assert all(problem.message for problem in found.failure())
 
 
 class TestLoadSettings:
-    """A file of any bytes is taken or refused."""
+    """A file with arbitrary bytes is accepted or refused."""
 
-    @patient
+    @fuzz_settings
     @given(
         cut=st.integers(0, len(_TEXT)),
         noise=st.binary(max_size=20) | st.text(max_size=20).map(str.encode),
     )
     def test_bytes(self, path, cut, noise) -> None:
-        """Noise in a good file gives problems, never an exception."""
+        """Random bytes in a valid file are problems, not an exception."""
         text = _TEXT.encode()
         path.write_bytes(text[:cut] + noise + text[cut:])
         found = load_settings(path)
--- a/packages/fennelfork-bench/tests/test_golden_operators.py
+++ b/packages/fennelfork-bench/tests/test_golden_operators.py
@@ -1,9 +1,9 @@
-"""Whole sessions of operators, as golden files."""
+"""Golden files of operator sessions."""
 
 from typing import Any
 
 import pytest
-from bench_builders_golden import session
+from bench_builders_golden import start_session
 
 from fennelfork_bench.rig._process import Rig
 
@@ -22,25 +22,25 @@
 
 
 class TestPatches:
-    """What crosses the interfaces when operators change the configuration."""
+    """Messages when operators change the configuration."""
 
     def test_race(self, rig: Rig, snapshot) -> None:
-        """The second of two patches of one version is told what changed."""
-        running = session(rig)
-        running.call('ana', 'operator', _PATH, _patch('ana', 1, 2))
-        running.call('bruno', 'operator', _PATH, _patch('bruno', 1, 5))
-        assert running.text == snapshot
+        """The second of two patches of one version returns the conflict."""
+        transcript = start_session(rig)
+        transcript.call('ana', 'operator', _PATH, _patch('ana', 1, 2))
+        transcript.call('bruno', 'operator', _PATH, _patch('bruno', 1, 5))
+        assert transcript.text == snapshot
 
     def test_lost_reply(self, rig: Rig, snapshot) -> None:
-        """A patch whose write took effect unseen is one patch, not two."""
-        running = session(rig)
-        running.fleet.platform.switch(lose_replies=1)
-        running.call('ana', 'operator', _PATH, _patch('ana', 1, 2))
-        running.call('ana', 'operator', _PATH, _patch('ana', 1, 2))
-        assert running.text == snapshot
+        """A retried patch after a lost store response is applied once."""
+        transcript = start_session(rig)
+        transcript.fleet.platform.switch(lose_replies=1)
+        transcript.call('ana', 'operator', _PATH, _patch('ana', 1, 2))
+        transcript.call('ana', 'operator', _PATH, _patch('ana', 1, 2))
+        assert transcript.text == snapshot
 
     def test_bad(self, rig: Rig, snapshot) -> None:
-        """A bad patch is refused with path and reason."""
-        running = session(rig)
-        running.call('ana', 'operator', _PATH, _patch('ana', 1, -3))
-        assert running.text == snapshot
+        """An invalid patch is refused with path and reason."""
+        transcript = start_session(rig)
+        transcript.call('ana', 'operator', _PATH, _patch('ana', 1, -3))
+        assert transcript.text == snapshot
--- a/packages/fennelfork-bench/tests/test_once_claim.py
+++ b/packages/fennelfork-bench/tests/test_once_claim.py
@@ -1,4 +1,4 @@
-"""The claim arm of the experiment on at most once."""
+"""Claims and costs that the experiment `once` measures."""
 
 from collections.abc import Iterator
 
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def service() -> Iterator[str]:
-    """Give the address of a key-value service."""
+    """Start a key-value service and return its address."""
     with rig() as own:
         process = own.start_module('key-value', 'fennelfork_bench.kv')
         yield process.await_ready().ready['address']
@@ -20,33 +20,33 @@
 
 @pytest.mark.process
 class TestClaims:
-    """Claims against the key-value stand-in."""
+    """Claims in the stand-in of the key-value service."""
 
-    def test_one_holder(self, service: str) -> None:
-        """An id is claimed once; another id is free."""
+    def test_claim_is_exclusive(self, service: str) -> None:
+        """An id is claimed at most once; other ids are independent."""
         claims = Claims(address=service)
-        taken = [claims.try_claim(each) for each in ('a', 'a', 'b')]
-        assert taken == [True, False, True]
+        claimed = [claims.try_claim(each) for each in ('a', 'a', 'b')]
+        assert claimed == [True, False, True]
 
     @pytest.mark.parametrize(
         'fault',
         [{'down': True}, {'lose_replies': 1}, {'refuse': True}],
     )
-    def test_not_held_when_unsure(
+    def test_unconfirmed_claim_fails(
         self,
         service: str,
         fault: dict[str, object],
     ) -> None:
-        """A claim without an answer is not held by anybody."""
+        """A claim without a response is not confirmed."""
         http.post(service, '/control/faults', fault)
         assert not Claims(address=service).try_claim('a')
 
 
 class TestCosts:
-    """The measured costs of tickets."""
+    """Costs of tickets and of request ids."""
 
-    def test_are_all_there(self) -> None:
-        """Each cost is measured and above zero."""
+    def test_all_are_measured(self) -> None:
+        """Each cost is present and positive."""
         costs = memory_costs(1)
         assert set(costs) == {
             'issue_us',
--- a/packages/fennelfork-bench/tests/test_once_process.py
+++ b/packages/fennelfork-bench/tests/test_once_process.py
@@ -1,4 +1,4 @@
-"""At most once, with real daemons that are killed, paused and cut off."""
+"""At-most-once execution with daemons that are killed, paused or drained."""
 
 import time
 from collections.abc import Iterator
@@ -7,10 +7,10 @@
 import pytest
 from bench_builders_once import (
     Caller,
-    assert_once,
-    events,
-    faults,
+    assert_at_most_once,
+    count_events,
     once_spec,
+    set_faults,
     start_once_fleet,
 )
 
@@ -18,13 +18,13 @@
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import rig, wait_until
 
-_CAP_S = 30
+_TIMEOUT_S = 30
 _TTL_MS = 1500
 
 
 @pytest.fixture(scope='module')
 def fleet() -> Iterator[Fleet]:
-    """Two daemons that no test of this module ends."""
+    """Start two daemons that the tests of this module share."""
     with rig() as own:
         yield start_once_fleet(own, once_spec())
 
@@ -33,25 +33,25 @@
 def _no_faults(fleet: Fleet) -> Iterator[None]:
     yield
     for server in fleet.backends:
-        faults(fleet, server)
+        set_faults(fleet, server)
 
 
 @pytest.mark.process
 class TestAnswers:
-    """Callers of a fleet whose daemons live."""
+    """Execute requests while all daemons are running."""
 
-    def test_runs_and_repeats_the_outcome(self, fleet: Fleet) -> None:
-        """A repeat, here or at the other daemon, gets the first outcome."""
+    def test_retry_returns_the_first_outcome(self, fleet: Fleet) -> None:
+        """A retry at either daemon returns the outcome of the first request."""
         caller = Caller()
         here, there = fleet.callers
         request = caller.request(caller.ticket(here))
         replies = [caller.send(each, request) for each in (here, here, there)]
         assert [reply.status for reply in replies] == [200, 200, 200], replies
         assert len({reply.body['outcome'] for reply in replies}) == 1
-        assert assert_once(fleet, caller)[request['request_id']] == 1
+        assert assert_at_most_once(fleet, caller)[request['request_id']] == 1
 
-    def test_crossing_copies_run_once(self, fleet: Fleet) -> None:
-        """Copies that arrive together at both daemons run once."""
+    def test_concurrent_requests_run_once(self, fleet: Fleet) -> None:
+        """Concurrent requests with one id at both daemons run once."""
         caller = Caller()
         request = caller.request(caller.ticket(fleet.callers[0]))
         with ThreadPoolExecutor(8) as pool:
@@ -62,62 +62,62 @@
             replies = [each.result() for each in sent]
         assert {reply.status for reply in replies} == {200}, replies
         assert len({reply.body['outcome'] for reply in replies}) == 1
-        assert assert_once(fleet, caller)[request['request_id']] == 1
+        assert assert_at_most_once(fleet, caller)[request['request_id']] == 1
 
-    def test_a_lost_reply_is_not_run_again(self, fleet: Fleet) -> None:
-        """After a lost reply every repeat says so, whatever its ticket."""
+    def test_lost_response_is_not_run_again(self, fleet: Fleet) -> None:
+        """After a lost response, retries with any ticket may have run."""
         caller = Caller()
         here, there = fleet.callers
         request = caller.request(caller.ticket(here))
-        faults(fleet, 'reg-0', rules=[{'kind': 'lose_reply', 'limit': 1}])
+        set_faults(fleet, 'reg-0', rules=[{'kind': 'lose_reply', 'limit': 1}])
         first = caller.send(here, request)
         renewed = {**request, 'ticket': caller.ticket(there)}
-        repeats = [
+        retries = [
             caller.send(here, request),
             caller.send(there, request),
             caller.send(there, renewed),
             caller.send(here, renewed),
         ]
-        verdicts = {reply.body['verdict'] for reply in (first, *repeats)}
+        verdicts = {reply.body['verdict'] for reply in (first, *retries)}
         assert verdicts == {'may_have_run'}
-        assert assert_once(fleet, caller)[request['request_id']] == 1
+        assert assert_at_most_once(fleet, caller)[request['request_id']] == 1
 
-    def test_a_late_outcome_is_learnt(self, fleet: Fleet) -> None:
-        """A repeat after the caller's deadline gets the late outcome."""
+    def test_late_outcome_is_recorded(self, fleet: Fleet) -> None:
+        """A retry after the deadline returns the late outcome."""
         caller = Caller()
         here, there = fleet.callers
         request = caller.request(caller.ticket(here))
         late = {'kind': 'late', 'limit': 1, 'delay_ms': 1000}
-        faults(fleet, 'reg-0', rules=[late])
+        set_faults(fleet, 'reg-0', rules=[late])
         first = caller.send(here, {**request, 'deadline_ms': 300})
         assert first.body['code'] == 'deadline', first
         assert first.body['verdict'] == 'may_have_run'
         wait_until(
             lambda: caller.send(there, request).status == 200,
-            _CAP_S,
+            _TIMEOUT_S,
             'the late outcome',
         )
-        assert assert_once(fleet, caller)[request['request_id']] == 1
+        assert assert_at_most_once(fleet, caller)[request['request_id']] == 1
 
-    def test_a_refusal_is_true_and_final(self, fleet: Fleet) -> None:
-        """What a server refused is not run, and a copy does not revive it."""
+    def test_refusal_is_final(self, fleet: Fleet) -> None:
+        """A request refused as not run is not run by a retry either."""
         caller = Caller()
         here, _ = fleet.callers
         request = caller.request(caller.ticket(here), key=25)
         request['deadline_ms'] = 5
         refused = caller.send(here, request)
         assert refused.body['verdict'] == 'not_run', refused
-        again = caller.send(here, {**request, 'deadline_ms': 5000})
-        assert again.body['verdict'] == 'not_run', again
-        assert request['request_id'] not in assert_once(fleet, caller)
+        retry = caller.send(here, {**request, 'deadline_ms': 5000})
+        assert retry.body['verdict'] == 'not_run', retry
+        assert request['request_id'] not in assert_at_most_once(fleet, caller)
 
-    def test_a_draining_server_is_left_alone(self, fleet: Fleet) -> None:
-        """A server whose health lies is asked once, and then no more."""
+    def test_draining_server_gets_no_requests(self, fleet: Fleet) -> None:
+        """A draining server with a wrong health state gets one attempt only."""
         caller = Caller()
         here, _ = fleet.callers
         address = fleet.backends['reg-20'].ready['control']
         http.post(address, '/control/drain', {'draining': True})
-        faults(fleet, 'reg-20', health={'state': 'serving'})
+        set_faults(fleet, 'reg-20', health={'state': 'serving'})
         ticket = caller.ticket(here)
         refused = [
             caller.send(here, caller.request(ticket, 25)) for _ in range(4)
@@ -127,13 +127,13 @@
         assert verdicts == {'not_run'}, refused
         codes = {reply.body['code'] for reply in refused}
         assert codes == {'draining'}, refused
-        sent = events(fleet, 'received')
-        asked = {reply.body['request_id'] for reply in refused}
-        assert sum(sent[each] for each in asked) == 1
-        assert_once(fleet, caller)
+        sent = count_events(fleet, 'received')
+        request_ids = {reply.body['request_id'] for reply in refused}
+        assert sum(sent[each] for each in request_ids) == 1
+        assert_at_most_once(fleet, caller)
 
     def test_platform_down(self, fleet: Fleet) -> None:
-        """Tickets are issued and used while the platform is away."""
+        """Tickets are issued and used while the platform is unavailable."""
         caller = Caller()
         fleet.platform.key_value.pause()
         fleet.platform.vm_list.pause()
@@ -142,10 +142,10 @@
         fleet.platform.key_value.resume()
         fleet.platform.vm_list.resume()
         assert {reply.status for reply in replies} == {200}, replies
-        assert assert_once(fleet, caller)[request['request_id']] == 1
+        assert assert_at_most_once(fleet, caller)[request['request_id']] == 1
 
-    def test_a_server_refuses_what_comes_late(self, fleet: Fleet) -> None:
-        """An execute read after its limit is refused and not started."""
+    def test_server_refuses_late_requests(self, fleet: Fleet) -> None:
+        """An execute request after its `not_after_ms` is not started."""
         address = fleet.backends['reg-0'].ready['address']
         now_ms = http.get(address, '/v1/health').body['now_ms']
         late = {
@@ -158,39 +158,45 @@
         }
         reply = http.post(address, '/v1/execute', late)
         assert reply.body['verdict'] == 'not_run', reply
-        assert 'late@s' not in assert_once(fleet)
+        assert 'late@s' not in assert_at_most_once(fleet)
 
 
 @pytest.mark.process
-class TestDeaths:
-    """Daemons that are killed, paused and started again."""
+class TestDaemonFailures:
+    """Daemons that are killed, paused, drained and restarted."""
 
-    def test_killed_in_the_middle(self) -> None:
-        """Nobody runs again what a killed daemon sent, nor denies it."""
+    def test_killed_during_an_attempt(self) -> None:
+        """A request that a killed daemon sent is neither rerun nor denied."""
         caller = Caller()
         with rig() as own, ThreadPoolExecutor(1) as pool:
             fleet = start_once_fleet(own, once_spec())
             here, there = fleet.callers
             request = caller.request(caller.ticket(here))
-            faults(fleet, 'reg-0', rules=[{'kind': 'late', 'delay_ms': 4000}])
+            set_faults(
+                fleet, 'reg-0', rules=[{'kind': 'late', 'delay_ms': 4000}]
+            )
             first = pool.submit(caller.send, here, request)
-            wait_until(lambda: events(fleet, 'started'), _CAP_S, 'the run')
+            wait_until(
+                lambda: count_events(fleet, 'started'), _TIMEOUT_S, 'the run'
+            )
             fleet.daemons['vm-1'].kill()
             assert first.result().status == 0
             cut_off = caller.send(there, request)
             fleet.start_daemons([fleet.daemon_spec('vm-1')])
             restarted = fleet.daemons['vm-1'].ready['caller']
-            repeats = [cut_off]
+            retries = [cut_off]
             for address in (restarted, there):
                 fresh = {**request, 'ticket': caller.ticket(address)}
-                repeats.append(caller.send(address, request))
-                repeats.append(caller.send(address, fresh))
-            verdicts = [reply.body.get('verdict') for reply in repeats]
-            assert set(verdicts) == {'may_have_run'}, repeats
-            assert assert_once(fleet, caller)[request['request_id']] == 1
+                retries.append(caller.send(address, request))
+                retries.append(caller.send(address, fresh))
+            verdicts = [reply.body.get('verdict') for reply in retries]
+            assert set(verdicts) == {'may_have_run'}, retries
+            assert (
+                assert_at_most_once(fleet, caller)[request['request_id']] == 1
+            )
 
-    def test_paused_past_its_ticket(self) -> None:
-        """A daemon that wakes with an expired ticket does not send."""
+    def test_paused_until_the_ticket_expires(self) -> None:
+        """A daemon that resumes with an expired ticket does not send."""
         caller = Caller()
         with rig() as own, ThreadPoolExecutor(1) as pool:
             spec = once_spec(
@@ -201,8 +207,8 @@
             here, there = fleet.callers
             request = caller.request(caller.ticket(here))
             request['deadline_ms'] = 20_000
-            # The probe waits for the frozen server, so the send comes after.
-            faults(fleet, 'reg-0', freeze_ms=2 * _TTL_MS)
+            # The health probe waits for the frozen server before the send.
+            set_faults(fleet, 'reg-0', freeze_ms=2 * _TTL_MS)
             first = pool.submit(caller.send, here, request)
             time.sleep(_TTL_MS / 5000)
             fleet.daemons['vm-1'].pause()
@@ -211,31 +217,39 @@
             replies = [first.result(), caller.send(there, request)]
             verdicts = [reply.body.get('verdict') for reply in replies]
             assert verdicts == ['not_run', 'not_run'], replies
-            assert request['request_id'] not in assert_once(fleet, caller)
+            assert request['request_id'] not in assert_at_most_once(
+                fleet, caller
+            )
 
     def test_paused_after_the_send(self) -> None:
-        """A daemon that wakes after its ticket tells the outcome it got."""
+        """A daemon that resumes after the ticket expired returns the outcome."""
         caller = Caller()
         with rig() as own, ThreadPoolExecutor(1) as pool:
             fleet = start_once_fleet(own, once_spec(ttl_ms=_TTL_MS))
             here, there = fleet.callers
             request = caller.request(caller.ticket(here))
-            faults(fleet, 'reg-0', rules=[{'kind': 'late', 'delay_ms': 500}])
+            set_faults(
+                fleet, 'reg-0', rules=[{'kind': 'late', 'delay_ms': 500}]
+            )
             first = pool.submit(caller.send, here, request)
-            wait_until(lambda: events(fleet, 'started'), _CAP_S, 'the run')
+            wait_until(
+                lambda: count_events(fleet, 'started'), _TIMEOUT_S, 'the run'
+            )
             fleet.daemons['vm-1'].pause()
             time.sleep(_TTL_MS / 1000)
             fleet.daemons['vm-1'].resume()
             first.result()
             wait_until(
                 lambda: caller.send(there, request).status == 200,
-                _CAP_S,
+                _TIMEOUT_S,
                 'the outcome',
             )
-            assert assert_once(fleet, caller)[request['request_id']] == 1
+            assert (
+                assert_at_most_once(fleet, caller)[request['request_id']] == 1
+            )
 
-    def test_leaving(self) -> None:
-        """A leaving daemon keeps its word on tickets, and gives no more."""
+    def test_draining_daemon(self) -> None:
+        """A draining daemon accepts its tickets, but issues no new ones."""
         caller = Caller()
         with rig() as own:
             fleet = start_once_fleet(own, once_spec())
@@ -245,15 +259,17 @@
             assert drained.fine, drained
             wait_until(
                 lambda: http.get(here, '/v1/entries').body['ticket'] is None,
-                _CAP_S,
+                _TIMEOUT_S,
                 'no more tickets',
             )
             replies = [caller.send(each, request) for each in (there, here)]
             assert [reply.status for reply in replies] == [200, 200], replies
-            assert assert_once(fleet, caller)[request['request_id']] == 1
+            assert (
+                assert_at_most_once(fleet, caller)[request['request_id']] == 1
+            )
 
-    def test_stopped_in_the_middle(self) -> None:
-        """A planned stop waits for a request in progress and its outcome."""
+    def test_stopped_during_an_attempt(self) -> None:
+        """A graceful stop waits for the outcome of a request in flight."""
         caller = Caller()
         with rig() as own, ThreadPoolExecutor(1) as pool:
             fleet = start_once_fleet(own, once_spec(ttl_ms=_TTL_MS))
@@ -261,10 +277,14 @@
             request = caller.request(caller.ticket(here))
             request['deadline_ms'] = 10_000
             late = {'kind': 'late', 'delay_ms': 2 * _TTL_MS}
-            faults(fleet, 'reg-0', rules=[late])
+            set_faults(fleet, 'reg-0', rules=[late])
             first = pool.submit(caller.send, here, request)
-            wait_until(lambda: events(fleet, 'started'), _CAP_S, 'the run')
+            wait_until(
+                lambda: count_events(fleet, 'started'), _TIMEOUT_S, 'the run'
+            )
             fleet.daemons['vm-1'].terminate()
             assert first.result().status == 200, first.result()
-            assert fleet.daemons['vm-1'].wait(_CAP_S) == 0
-            assert assert_once(fleet, caller)[request['request_id']] == 1
+            assert fleet.daemons['vm-1'].wait(_TIMEOUT_S) == 0
+            assert (
+                assert_at_most_once(fleet, caller)[request['request_id']] == 1
+            )
--- a/packages/fennelfork-bench/tests/test_once_soak.py
+++ b/packages/fennelfork-bench/tests/test_once_soak.py
@@ -1,4 +1,4 @@
-"""The caller of the soak, and what it may do next."""
+"""Next steps of the soak caller after an attempt."""
 
 import pytest
 
@@ -14,23 +14,23 @@
 )
 from fennelfork_bench.soak._caller import caller_event
 
-_TRY = {'at_ms': 1.0, 'attempt': 'try-1'}
-_CUT = ConnectionCut(**_TRY, detail='reset')
-_UNSENT = ConnectRefused(**_TRY, detail='refused')
+_ATTEMPT = {'at_ms': 1.0, 'attempt': 'try-1'}
+_CUT = ConnectionCut(**_ATTEMPT, detail='reset')
+_UNSENT = ConnectRefused(**_ATTEMPT, detail='refused')
 
 
 class TestCallerEvent:
-    """Ends of tries in the words of the decision."""
+    """Conversion of attempt outcomes to caller events."""
 
     @pytest.mark.parametrize(
         ('end', 'step'),
         [
             (_CUT, CallerStep.ASK_AGAIN),
-            (Malformed(**_TRY, detail='half'), CallerStep.ASK_AGAIN),
+            (Malformed(**_ATTEMPT, detail='half'), CallerStep.ASK_AGAIN),
             (_UNSENT, CallerStep.RENEW),
             (
                 Refused(
-                    **_TRY,
+                    **_ATTEMPT,
                     reply_to='a',
                     code='shed',
                     verdict=Verdict.NOT_RUN,
@@ -39,7 +39,7 @@
             ),
             (
                 ExecuteAnswered(
-                    **_TRY,
+                    **_ATTEMPT,
                     reply_to='a',
                     key=1,
                     outcome='done',
@@ -49,12 +49,12 @@
             ),
         ],
     )
-    def test_first_try(self, end: Ended, step: CallerStep) -> None:
-        """Each end leads to the step that the operators' page names."""
+    def test_first_attempt(self, end: Ended, step: CallerStep) -> None:
+        """Each outcome leads to the step in the operators' documentation."""
         assert OnceCaller().next_step(caller_event(end), 1000) is step
 
-    def test_doubt_goes_on(self) -> None:
-        """A refused connection after a cut one allows no new ticket."""
+    def test_uncertainty_persists(self) -> None:
+        """A refused connection after a cut connection allows no new ticket."""
         once = OnceCaller()
         once.next_step(caller_event(_CUT), 1000)
         step = once.next_step(caller_event(_UNSENT), 1000)
--- a/packages/fennelfork-bench/tests/test_openapi.py
+++ b/packages/fennelfork-bench/tests/test_openapi.py
@@ -1,4 +1,4 @@
-"""A running daemon against docs/openapi.yaml."""
+"""Validation of a running daemon against `docs/openapi.yaml`."""
 
 import json
 from collections.abc import Iterator
@@ -7,13 +7,13 @@
 import attrs
 import pytest
 from bench_builders_openapi import (
-    Answer,
-    Asked,
+    ApiRequest,
+    ApiResponse,
     Operation,
-    ask,
-    documented,
+    call_operation,
+    documented_operations,
     metrics_page,
-    touch,
+    send_checked,
 )
 
 from fennelfork_bench.rig import _http as http
@@ -32,7 +32,7 @@
 
 _KEYS = 40
 _METRICS = '/metrics'
-_PATIENCE_S = 20
+_TIMEOUT_S = 20
 _QUERY = '/v1/fronts/{front}/query'
 _LIMITS = {
     'limits': {'body_bytes': 2048, 'header_bytes': 2048},
@@ -55,12 +55,14 @@
 
 @pytest.fixture(scope='module')
 def fleet() -> Iterator[Fleet]:
-    """Start two daemons over two shards."""
+    """Start two daemons and two shards."""
     with rig() as own:
         yield start_fleet(own, _spec())
 
 
-def _query(fleet: Fleet, front: str = 'raft-search', **changes: Any) -> Answer:
+def _query(
+    fleet: Fleet, front: str = 'raft-search', **changes: Any
+) -> ApiResponse:
     body = {
         'request_id': 'r1',
         'deadline_ms': 10_000,
@@ -76,9 +78,9 @@
     body: bytes,
     front: str = 'raft-search',
     **headers: str,
-) -> Answer:
-    return ask(
-        Asked(
+) -> ApiResponse:
+    return send_checked(
+        ApiRequest(
             address=fleet.callers[0],
             path=f'/v1/fronts/{front}/query',
             template=_QUERY,
@@ -88,25 +90,25 @@
     )
 
 
-def _order(fleet: Fleet, **changes: Any) -> dict[str, Any]:
+def _execute_body(fleet: Fleet, **changes: Any) -> dict[str, Any]:
     path = '/v1/entries'
-    asked = Asked(address=fleet.callers[0], path=path, template=path)
-    issued = ask(asked).tree
+    request = ApiRequest(address=fleet.callers[0], path=path, template=path)
+    entries = send_checked(request).content_tree
     return {
-        'request_id': f'x@{issued["ticket_serial"]}',
+        'request_id': f'x@{entries["ticket_serial"]}',
         'deadline_ms': 10_000,
         'tenant': 'salvare',
         'class': 'counter',
         'key': 7,
         'action': 'issue',
-        'ticket': issued['ticket'],
+        'ticket': entries['ticket'],
         **changes,
     }
 
 
-def _execute(fleet: Fleet, body: dict[str, Any]) -> Answer:
-    return ask(
-        Asked(
+def _execute(fleet: Fleet, body: dict[str, Any]) -> ApiResponse:
+    return send_checked(
+        ApiRequest(
             address=fleet.callers[0],
             path='/v1/fronts/raft-search/execute',
             template='/v1/fronts/{front}/execute',
@@ -115,9 +117,9 @@
     )
 
 
-def _page(fleet: Fleet, path: str, template: str = '') -> Answer:
-    return ask(
-        Asked(
+def _page(fleet: Fleet, path: str, template: str = '') -> ApiResponse:
+    return send_checked(
+        ApiRequest(
             address=fleet.operators[0],
             path=path,
             template=template or path,
@@ -125,7 +127,7 @@
     )
 
 
-def _patch(fleet: Fleet, **changes: Any) -> Answer:
+def _patch(fleet: Fleet, **changes: Any) -> ApiResponse:
     body = {
         'base': 1,
         'patch_id': 'p1',
@@ -134,8 +136,8 @@
         **changes,
     }
     path = '/v1/config/patch'
-    return ask(
-        Asked(
+    return send_checked(
+        ApiRequest(
             address=fleet.operators[0],
             path=path,
             template=path,
@@ -145,66 +147,70 @@
 
 
 def _dropped(fleet: Fleet, reason: str) -> float:
-    """Sum a counter over the daemons."""
+    """Return the dropped replies of all daemons with a reason."""
     line = f'dropped_replies_total{{front="raft-search",reason="{reason}"}} '
     total = 0.0
     for address in fleet.operators:
-        page = ask(Asked(address=address, path=_METRICS, template=_METRICS))
-        _, _, rest = page.tree.partition(line)
+        page = send_checked(
+            ApiRequest(address=address, path=_METRICS, template=_METRICS)
+        )
+        _, _, rest = page.content_tree.partition(line)
         total += float(rest.split('\n')[0] or 0)
     return total
 
 
 def _shards(operator: str) -> list[dict[str, Any]]:
-    """Read the shards of the one front, as a daemon sees them."""
+    """Return the shards of the front in the view of a daemon."""
     path = '/v1/fronts'
-    page = ask(Asked(address=operator, path=path, template=path)).tree
+    page = send_checked(
+        ApiRequest(address=operator, path=path, template=path)
+    ).content_tree
     shards: list[dict[str, Any]] = page['fronts'][0]['shards']
     return shards
 
 
 def _member_names(fleet: Fleet) -> list[str]:
-    members = _page(fleet, '/v1/members').tree['members']
+    members = _page(fleet, '/v1/members').content_tree['members']
     return [member['name'] for member in members]
 
 
 class TestPaths:
-    """The paths of the file against the routes of a daemon."""
+    """Paths of the OpenAPI document and routes of a daemon."""
 
     @pytest.mark.parametrize(
         'operation',
-        # The fleet of this module is needed; TestDrain has its own.
-        [each for each in documented() if each.path != '/v1/drain'],
+        # TestDrain covers this path with a separate fleet.
+        [each for each in documented_operations() if each.path != '/v1/drain'],
         ids=str,
     )
     def test_is_served(self, fleet: Fleet, operation: Operation) -> None:
         """Each documented path and method has a route."""
-        faces = {'caller': fleet.callers[0], 'operator': fleet.operators[0]}
-        status, detail = touch(faces[operation.tag], operation)
+        addresses = {'caller': fleet.callers[0], 'operator': fleet.operators[0]}
+        status, detail = call_operation(addresses[operation.tag], operation)
         assert status != 405
         assert 'there is no path' not in detail
 
 
-class TestCallerFace:
-    """Answers and refusals to callers."""
+class TestCallerApi:
+    """Answers and refusals of the caller API."""
 
     def test_entries(self, fleet: Fleet) -> None:
-        """Callers get addresses that they may keep for a while."""
+        """Entries contain only addresses of the fleet."""
         path = '/v1/entries'
-        asked = Asked(
+        request = ApiRequest(
             address=fleet.callers[0],
             path=f'{path}?data_centre=dc-1',
             template=path,
         )
-        entries = ask(asked).tree['entries']
+        entries = send_checked(request).content_tree['entries']
         assert {entry['address'] for entry in entries} <= set(fleet.callers)
 
     def test_whole_answer(self, fleet: Fleet) -> None:
         """A whole answer has every record and says so."""
-        found = _query(fleet)
-        assert found.status == 200
-        assert found.tree['coverage']['complete']
-        assert len(found.tree['records']) == _KEYS
+        response = _query(fleet)
+        assert response.status == 200
+        assert response.content_tree['coverage']['complete']
+        assert len(response.content_tree['records']) == _KEYS
 
     @pytest.mark.parametrize(
         'changes',
@@ -228,31 +234,31 @@
         ids=str,
     )
     def test_bad_member(self, fleet: Fleet, changes: dict[str, Any]) -> None:
-        """A wrong member is named, and nothing ran."""
-        found = _query(fleet, **changes)
-        assert found.status == 400
-        assert found.tree['verdict'] == 'not_run'
-        assert next(iter(changes)) in found.tree['detail']
+        """The detail contains the invalid member; the query is not run."""
+        response = _query(fleet, **changes)
+        assert response.status == 400
+        assert response.content_tree['verdict'] == 'not_run'
+        assert next(iter(changes)) in response.content_tree['detail']
 
     @pytest.mark.parametrize('body', [b'{', b'[]', b'7', b'\xff', b''])
     def test_bad_json(self, fleet: Fleet, body: bytes) -> None:
-        """A body that is no JSON object is refused."""
-        found = _post(fleet, body)
-        assert found.status in {400, 411}
-        assert found.tree['verdict'] == 'not_run'
+        """A body that is not a JSON object is refused."""
+        response = _post(fleet, body)
+        assert response.status in {400, 411}
+        assert response.content_tree['verdict'] == 'not_run'
 
     def test_unknown_front(self, fleet: Fleet) -> None:
-        """A front that is not configured is named; nothing ran."""
-        found = _query(fleet, front='no-such')
-        assert found.status == 404
-        assert found.tree['code'] == 'unknown_front'
-        assert found.tree['verdict'] == 'not_run'
-        assert found.tree['request_id'] == 'r1'
+        """A query of an unknown front is refused and not run."""
+        response = _query(fleet, front='no-such')
+        assert response.status == 404
+        assert response.content_tree['code'] == 'unknown_front'
+        assert response.content_tree['verdict'] == 'not_run'
+        assert response.content_tree['request_id'] == 'r1'
 
     def test_oversize_body(self, fleet: Fleet) -> None:
-        """A body above the limit is refused, and the next one is served."""
-        found = _post(fleet, b' ' * 100_000)
-        assert found.status == 413
+        """A body above the limit is refused; the next request succeeds."""
+        response = _post(fleet, b' ' * 100_000)
+        assert response.status == 413
         assert _query(fleet).status == 200
 
     def test_oversize_headers(self, fleet: Fleet) -> None:
@@ -264,14 +270,19 @@
     """Requests that must not run twice."""
 
     def test_runs_once(self, fleet: Fleet) -> None:
-        """Asked twice under one id and ticket, it has one outcome."""
-        body = _order(fleet)
+        """Two requests with one id and ticket have one outcome."""
+        body = _execute_body(fleet)
         first = _execute(fleet, body)
         assert first.status == 200
-        assert _execute(fleet, body).tree['outcome'] == first.tree['outcome']
+        assert (
+            _execute(fleet, body).content_tree['outcome']
+            == first.content_tree['outcome']
+        )
         template = '/v1/explain/{request_id}'
         path = template.format(request_id=body['request_id'])
-        assert _page(fleet, path, template).tree['outcome'] == 'executed'
+        assert (
+            _page(fleet, path, template).content_tree['outcome'] == 'executed'
+        )
 
     @pytest.mark.parametrize(
         'changes',
@@ -279,20 +290,20 @@
         ids=str,
     )
     def test_bad_member(self, fleet: Fleet, changes: dict[str, Any]) -> None:
-        """A wrong member is named; the id may have run before."""
-        found = _execute(fleet, _order(fleet, **changes))
-        assert found.status == 400
-        assert found.tree['verdict'] == 'may_have_run'
-        assert next(iter(changes)) in found.tree['detail']
+        """The detail contains the invalid member; the id may have run."""
+        response = _execute(fleet, _execute_body(fleet, **changes))
+        assert response.status == 400
+        assert response.content_tree['verdict'] == 'may_have_run'
+        assert next(iter(changes)) in response.content_tree['detail']
 
     def test_foreign_ticket(self, fleet: Fleet) -> None:
-        """A ticket that nobody issued is refused as documented."""
-        body = _order(fleet, ticket='made-up')
+        """A ticket that no daemon issued is refused."""
+        body = _execute_body(fleet, ticket='made-up')
         assert _execute(fleet, body).status == 409
 
 
-class TestOperatorFace:
-    """Pages for operators."""
+class TestOperatorApi:
+    """Pages of the operator API."""
 
     @pytest.mark.parametrize(
         'path',
@@ -304,50 +315,50 @@
         ],
     )
     def test_pages(self, fleet: Fleet, path: str) -> None:
-        """Each page is there and as documented."""
+        """Each page is served and matches the schema."""
         assert _page(fleet, path).status == 200
 
     def test_members(self, fleet: Fleet) -> None:
-        """The daemons come to know of each other; the list lags."""
+        """The members of the fleet are listed after a delay."""
         wait_until(
             lambda: _member_names(fleet) == ['vm-1', 'vm-2'],
-            _PATIENCE_S,
+            _TIMEOUT_S,
             'two members',
         )
 
     def test_fronts(self, fleet: Fleet) -> None:
-        """Each shard has a home, and that daemon sees its servers."""
+        """Each shard has a home daemon that lists the backend servers."""
         _query(fleet)
         operators = dict(zip(fleet.daemons, fleet.operators, strict=True))
         for at, shard in enumerate(_shards(fleet.operators[0])):
-            of_home = _shards(operators[shard['home']])[at]
-            server = of_home['servers'][0]
+            home_shard = _shards(operators[shard['home']])[at]
+            server = home_shard['servers'][0]
             assert (server['state'], server['snapshots']) == ('serving', [1])
 
     def test_explain(self, fleet: Fleet) -> None:
-        """A request is explained by the daemon that answered it."""
+        """The daemon that answered a request explains the request."""
         _query(fleet, request_id='r/2 %41')
         template = '/v1/explain/{request_id}'
-        found = _page(fleet, '/v1/explain/r%2F2%20%2541', template)
-        assert found.status == 200
-        assert found.tree['outcome'] == 'complete'
-        assert found.tree['slowest']['server'].startswith('raft-')
+        response = _page(fleet, '/v1/explain/r%2F2%20%2541', template)
+        assert response.status == 200
+        assert response.content_tree['outcome'] == 'complete'
+        assert response.content_tree['slowest']['server'].startswith('raft-')
         gone = _page(fleet, '/v1/explain/never', template)
         assert gone.status == 404
 
     def test_metrics(self, fleet: Fleet) -> None:
-        """Answers are counted under known names, others under `other`."""
+        """Unknown tenants and classes are counted under `other`."""
         _query(fleet, tenant='nobody')
         _query(fleet, front='no-such')
-        page = _page(fleet, '/metrics').tree
+        page = _page(fleet, '/metrics').content_tree
         start = 'fennelfork_answers_total{class="other",code="complete",'
         assert f'{start}front="raft-search",tenant="other"' in page
         assert 'no-such' not in page
 
     def test_metrics_page(self, fleet: Fleet) -> None:
-        """Each family of ours is explained on the operators' page."""
+        """Each metric family is documented on the operators' page."""
         text = metrics_page()
-        page = _page(fleet, _METRICS).tree
+        page = _page(fleet, _METRICS).content_tree
         families = {
             line.split()[2]
             for line in page.splitlines()
@@ -362,74 +373,80 @@
 
 
 class TestDroppedReplies:
-    """What servers answer wrongly, in the metrics of the homes."""
+    """Invalid responses of servers in the metrics of the home daemons."""
 
     @pytest.mark.parametrize(
         ('kind', 'reason'),
         [('truncate', 'incomplete'), ('double', 'incomplete')],
     )
     def test_is_counted(self, fleet: Fleet, kind: str, reason: str) -> None:
-        """A reply that lies is asked for again, and counted with its reason."""
+        """An invalid response is retried and counted with a reason."""
         order = {'rules': [{'kind': kind, 'limit': 1, 'call': 'search'}]}
         before = _dropped(fleet, reason)
         for server in fleet.backends.values():
             http.post(server.ready['address'], '/control/faults', order)
-        # Some servers may be ejected for what they did; then it is partial.
-        found = _query(fleet, coverage={'mode': 'partial'})
-        assert found.status == 200
+        # Ejected servers can make the answer partial.
+        response = _query(fleet, coverage={'mode': 'partial'})
+        assert response.status == 200
         assert _dropped(fleet, reason) > before
 
 
 class TestDrain:
-    """Sending callers elsewhere."""
+    """Draining of a daemon."""
 
     def test_is_as_documented(self) -> None:
-        """The daemon says how far it is, and is no longer ready."""
+        """The daemon returns the drain phase and is no longer ready."""
         spec = attrs.evolve(_spec(), daemons=daemon_specs(1))
         with rig() as own:
-            alone = start_fleet(own, spec)
+            single_daemon = start_fleet(own, spec)
             path = '/v1/drain'
-            asked = Asked(
-                address=alone.operators[0],
+            request = ApiRequest(
+                address=single_daemon.operators[0],
                 path=path,
                 template=path,
                 body=b'{}',
             )
-            assert ask(asked).tree['phase'] != 'ended'
+            assert send_checked(request).content_tree['phase'] != 'ended'
             wait_until(
-                lambda: _page(alone, '/readyz').status == 503,
-                _PATIENCE_S,
+                lambda: _page(single_daemon, '/readyz').status == 503,
+                _TIMEOUT_S,
                 'not ready',
             )
 
 
 class TestConfiguration:
-    """Patches and who runs them."""
+    """Patches and the versions that daemons use."""
 
     def test_patches(self, fleet: Fleet) -> None:
-        """Accepted, repeated, lost to a race, faulty: each as documented."""
+        """Accepted, repeated, conflicting and invalid patches match the schema."""
         first = _patch(fleet)
-        assert (first.status, first.tree['version']) == (200, 2)
+        assert (first.status, first.content_tree['version']) == (200, 2)
         again = _patch(fleet)
-        assert (again.tree['version'], again.tree['repeated']) == (2, True)
+        assert (
+            again.content_tree['version'],
+            again.content_tree['repeated'],
+        ) == (2, True)
         patch = {'tenants': {'salvare': {'weight': 3}}}
         lost = _patch(fleet, patch_id='p2', patch=patch)
-        assert (lost.status, lost.tree['version']) == (409, 2)
-        assert lost.tree['since'][0]['id'] == 'p1'
-        assert lost.tree['changes'][0]['after'] == 3
+        assert (lost.status, lost.content_tree['version']) == (409, 2)
+        assert lost.content_tree['since'][0]['id'] == 'p1'
+        assert lost.content_tree['changes'][0]['after'] == 3
         patch = {'tenants': {'salvare': {'weigth': 3}}}
         faulty = _patch(fleet, base=2, patch_id='p3', patch=patch)
         assert faulty.status == 400
-        assert faulty.tree['problems'][0]['path'] == 'tenants.salvare.weigth'
+        assert (
+            faulty.content_tree['problems'][0]['path']
+            == 'tenants.salvare.weigth'
+        )
 
     def test_status(self, fleet: Fleet) -> None:
-        """Every daemon is asked for its version."""
+        """The status contains the version of every daemon."""
         wait_until(
             lambda: _member_names(fleet) == ['vm-1', 'vm-2'],
-            _PATIENCE_S,
+            _TIMEOUT_S,
             'two members',
         )
-        status = _page(fleet, '/v1/config/status').tree
+        status = _page(fleet, '/v1/config/status').content_tree
         assert [daemon['name'] for daemon in status['daemons']] == [
             'vm-1',
             'vm-2',
