--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout.py
@@ -33,10 +33,10 @@
 
 def run(seed: int) -> Report:
     """Run each fan-out in both routing modes at an equal sub-query rate."""
-    results: dict[str, list[LoadResult]] = {mode: [] for mode in _MODES}
+    measurements: dict[str, list[LoadResult]] = {mode: [] for mode in _MODES}
     arms = []
     for fan_out in _FAN_OUTS:
-        for mode, measured in results.items():
+        for mode, measured in measurements.items():
             measured.append(_measure(fan_out, mode, seed))
             arms.append(_arm(f'{mode}@{fan_out}', measured[-1]))
     with rig() as own:
@@ -44,9 +44,13 @@
     return Report(
         experiment='fanout',
         seed=seed,
-        arms=(*arms, *itertools.starmap(_slope_arm, results.items()), *batches),
+        arms=(
+            *arms,
+            *itertools.starmap(_slope_arm, measurements.items()),
+            *batches,
+        ),
         failures=collect_violations(
-            itertools.chain.from_iterable(results.values())
+            itertools.chain.from_iterable(measurements.values())
         ),
     )
 
@@ -83,9 +87,9 @@
     )
 
 
-def _slope_arm(name: str, results: list[LoadResult]) -> Arm:
+def _slope_arm(name: str, measurements: list[LoadResult]) -> Arm:
     """Fit the processor time of a query as a linear function of the fan-out."""
-    costs = [_us_per_query(result) for result in results]
+    costs = [_us_per_query(measurement) for measurement in measurements]
     slope, intercept = np.polyfit(_FAN_OUTS, costs, 1)
     return Arm(
         name=f'{name} slope',
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_load.py
@@ -69,7 +69,7 @@
     _request_count: int = 0
 
     def run(self, phase: LoadPhase) -> OnceTally:
-        """Send the requests of a phase at fixed times, without waiting for answers."""
+        """Send the requests of a phase at a fixed rate (open loop)."""
         tally = OnceTally()
         pool = eventlet.GreenPool(phase.count)
         started_s = time.monotonic()
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_overload.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_overload.py
@@ -89,7 +89,7 @@
 def _dropped_events(pages: Iterable[dict[str, Any]]) -> Iterator[str]:
     for page in pages:
         if page['dropped']:
-            yield f'not checked: {page["name"]} dropped {page["dropped"]} events'
+            yield f'not checked: {page["name"]} dropped {page["dropped"]}'
 
 
 def _arms(measured: list[LoadResult]) -> tuple[Arm, ...]:
--- a/packages/fennelfork-bench/tests/bench_builders_once_chaos.py
+++ b/packages/fennelfork-bench/tests/bench_builders_once_chaos.py
@@ -9,7 +9,7 @@
 from bench_builders_once import Caller, set_faults
 
 from fennelfork import Verdict
-from fennelfork.caller_state import (
+from fennelfork.once import (
     AnswerLost,
     AnswerReceived,
     CallerEvent,
--- a/packages/fennelfork-bench/tests/bench_builders_openapi.py
+++ b/packages/fennelfork-bench/tests/bench_builders_openapi.py
@@ -18,7 +18,7 @@
     """Response that matches the OpenAPI document."""
 
     status: int
-    content_tree: Any
+    body: Any
     headers: Any
 
 
@@ -102,26 +102,24 @@
     content = _resolved(responses[str(response.status)])['content']
     kind = response.headers['Content-Type'].partition(';')[0]
     assert kind in content, kind
-    content_tree = (
-        response.json() if kind.endswith('json') else response.data.decode()
-    )
-    _validate(content_tree, content[kind]['schema'])
+    body = response.json() if kind.endswith('json') else response.data.decode()
+    _validate(body, content[kind]['schema'])
     return ApiResponse(
         status=response.status,
-        content_tree=content_tree,
+        body=body,
         headers=response.headers,
     )
 
 
-def _resolved(content_tree: dict[str, Any]) -> dict[str, Any]:
-    if '$ref' not in content_tree:
-        return content_tree
+def _resolved(node: dict[str, Any]) -> dict[str, Any]:
+    if '$ref' not in node:
+        return node
     found: Any = _SPEC
-    for name in content_tree['$ref'].removeprefix('#/').split('/'):
+    for name in node['$ref'].removeprefix('#/').split('/'):
         found = found[name]
     return found
 
 
-def _validate(content_tree: Any, schema: dict[str, Any]) -> None:
+def _validate(body: Any, schema: dict[str, Any]) -> None:
     whole = {'components': _SPEC['components'], **schema}
-    jsonschema.Draft202012Validator(whole).validate(content_tree)
+    jsonschema.Draft202012Validator(whole).validate(body)
--- a/packages/fennelfork-bench/tests/test_exp_parts.py
+++ b/packages/fennelfork-bench/tests/test_exp_parts.py
@@ -56,7 +56,7 @@
     """Metrics of the requests of a load."""
 
     def test_distinguishes_failed_and_wrong(self) -> None:
-        """A request without an answer is failed; an incorrect answer is wrong."""
+        """Missing answers count as failed, incorrect answers as wrong."""
         samples = [
             _sample(200, (), 0),
             _sample(200, ('wrong records',), 1),
--- a/packages/fennelfork-bench/tests/test_fuzz_operator.py
+++ b/packages/fennelfork-bench/tests/test_fuzz_operator.py
@@ -87,7 +87,7 @@
     @fuzz_settings
     @given(keys=st.sampled_from(_PATCHED_PATHS), changed=json_values)
     def test_values(self, daemon_target, keys, changed) -> None:
-        """An invalid value is refused; a valid one keeps the document readable."""
+        """Any patch value leaves a readable document."""
         patch = changed
         for name in reversed(keys):
             patch = {name: patch}
--- a/packages/fennelfork-bench/tests/test_once_process.py
+++ b/packages/fennelfork-bench/tests/test_once_process.py
@@ -222,7 +222,7 @@
             )
 
     def test_paused_after_the_send(self) -> None:
-        """A daemon that resumes after the ticket expired returns the outcome."""
+        """A daemon that resumes after ticket expiry returns the outcome."""
         caller = Caller()
         with rig() as own, ThreadPoolExecutor(1) as pool:
             fleet = start_once_fleet(own, once_spec(ttl_ms=_TTL_MS))
--- a/packages/fennelfork-bench/tests/test_openapi.py
+++ b/packages/fennelfork-bench/tests/test_openapi.py
@@ -93,7 +93,7 @@
 def _execute_body(fleet: Fleet, **changes: Any) -> dict[str, Any]:
     path = '/v1/entries'
     request = ApiRequest(address=fleet.callers[0], path=path, template=path)
-    entries = send_checked(request).content_tree
+    entries = send_checked(request).body
     return {
         'request_id': f'x@{entries["ticket_serial"]}',
         'deadline_ms': 10_000,
@@ -154,7 +154,7 @@
         page = send_checked(
             ApiRequest(address=address, path=_METRICS, template=_METRICS)
         )
-        _, _, rest = page.content_tree.partition(line)
+        _, _, rest = page.body.partition(line)
         total += float(rest.split('\n')[0] or 0)
     return total
 
@@ -164,13 +164,13 @@
     path = '/v1/fronts'
     page = send_checked(
         ApiRequest(address=operator, path=path, template=path)
-    ).content_tree
+    ).body
     shards: list[dict[str, Any]] = page['fronts'][0]['shards']
     return shards
 
 
 def _member_names(fleet: Fleet) -> list[str]:
-    members = _page(fleet, '/v1/members').content_tree['members']
+    members = _page(fleet, '/v1/members').body['members']
     return [member['name'] for member in members]
 
 
@@ -202,15 +202,15 @@
             path=f'{path}?data_centre=dc-1',
             template=path,
         )
-        entries = send_checked(request).content_tree['entries']
+        entries = send_checked(request).body['entries']
         assert {entry['address'] for entry in entries} <= set(fleet.callers)
 
     def test_whole_answer(self, fleet: Fleet) -> None:
         """A whole answer has every record and says so."""
         response = _query(fleet)
         assert response.status == 200
-        assert response.content_tree['coverage']['complete']
-        assert len(response.content_tree['records']) == _KEYS
+        assert response.body['coverage']['complete']
+        assert len(response.body['records']) == _KEYS
 
     @pytest.mark.parametrize(
         'changes',
@@ -237,23 +237,23 @@
         """The detail contains the invalid member; the query is not run."""
         response = _query(fleet, **changes)
         assert response.status == 400
-        assert response.content_tree['verdict'] == 'not_run'
-        assert next(iter(changes)) in response.content_tree['detail']
+        assert response.body['verdict'] == 'not_run'
+        assert next(iter(changes)) in response.body['detail']
 
     @pytest.mark.parametrize('body', [b'{', b'[]', b'7', b'\xff', b''])
     def test_bad_json(self, fleet: Fleet, body: bytes) -> None:
         """A body that is not a JSON object is refused."""
         response = _post(fleet, body)
         assert response.status in {400, 411}
-        assert response.content_tree['verdict'] == 'not_run'
+        assert response.body['verdict'] == 'not_run'
 
     def test_unknown_front(self, fleet: Fleet) -> None:
         """A query of an unknown front is refused and not run."""
         response = _query(fleet, front='no-such')
         assert response.status == 404
-        assert response.content_tree['code'] == 'unknown_front'
-        assert response.content_tree['verdict'] == 'not_run'
-        assert response.content_tree['request_id'] == 'r1'
+        assert response.body['code'] == 'unknown_front'
+        assert response.body['verdict'] == 'not_run'
+        assert response.body['request_id'] == 'r1'
 
     def test_oversize_body(self, fleet: Fleet) -> None:
         """A body above the limit is refused; the next request succeeds."""
@@ -274,15 +274,10 @@
         body = _execute_body(fleet)
         first = _execute(fleet, body)
         assert first.status == 200
-        assert (
-            _execute(fleet, body).content_tree['outcome']
-            == first.content_tree['outcome']
-        )
+        assert _execute(fleet, body).body['outcome'] == first.body['outcome']
         template = '/v1/explain/{request_id}'
         path = template.format(request_id=body['request_id'])
-        assert (
-            _page(fleet, path, template).content_tree['outcome'] == 'executed'
-        )
+        assert _page(fleet, path, template).body['outcome'] == 'executed'
 
     @pytest.mark.parametrize(
         'changes',
@@ -293,8 +288,8 @@
         """The detail contains the invalid member; the id may have run."""
         response = _execute(fleet, _execute_body(fleet, **changes))
         assert response.status == 400
-        assert response.content_tree['verdict'] == 'may_have_run'
-        assert next(iter(changes)) in response.content_tree['detail']
+        assert response.body['verdict'] == 'may_have_run'
+        assert next(iter(changes)) in response.body['detail']
 
     def test_foreign_ticket(self, fleet: Fleet) -> None:
         """A ticket that no daemon issued is refused."""
@@ -341,8 +336,8 @@
         template = '/v1/explain/{request_id}'
         response = _page(fleet, '/v1/explain/r%2F2%20%2541', template)
         assert response.status == 200
-        assert response.content_tree['outcome'] == 'complete'
-        assert response.content_tree['slowest']['server'].startswith('raft-')
+        assert response.body['outcome'] == 'complete'
+        assert response.body['slowest']['server'].startswith('raft-')
         gone = _page(fleet, '/v1/explain/never', template)
         assert gone.status == 404
 
@@ -350,7 +345,7 @@
         """Unknown tenants and classes are counted under `other`."""
         _query(fleet, tenant='nobody')
         _query(fleet, front='no-such')
-        page = _page(fleet, '/metrics').content_tree
+        page = _page(fleet, '/metrics').body
         start = 'fennelfork_answers_total{class="other",code="complete",'
         assert f'{start}front="raft-search",tenant="other"' in page
         assert 'no-such' not in page
@@ -358,7 +353,7 @@
     def test_metrics_page(self, fleet: Fleet) -> None:
         """Each metric family is documented on the operators' page."""
         text = metrics_page()
-        page = _page(fleet, _METRICS).content_tree
+        page = _page(fleet, _METRICS).body
         families = {
             line.split()[2]
             for line in page.splitlines()
@@ -406,7 +401,7 @@
                 template=path,
                 body=b'{}',
             )
-            assert send_checked(request).content_tree['phase'] != 'ended'
+            assert send_checked(request).body['phase'] != 'ended'
             wait_until(
                 lambda: _page(single_daemon, '/readyz').status == 503,
                 _TIMEOUT_S,
@@ -418,26 +413,23 @@
     """Patches and the versions that daemons use."""
 
     def test_patches(self, fleet: Fleet) -> None:
-        """Accepted, repeated, conflicting and invalid patches match the schema."""
+        """Accepted, repeated, refused and invalid patches are documented."""
         first = _patch(fleet)
-        assert (first.status, first.content_tree['version']) == (200, 2)
+        assert (first.status, first.body['version']) == (200, 2)
         again = _patch(fleet)
         assert (
-            again.content_tree['version'],
-            again.content_tree['repeated'],
+            again.body['version'],
+            again.body['repeated'],
         ) == (2, True)
         patch = {'tenants': {'salvare': {'weight': 3}}}
         lost = _patch(fleet, patch_id='p2', patch=patch)
-        assert (lost.status, lost.content_tree['version']) == (409, 2)
-        assert lost.content_tree['since'][0]['id'] == 'p1'
-        assert lost.content_tree['changes'][0]['after'] == 3
+        assert (lost.status, lost.body['version']) == (409, 2)
+        assert lost.body['since'][0]['id'] == 'p1'
+        assert lost.body['changes'][0]['after'] == 3
         patch = {'tenants': {'salvare': {'weigth': 3}}}
         faulty = _patch(fleet, base=2, patch_id='p3', patch=patch)
         assert faulty.status == 400
-        assert (
-            faulty.content_tree['problems'][0]['path']
-            == 'tenants.salvare.weigth'
-        )
+        assert faulty.body['problems'][0]['path'] == 'tenants.salvare.weigth'
 
     def test_status(self, fleet: Fleet) -> None:
         """The status contains the version of every daemon."""
@@ -446,7 +438,7 @@
             _TIMEOUT_S,
             'two members',
         )
-        status = _page(fleet, '/v1/config/status').content_tree
+        status = _page(fleet, '/v1/config/status').body
         assert [daemon['name'] for daemon in status['daemons']] == [
             'vm-1',
             'vm-2',
