--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_config.py
@@ -59,7 +59,7 @@
         elapsed_s = (_CLOCK.now_ms() - started_ms) / _MS_PER_S
         log = fleet.platform.log(started_ms)
     slowest_ms = [max(times) for times in times_by_patch]
-    each = list(itertools.chain.from_iterable(times_by_patch))
+    all_times_ms = list(itertools.chain.from_iterable(times_by_patch))
     return Arm(
         name=f'daemons_{size}',
         metrics={
@@ -67,7 +67,7 @@
             'patches': len(times_by_patch),
             'p50_ms': percentile(slowest_ms, _MEDIAN),
             'max_ms': max(slowest_ms),
-            'one_daemon_p50_ms': percentile(each, _MEDIAN),
+            'one_daemon_p50_ms': percentile(all_times_ms, _MEDIAN),
             'watches': log['watching'],
             'platform_calls_per_s': len(log['calls']) / elapsed_s,
         },
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_control.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_control.py
@@ -22,9 +22,8 @@
 from fennelfork_bench.rig._report import Arm, Report
 
 _CLOCK: Final = system_clock()
-_STARTUP_GOSSIP_S: Final = (
-    40  # membership updates of the start are sent for a while
-)
+# Membership updates of the start are sent for a while.
+_STARTUP_GOSSIP_S: Final = 40
 _WINDOW_S: Final = 60
 _PATCH_INTERVAL_S: Final = 2
 _MS_PER_S: Final = 1000
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_load.py
@@ -129,5 +129,5 @@
 
 def collect_violations(measured: Iterable[LoadResult]) -> tuple[str, ...]:
     """Return all violations of guarantees that callers detected."""
-    found = (one.tally.violations for one in measured)
-    return tuple(itertools.chain.from_iterable(found))
+    violations = (result.tally.violations for result in measured)
+    return tuple(itertools.chain.from_iterable(violations))
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_membership.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_membership.py
@@ -18,9 +18,8 @@
 from fennelfork_bench.rig._report import Arm, Report, percentile
 
 _CLOCK: Final = system_clock()
-_STARTUP_GOSSIP_S: Final = (
-    75  # membership updates of the start are sent for a while
-)
+# Membership updates of the start are sent for a while.
+_STARTUP_GOSSIP_S: Final = 75
 _SETTLE_S: Final = 10
 _IDLE_S: Final = 30
 _BUSY_S: Final = 20
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_patch_race.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_patch_race.py
@@ -90,9 +90,9 @@
 
 def _observe_versions(operators: list[str], log: RaceLog) -> None:
     highest: Counter[str] = Counter()
-    randomness = random.Random(_INITIAL_VERSION)
+    rng = random.Random(_INITIAL_VERSION)
     while not log.is_over:
-        operator = randomness.choice(operators)
+        operator = rng.choice(operators)
         current = version(operator)
         if 0 <= current < highest[operator]:
             log.reverted += 1
