--- a/packages/fennelfork-bench/tests/test_once_process.py
+++ b/packages/fennelfork-bench/tests/test_once_process.py
@@ -111,7 +111,7 @@
         assert retry.body['verdict'] == 'not_run', retry
         assert request['request_id'] not in assert_at_most_once(fleet, caller)
 
-    def test_draining_server_gets_no_requests(self, fleet: Fleet) -> None:
+    def test_draining_server_gets_one_attempt(self, fleet: Fleet) -> None:
         """A draining server with a wrong health state gets one attempt only."""
         caller = Caller()
         here, _ = fleet.callers
