--- a/packages/fennelfork-cli/src/fennelfork_cli/_caller_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_caller_commands.py
@@ -9,13 +9,13 @@
 
 from fennelfork import Verdict
 from fennelfork.once import bind_request_id
-from fennelfork_cli._call import CallFailure, Tree
-from fennelfork_cli._caller_call import ask, fetch_entries, request_body
-from fennelfork_cli._caller_texts import (
+from fennelfork_cli._caller_reports import (
     entries_report,
     execute_report,
     query_report,
 )
+from fennelfork_cli._caller_requests import ask, fetch_entries, request_body
+from fennelfork_cli._http import CallFailure, Tree
 from fennelfork_cli._options import CallerOptions
 from fennelfork_cli._page import show_result
 
--- a/packages/fennelfork-cli/src/fennelfork_cli/_caller_call.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_caller_requests.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Result
 
 from fennelfork import Verdict
-from fennelfork_cli._call import Call, CallFailure, Tree, send
+from fennelfork_cli._http import Call, CallFailure, Tree, send
 from fennelfork_cli._options import CallerOptions
 
 _MARGIN_MS: Final = 500
--- a/packages/fennelfork-cli/src/fennelfork_cli/_config_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_config_commands.py
@@ -10,12 +10,12 @@
 from cyclopts import App, Parameter, validators
 
 from fennelfork.config import merge_patch, tree_changes
-from fennelfork_cli._call import Tree
-from fennelfork_cli._config_texts import (
+from fennelfork_cli._config_reports import (
     changes_text,
     history_report,
     status_report,
 )
+from fennelfork_cli._http import Tree
 from fennelfork_cli._options import OperatorOptions
 from fennelfork_cli._page import show_page, show_result
 from fennelfork_cli._patch import PatchRequest
--- a/packages/fennelfork-cli/src/fennelfork_cli/_config_texts.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_config_reports.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable, Sequence
 from typing import Any, Final
 
-from fennelfork_cli._call import Tree
 from fennelfork_cli._exit_code import ExitCode
+from fennelfork_cli._http import Tree
 from fennelfork_cli._report import Report
 from fennelfork_cli._text_table import text_table
 
--- a/packages/fennelfork-cli/src/fennelfork_cli/_explain.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_explain.py
@@ -9,8 +9,8 @@
 from returns.result import Failure, Result, Success
 
 from fennelfork import Verdict
-from fennelfork_cli._call import CallFailure, Tree
-from fennelfork_cli._log_story import line_texts, read_lines, story
+from fennelfork_cli._http import CallFailure, Tree
+from fennelfork_cli._log_search import line_texts, read_lines, story
 from fennelfork_cli._options import OperatorOptions
 from fennelfork_cli._page import fetch, fetch_elsewhere, show_result
 from fennelfork_cli._report import Report
--- a/packages/fennelfork-cli/src/fennelfork_cli/_fleet_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_fleet_commands.py
@@ -4,8 +4,8 @@
 
 from cyclopts import App
 
-from fennelfork_cli._call import Call, Tree, send
-from fennelfork_cli._front_texts import front_list_report, front_report
+from fennelfork_cli._front_reports import front_list_report, front_report
+from fennelfork_cli._http import Call, Tree, send
 from fennelfork_cli._options import OperatorOptions
 from fennelfork_cli._page import show_page, show_result
 from fennelfork_cli._report import Report
--- a/packages/fennelfork-cli/src/fennelfork_cli/_front_texts.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_front_reports.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from fennelfork import FailureCode, Verdict
-from fennelfork_cli._call import CallFailure, Tree
+from fennelfork_cli._http import CallFailure, Tree
 from fennelfork_cli._report import Report, failure_report
 from fennelfork_cli._text_table import text_table
 
--- a/packages/fennelfork-cli/src/fennelfork_cli/_log_story.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_log_search.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from fennelfork_cli._call import Tree
+from fennelfork_cli._http import Tree
 
 # What a line says of itself; the rest is what decided it.
 _FRAME: Final = frozenset(('event', 'level', 'timestamp', 'daemon', 'request'))
--- a/packages/fennelfork-cli/src/fennelfork_cli/_page.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_page.py
@@ -9,7 +9,7 @@
 from returns.result import Failure, Result, Success
 
 from fennelfork import Verdict
-from fennelfork_cli._call import Call, CallFailure, Tree, send
+from fennelfork_cli._http import Call, CallFailure, Tree, send
 from fennelfork_cli._options import OperatorOptions
 from fennelfork_cli._report import Report, failure_report, show
 
--- a/packages/fennelfork-cli/src/fennelfork_cli/_patch.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_patch.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from fennelfork import FailureCode, Verdict
-from fennelfork_cli._call import Call, CallFailure, Tree, send
+from fennelfork_cli._http import Call, CallFailure, Tree, send
 
 _ATTEMPTS: Final = 4
 _PAUSE_S: Final = 0.5
--- a/packages/fennelfork-cli/src/fennelfork_cli/_patch_outcome.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_patch_outcome.py
@@ -3,9 +3,9 @@
 from returns.result import Failure, Result, Success
 
 from fennelfork import FailureCode, Verdict
-from fennelfork_cli._call import CallFailure
-from fennelfork_cli._config_texts import conflict_text
+from fennelfork_cli._config_reports import conflict_text
 from fennelfork_cli._exit_code import ExitCode
+from fennelfork_cli._http import CallFailure
 from fennelfork_cli._options import OperatorOptions
 from fennelfork_cli._patch import PatchRequest, send_patch
 from fennelfork_cli._report import Report
--- a/packages/fennelfork-cli/src/fennelfork_cli/_report.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_report.py
@@ -6,8 +6,8 @@
 
 import attrs
 
-from fennelfork_cli._call import CallFailure
 from fennelfork_cli._exit_code import ExitCode, exit_code_of
+from fennelfork_cli._http import CallFailure
 
 
 @attrs.frozen(kw_only=True)
--- a/packages/fennelfork-cli/tests/test_log_story.py
+++ b/packages/fennelfork-cli/tests/test_log_search.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fennelfork_cli._app import app
-from fennelfork_cli._log_story import line_texts, read_lines, story
+from fennelfork_cli._log_search import line_texts, read_lines, story
 
 
 def _line(at: str, event: str, **facts: Any) -> str:
