--- a/packages/fennelfork-cli/src/fennelfork_cli/__init__.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The fennelfork operator command."""
+"""Command line for the operators of fennelfork."""
--- a/packages/fennelfork-cli/src/fennelfork_cli/__main__.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/__main__.py
@@ -1,4 +1,4 @@
-"""The binary `fennelfork`."""
+"""Entry point of the command `fennelfork`."""
 
 import sys
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 def main() -> None:
-    """Run the command line and exit with its code."""
+    """Run the command line and exit with the code of the command."""
     sys.exit(run(sys.argv[1:]))
 
 
@@ -19,10 +19,10 @@
     """Run one command.
 
     Args:
-        tokens: the words after the command's name.
+        tokens: arguments of the command line.
 
     Returns:
-        The exit code; 2 for what the command line does not understand.
+        Exit code of the command; 2 for invalid arguments.
     """
     try:
         code = app(tokens, exit_on_error=False)
--- a/packages/fennelfork-cli/src/fennelfork_cli/_app.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_app.py
@@ -1,4 +1,4 @@
-"""The command line: which subcommands there are."""
+"""Definition of the command line and its subcommands."""
 
 import sys
 from importlib import metadata
@@ -13,9 +13,9 @@
 
 _HELP: Final = """Operate a fennelfork fleet.
 
-Exit codes: 0 done; 2 bad usage; 3 refused, certainly not run; 4 unknown
-whether it ran; 5 partial. FENNELFORK_OPERATOR and FENNELFORK_CALLER stand in
-for --operator and --caller.
+Exit codes: 0 done; 2 invalid usage; 3 refused, certainly not run; 4 unknown
+whether the request ran; 5 partial. The environment variables
+FENNELFORK_OPERATOR and FENNELFORK_CALLER replace --operator and --caller.
 
 Example: fennelfork config patch --base 7 hedge.toml
 """
@@ -44,7 +44,7 @@
     Example: fennelfork completion bash > ~/.bash_completion.d/fennelfork
 
     Args:
-        shell: which one.
+        shell: name of the shell.
     """
     sys.stdout.write(app.generate_completion(shell=shell))
     return 0
--- a/packages/fennelfork-cli/src/fennelfork_cli/_caller_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_caller_commands.py
@@ -1,4 +1,4 @@
-"""Commands that act as a caller does."""
+"""Commands that use the caller API."""
 
 from typing import Annotated, Final
 from urllib.parse import quote
@@ -14,25 +14,29 @@
     execute_report,
     query_report,
 )
-from fennelfork_cli._caller_requests import ask, fetch_entries, request_body
-from fennelfork_cli._http import CallFailure, Tree
+from fennelfork_cli._caller_requests import (
+    common_fields,
+    fetch_entries,
+    send_to_entries,
+)
+from fennelfork_cli._http import JsonObject, RequestFailure
 from fennelfork_cli._options import CallerOptions
-from fennelfork_cli._page import show_result
+from fennelfork_cli._page import print_outcome
 
-_HERE: Final = CallerOptions()
-_NO_TICKET: Final = CallFailure(
+_DEFAULT_OPTIONS: Final = CallerOptions()
+_NO_TICKET: Final = RequestFailure(
     verdict=Verdict.NOT_RUN,
-    detail='the daemon asked is leaving and gives no ticket; ask another',
+    detail='the daemon is draining and issues no ticket; use another daemon',
 )
 
 
-def entries(*, options: CallerOptions = _HERE) -> int:
-    """Show which addresses the system gives a caller.
+def entries(*, options: CallerOptions = _DEFAULT_OPTIONS) -> int:
+    """Show the entry addresses for callers.
 
     Example: fennelfork entries --caller 127.0.0.1:8080
     """
     outcome = fetch_entries(options).map(entries_report)
-    return show_result(outcome, options.json)
+    return print_outcome(outcome, options.json)
 
 
 def query(
@@ -42,28 +46,29 @@
     text: str | None = None,
     key: Annotated[tuple[int, ...], Parameter(negative='')] = (),
     floor: float | None = None,
-    options: CallerOptions = _HERE,
+    options: CallerOptions = _DEFAULT_OPTIONS,
 ) -> int:
-    """Ask a front as a caller does; exit 5 if the answer is partial.
+    """Send a query to a front; exit 5 if the answer is partial.
 
     Example: fennelfork query raft-search --text flare --deadline-ms 500
 
     Args:
-        front: which front to ask.
-        text: only records that contain it; without text or keys, all.
-        key: only the record of this key; may be repeated.
-        floor: take a partial answer of at least this share, such as 0.9;
-            without it the answer is whole or refused.
+        front: name of the front.
+        text: text that the records must contain; all records if neither text
+            nor key is given.
+        key: key of a record; may be repeated.
+        floor: minimum coverage of a partial answer, such as 0.9; only a
+            complete answer is accepted if not given.
     """
-    body = request_body(options) | {
-        'query': _query_tree(text, key),
-        'coverage': _coverage_tree(floor),
+    body = common_fields(options) | {
+        'query': _query_body(text, key),
+        'coverage': _coverage_body(floor),
     }
     path = f'/v1/fronts/{quote(front, safe="")}/query'
     outcome = fetch_entries(options).bind(
-        lambda found: ask(path, body, found),
+        lambda entries_page: send_to_entries(path, body, entries_page),
     )
-    return show_result(outcome.map(query_report), options.json)
+    return print_outcome(outcome.map(query_report), options.json)
 
 
 def execute(
@@ -73,81 +78,83 @@
     key: int,
     action: str,
     ticket: str | None = None,
-    options: CallerOptions = _HERE,
+    options: CallerOptions = _DEFAULT_OPTIONS,
 ) -> int:
     """Run a non-idempotent request, at most once.
 
-    Exit 3 says that it did not run. After exit 4, ask again with the printed
-    --request-id and --ticket: the same pair never runs twice. A first
-    --request-id is a name, to which the serial of the ticket is added.
+    Exit 3 means that the request did not run. After exit 4, retry with the
+    printed --request-id and --ticket: the same pair never runs twice. Without
+    --ticket, the serial number of a new ticket is appended to --request-id.
 
     Example: fennelfork execute certificate-registry --key 7 --action issue
 
     Args:
-        front: which front to ask.
-        key: the record that it concerns.
-        action: what to do.
-        ticket: of an earlier attempt; a new one if not given.
+        front: name of the front.
+        key: key of the record.
+        action: action to run.
+        ticket: ticket of an earlier attempt; a new ticket if not given.
     """
     path = f'/v1/fronts/{quote(front, safe="")}/execute'
-    body = request_body(options) | {'key': key, 'action': action}
+    body = common_fields(options) | {'key': key, 'action': action}
     outcome = fetch_entries(options).bind(
-        lambda found: _execute(path, body, ticket, found),
+        lambda entries_page: _execute(path, body, ticket, entries_page),
     )
-    return show_result(outcome.map(execute_report), options.json)
+    return print_outcome(outcome.map(execute_report), options.json)
 
 
 def _execute(
     path: str,
-    body: Tree,
+    body: JsonObject,
     ticket: str | None,
-    found: Tree,
-) -> Result[Tree, CallFailure]:
+    entries_page: JsonObject,
+) -> Result[JsonObject, RequestFailure]:
     if ticket is not None:
-        return _ask_once(path, body | {'ticket': ticket}, found)
-    issued = found.get('ticket')
+        return _send_execution(path, body | {'ticket': ticket}, entries_page)
+    issued = entries_page.get('ticket')
     if issued is None:
         return Failure(_NO_TICKET)
     request_id = bind_request_id(body['request_id'], issued)
     ticketed = body | {'ticket': issued, 'request_id': request_id}
-    # Only the daemon that issued the ticket runs requests under it.
-    issuer = {'address': found['ticket_address']}
-    return _ask_once(path, ticketed, {'entries': [issuer]})
+    # Only the daemon that issued a ticket runs requests with the ticket.
+    issuer = {'address': entries_page['ticket_address']}
+    return _send_execution(path, ticketed, {'entries': [issuer]})
 
 
-def _ask_once(
+def _send_execution(
     path: str,
-    body: Tree,
-    found: Tree,
-) -> Result[Tree, CallFailure]:
-    return ask(path, body, found).alt(
-        lambda failure: _with_way_back(failure, body),
+    body: JsonObject,
+    entries_page: JsonObject,
+) -> Result[JsonObject, RequestFailure]:
+    return send_to_entries(path, body, entries_page).alt(
+        lambda failure: _add_retry_hint(failure, body),
     )
 
 
-def _with_way_back(failure: CallFailure, body: Tree) -> CallFailure:
-    """Tell how to ask again when the outcome is unknown."""
+def _add_retry_hint(
+    failure: RequestFailure, body: JsonObject
+) -> RequestFailure:
+    """Add the options for a safe retry if the outcome is unknown."""
     if failure.verdict is Verdict.NOT_RUN:
         return failure
-    again = {name: body[name] for name in ('request_id', 'ticket')}
+    retry_fields = {name: body[name] for name in ('request_id', 'ticket')}
     return attrs.evolve(
         failure,
-        detail=f'{failure.detail}; to ask again without running it twice: '
-        f'--request-id {again["request_id"]} --ticket {again["ticket"]}',
-        problem=again | failure.problem,
+        detail=f'{failure.detail}; to retry without running it twice: '
+        f'--request-id {retry_fields["request_id"]} --ticket {retry_fields["ticket"]}',
+        problem=retry_fields | failure.problem,
     )
 
 
-def _query_tree(text: str | None, keys: tuple[int, ...]) -> Tree:
-    tree: Tree = {}
+def _query_body(text: str | None, keys: tuple[int, ...]) -> JsonObject:
+    payload: JsonObject = {}
     if text is not None:
-        tree['text'] = text
+        payload['text'] = text
     if keys:
-        tree['keys'] = list(keys)
-    return tree
+        payload['keys'] = list(keys)
+    return payload
 
 
-def _coverage_tree(floor: float | None) -> Tree:
+def _coverage_body(floor: float | None) -> JsonObject:
     if floor is None:
         return {'mode': 'whole'}
     return {'mode': 'partial', 'floor': floor}
--- a/packages/fennelfork-cli/src/fennelfork_cli/_caller_reports.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_caller_reports.py
@@ -1,73 +1,73 @@
-"""Layout of answers to callers for people."""
+"""Reports on the answers of the caller API."""
 
 import json
 from typing import Final
 
 from fennelfork_cli._exit_code import ExitCode
-from fennelfork_cli._http import Tree
+from fennelfork_cli._http import JsonObject
 from fennelfork_cli._report import Report
 from fennelfork_cli._text_table import text_table
 
-_ENTRIES: Final = ('address', 'daemon', 'data_centre')
-_MISSING: Final = ('lo', 'hi', 'reason')
-_SHOWN_RECORDS: Final = 20
+_ENTRY_COLUMNS: Final = ('address', 'daemon', 'data_centre')
+_MISSING_COLUMNS: Final = ('lo', 'hi', 'reason')
+_MAX_SHOWN_RECORDS: Final = 20
 
 
-def entries_report(tree: Tree) -> Report:
-    """Lay out the addresses that a caller should use."""
+def entries_report(payload: JsonObject) -> Report:
+    """Report the entry addresses for callers."""
     return Report(
-        tree=tree,
-        text=f'{text_table(_ENTRIES, tree["entries"])}\n'
-        f'to be kept for {tree["ttl_ms"]} ms, ticket {tree.get("ticket")}',
+        payload=payload,
+        text=f'{text_table(_ENTRY_COLUMNS, payload["entries"])}\n'
+        f'valid for {payload["ttl_ms"]} ms, ticket {payload.get("ticket")}',
     )
 
 
-def query_report(tree: Tree) -> Report:
-    """Lay out an answer; a partial one is said to be partial and exits 5."""
-    coverage = tree['coverage']
+def query_report(payload: JsonObject) -> Report:
+    """Report the answer to a query; a partial answer has exit code 5."""
+    coverage = payload['coverage']
     lines = [_coverage_line(coverage)]
     if coverage['missing']:
-        lines.append(text_table(_MISSING, coverage['missing']))
-    lines.extend(_record_lines(tree['records']))
-    lines.append(_work_line(tree))
+        lines.append(text_table(_MISSING_COLUMNS, coverage['missing']))
+    lines.extend(_record_lines(payload['records']))
+    lines.append(_work_line(payload))
     return Report(
-        tree=tree,
+        payload=payload,
         text='\n'.join(lines),
         code=ExitCode.DONE if coverage['complete'] else ExitCode.PARTIAL,
     )
 
 
-def execute_report(tree: Tree) -> Report:
-    """Lay out the outcome of a non-idempotent request."""
-    outcome = json.dumps(tree['outcome'])
+def execute_report(payload: JsonObject) -> Report:
+    """Report the outcome of a non-idempotent request."""
+    outcome = json.dumps(payload['outcome'])
     return Report(
-        tree=tree,
-        text=f'ran once: key {tree["key"]}, outcome {outcome}, '
-        f'{tree["took_ms"]} ms, request {tree["request_id"]}',
+        payload=payload,
+        text=f'executed once: key {payload["key"]}, outcome {outcome}, '
+        f'{payload["took_ms"]} ms, request {payload["request_id"]}',
     )
 
 
-def _coverage_line(coverage: Tree) -> str:
+def _coverage_line(coverage: JsonObject) -> str:
     if coverage['complete']:
         return 'complete'
-    return f'PARTIAL: {coverage["fraction"]:.2%} of the keys; missing:'
+    return f'PARTIAL: {coverage["fraction"]:.2%} of the keys; missing ranges:'
 
 
-def _record_lines(records: list[Tree]) -> list[str]:
-    lines = [json.dumps(record) for record in records[:_SHOWN_RECORDS]]
-    left = len(records) - len(lines)
-    if left:
-        lines.append(f'... and {left} more; --json prints all')
+def _record_lines(records: list[JsonObject]) -> list[str]:
+    lines = [json.dumps(record) for record in records[:_MAX_SHOWN_RECORDS]]
+    omitted_count = len(records) - len(lines)
+    if omitted_count:
+        lines.append(f'... {omitted_count} more records; --json prints all')
     return lines
 
 
-def _work_line(tree: Tree) -> str:
+def _work_line(payload: JsonObject) -> str:
     work = ', '.join(
         f'{count} {name.replace("_", "-")}'
-        for name, count in tree['work'].items()
+        for name, count in payload['work'].items()
     )
     return (
-        f'{len(tree["records"])} records, snapshot {tree["snapshot"]}, '
-        f'configuration {tree["config_version"]}, {tree["took_ms"]} ms, '
-        f'{work}, request {tree["request_id"]}'
+        f'{len(payload["records"])} records, snapshot {payload["snapshot"]}, '
+        f'configuration {payload["config_version"]}, {payload["took_ms"]} ms, '
+        f'{work}, request {payload["request_id"]}'
     )
--- a/packages/fennelfork-cli/src/fennelfork_cli/_caller_requests.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_caller_requests.py
@@ -1,4 +1,4 @@
-"""Requests as a caller makes them: ask for entries, then the first one."""
+"""Requests to the caller API: entry addresses first, then the request."""
 
 import uuid
 from typing import Final
@@ -6,17 +6,22 @@
 from returns.result import Failure, Result
 
 from fennelfork import Verdict
-from fennelfork_cli._http import Call, CallFailure, Tree, send
+from fennelfork_cli._http import (
+    ApiRequest,
+    JsonObject,
+    RequestFailure,
+    send_request,
+)
 from fennelfork_cli._options import CallerOptions
 
-_MARGIN_MS: Final = 500
-_UNREACHED: Final = 'unreachable'
+_TIMEOUT_MARGIN_MS: Final = 500
+_UNREACHABLE_CODE: Final = 'unreachable'
 
 
-def fetch_entries(options: CallerOptions) -> Result[Tree, CallFailure]:
-    """Ask which addresses of the system to use."""
-    return send(
-        Call(
+def fetch_entries(options: CallerOptions) -> Result[JsonObject, RequestFailure]:
+    """Fetch the entry addresses."""
+    return send_request(
+        ApiRequest(
             address=options.caller,
             path='/v1/entries',
             timeout_ms=options.deadline_ms,
@@ -24,8 +29,8 @@
     )
 
 
-def request_body(options: CallerOptions) -> Tree:
-    """Build what queries and executions have in common."""
+def common_fields(options: CallerOptions) -> JsonObject:
+    """Build the fields that queries and executions share."""
     return {
         'request_id': options.request_id or uuid.uuid4().hex,
         'deadline_ms': options.deadline_ms,
@@ -34,42 +39,44 @@
     }
 
 
-def ask(
+def send_to_entries(
     path: str,
-    body: Tree,
-    entries: Tree,
-) -> Result[Tree, CallFailure]:
-    """Send a request to the first entry address that can be reached.
+    body: JsonObject,
+    entries: JsonObject,
+) -> Result[JsonObject, RequestFailure]:
+    """Send a request to the first reachable entry address.
 
-    The next address is tried only while it is certain that nothing was sent.
+    The next address is tried only if the request was certainly not sent.
 
     Args:
-        path: of the caller face.
-        body: the request; its deadline bounds the wait.
-        entries: an answer of `/v1/entries`.
+        path: path of the caller API.
+        body: body of the request; its deadline limits the wait.
+        entries: answer of `/v1/entries`.
     """
-    outcome: Result[Tree, CallFailure] = Failure(
-        CallFailure(
+    outcome: Result[JsonObject, RequestFailure] = Failure(
+        RequestFailure(
             verdict=Verdict.NOT_RUN,
-            detail='the system gave no entry address',
+            detail='the daemon returned no entry addresses',
         ),
     )
     for entry in entries.get('entries', ()):
-        outcome = send(
-            Call(
+        outcome = send_request(
+            ApiRequest(
                 address=entry['address'],
                 path=path,
                 body=body,
-                timeout_ms=body['deadline_ms'] + _MARGIN_MS,
+                timeout_ms=body['deadline_ms'] + _TIMEOUT_MARGIN_MS,
             ),
         )
-        if not _never_sent(outcome):
+        if not _was_never_sent(outcome):
             return outcome
     return outcome
 
 
-def _never_sent(outcome: Result[Tree, CallFailure]) -> bool:
+def _was_never_sent(outcome: Result[JsonObject, RequestFailure]) -> bool:
     if not isinstance(outcome, Failure):
         return False
     failure = outcome.failure()
-    return failure.code == _UNREACHED and failure.verdict is Verdict.NOT_RUN
+    return (
+        failure.code == _UNREACHABLE_CODE and failure.verdict is Verdict.NOT_RUN
+    )
--- a/packages/fennelfork-cli/src/fennelfork_cli/_config_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_config_commands.py
@@ -1,4 +1,4 @@
-"""`fennelfork config`: the numbered configuration."""
+"""The command `fennelfork config`, which shows and changes configuration."""
 
 import getpass
 import json
@@ -11,16 +11,16 @@
 
 from fennelfork.config import merge_patch, tree_changes
 from fennelfork_cli._config_reports import (
-    changes_text,
+    format_changes,
     history_report,
     status_report,
 )
-from fennelfork_cli._http import Tree
+from fennelfork_cli._http import JsonObject
 from fennelfork_cli._options import OperatorOptions
-from fennelfork_cli._page import show_page, show_result
+from fennelfork_cli._page import print_outcome, print_page
 from fennelfork_cli._patch import PatchRequest
-from fennelfork_cli._patch_outcome import submit
-from fennelfork_cli._removals import with_removals
+from fennelfork_cli._patch_outcome import submit_patch
+from fennelfork_cli._removals import add_removals
 from fennelfork_cli._report import Report
 from fennelfork_cli._toml_file import read_toml
 
@@ -32,43 +32,45 @@
     tuple[str, ...],
     Parameter(name='--remove', negative=''),
 ]
-_HERE = OperatorOptions()
+_DEFAULT_OPTIONS = OperatorOptions()
 
 config_app = App(
     name='config',
-    help='Show and change the numbered configuration.',
+    help='Show and change the configuration.',
 )
 
 
 @config_app.command(name='show')
-def show_config(*, options: OperatorOptions = _HERE) -> int:
-    """Show the document in force on the daemon that is asked.
+def show_config(*, options: OperatorOptions = _DEFAULT_OPTIONS) -> int:
+    """Show the active configuration of a daemon.
 
     Example: fennelfork config show --operator 127.0.0.1:8081
     """
-    return show_page(
+    return print_page(
         '/v1/config',
         options,
-        lambda tree: Report(tree=tree, text=json.dumps(tree, indent=2)),
+        lambda payload: Report(
+            payload=payload, text=json.dumps(payload, indent=2)
+        ),
     )
 
 
 @config_app.command
-def history(*, options: OperatorOptions = _HERE) -> int:
-    """Show who changed what, newest first.
+def history(*, options: OperatorOptions = _DEFAULT_OPTIONS) -> int:
+    """Show the patches of the configuration, newest first.
 
     Example: fennelfork config history
     """
-    return show_page('/v1/config/history', options, history_report)
+    return print_page('/v1/config/history', options, history_report)
 
 
 @config_app.command
-def status(*, options: OperatorOptions = _HERE) -> int:
-    """Show which daemon runs which version; exit 5 if one is behind.
+def status(*, options: OperatorOptions = _DEFAULT_OPTIONS) -> int:
+    """Show the active version of each daemon; exit 5 if one is outdated.
 
     Example: fennelfork config status --json
     """
-    return show_page('/v1/config/status', options, status_report)
+    return print_page('/v1/config/status', options, status_report)
 
 
 @config_app.command
@@ -77,21 +79,21 @@
     /,
     *,
     remove: _Removals = (),
-    options: OperatorOptions = _HERE,
+    options: OperatorOptions = _DEFAULT_OPTIONS,
 ) -> int:
-    """Show what a patch would change now, and change nothing.
+    """Show the changes of a patch without applying the patch.
 
     Example: fennelfork config diff hedge.toml
 
     Args:
-        patch_file: the patch, a TOML file.
-        remove: a path to remove, such as fronts.old; may be repeated.
+        patch_file: TOML file with the patch.
+        remove: path to remove, such as fronts.old; may be repeated.
     """
-    patch = with_removals(read_toml(patch_file), remove)
-    return show_page(
+    patch = add_removals(read_toml(patch_file), remove)
+    return print_page(
         '/v1/config',
         options,
-        lambda tree: _diff_report(tree, patch),
+        lambda payload: _diff_report(payload, patch),
     )
 
 
@@ -104,38 +106,39 @@
     patch_id: str | None = None,
     author: str | None = None,
     remove: _Removals = (),
-    options: OperatorOptions = _HERE,
+    options: OperatorOptions = _DEFAULT_OPTIONS,
 ) -> int:
-    """Change the configuration against the version that you looked at.
+    """Apply a patch to the configuration.
 
-    A lost reply is asked for again under the same patch id, which is applied
-    once. Who loses a race sees the version in force and the difference.
+    If a reply is lost, the patch is retried with the same patch id, which is
+    applied at most once. If another patch was accepted since the base version,
+    the active version and the remaining changes are shown.
 
     Example: fennelfork config patch --base 7 hedge.toml
 
     Args:
-        patch_file: the patch, a TOML file; tables merge, values replace.
-        base: the version that the patch was written against.
-        patch_id: to ask again for a patch whose outcome stayed unknown.
-        author: stands in the history; your login name if not given.
-        remove: a path to remove, such as fronts.old; may be repeated.
+        patch_file: TOML file with the patch; tables merge, values replace.
+        base: configuration version that the patch is based on.
+        patch_id: id of an earlier patch whose outcome is unknown.
+        author: author in the history; your login name if not given.
+        remove: path to remove, such as fronts.old; may be repeated.
     """
     request = PatchRequest(
         base=base,
         patch_id=patch_id or uuid.uuid4().hex,
         author=author or getpass.getuser(),
-        patch=with_removals(read_toml(patch_file), remove),
+        patch=add_removals(read_toml(patch_file), remove),
     )
-    return show_result(submit(request, options), options.json)
+    return print_outcome(submit_patch(request, options), options.json)
 
 
-def _diff_report(tree: Tree, patch: Tree) -> Report:
+def _diff_report(payload: JsonObject, patch: JsonObject) -> Report:
     changes = [
         attrs.asdict(change)
-        for change in tree_changes(tree, merge_patch(tree, patch))
+        for change in tree_changes(payload, merge_patch(payload, patch))
     ]
-    version = tree['version']
+    version = payload['version']
     return Report(
-        tree={'version': version, 'changes': changes},
-        text=f'against version {version}:\n{changes_text(changes)}',
+        payload={'version': version, 'changes': changes},
+        text=f'changes against version {version}:\n{format_changes(changes)}',
     )
--- a/packages/fennelfork-cli/src/fennelfork_cli/_config_reports.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_config_reports.py
@@ -1,4 +1,4 @@
-"""Layout of configuration pages for people."""
+"""Reports on the configuration."""
 
 import datetime as dt
 import json
@@ -6,15 +6,15 @@
 from typing import Any, Final
 
 from fennelfork_cli._exit_code import ExitCode
-from fennelfork_cli._http import Tree
+from fennelfork_cli._http import JsonObject
 from fennelfork_cli._report import Report
 from fennelfork_cli._text_table import text_table
 
 _MS_PER_SECOND: Final = 1000
-_SHOWN_PATHS: Final = 3
-_HISTORY: Final = ('version', 'author', 'at', 'id', 'paths')
-_CHANGES: Final = ('path', 'in_force', 'patched')
-_STATUS: Final = (
+_MAX_SHOWN_PATHS: Final = 3
+_HISTORY_COLUMNS: Final = ('version', 'author', 'at', 'id', 'paths')
+_CHANGE_COLUMNS: Final = ('path', 'in_force', 'patched')
+_STATUS_COLUMNS: Final = (
     'name',
     'data_centre',
     'state',
@@ -26,87 +26,87 @@
 )
 
 
-def history_report(tree: Tree) -> Report:
-    """Lay out who changed what, newest first."""
-    rows = [_patch_row(patch) for patch in reversed(tree['patches'])]
+def history_report(payload: JsonObject) -> Report:
+    """Report the patches of the configuration, newest first."""
+    rows = [_history_row(patch) for patch in reversed(payload['patches'])]
     return Report(
-        tree=tree,
-        text=f'version in force {tree["version"]}\n{text_table(_HISTORY, rows)}',
+        payload=payload,
+        text=f'active version {payload["version"]}\n{text_table(_HISTORY_COLUMNS, rows)}',
     )
 
 
-def status_report(tree: Tree) -> Report:
-    """Lay out which daemon runs which version.
+def status_report(payload: JsonObject) -> Report:
+    """Report the active configuration version of each daemon.
 
-    A daemon that is behind or out of reach makes the report partial.
+    The report is partial if a daemon has another version or is unreachable.
     """
-    version = tree['version']
-    behind = [
+    version = payload['version']
+    outdated = [
         daemon['name']
-        for daemon in tree['daemons']
+        for daemon in payload['daemons']
         if daemon.get('config_version') != version
     ]
-    summary = f'version {version} is in force on every daemon listed'
-    if behind:
-        summary = f'version {version} is not known to be in force on: '
-        summary += ', '.join(behind)
+    summary = f'version {version} is active on every listed daemon'
+    if outdated:
+        summary = f'version {version} is not known to be active on: '
+        summary += ', '.join(outdated)
     return Report(
-        tree=tree,
-        text=f'{text_table(_STATUS, tree["daemons"])}\n{summary}',
-        code=ExitCode.PARTIAL if behind else ExitCode.DONE,
+        payload=payload,
+        text=f'{text_table(_STATUS_COLUMNS, payload["daemons"])}\n{summary}',
+        code=ExitCode.PARTIAL if outdated else ExitCode.DONE,
     )
 
 
-def changes_text(changes: Iterable[Tree]) -> str:
-    """Lay out what a patch changes, or say that it changes nothing.
+def format_changes(changes: Iterable[JsonObject]) -> str:
+    """Format the changes of a patch as a table.
 
     Args:
-        changes: each with `path`, `before` and `after`.
+        changes: changes, each with `path`, `before` and `after`.
     """
     rows = [
         {
             'path': change['path'],
-            'in_force': _value_text(change['before']),
-            'patched': _value_text(change['after']),
+            'in_force': _format_value(change['before']),
+            'patched': _format_value(change['after']),
         }
         for change in changes
     ]
     if not rows:
         return 'the patch changes nothing'
-    return text_table(_CHANGES, rows)
+    return text_table(_CHANGE_COLUMNS, rows)
 
 
-def conflict_text(problem: Tree) -> str:
-    """Say who won a race and what is left of one's own patch."""
-    rows = [_patch_row(patch) for patch in problem.get('since', ())]
+def format_conflict(problem: JsonObject) -> str:
+    """Format a version conflict and the remaining changes of the patch."""
+    rows = [_history_row(patch) for patch in problem.get('since', ())]
     return '\n'.join(
         (
-            f'conflict: version {problem.get("version")} is in force; '
+            f'conflict: version {problem.get("version")} is active; '
             'nothing was changed',
-            'accepted since your base:',
-            text_table(_HISTORY, rows),
-            'your patch against the version in force:',
-            changes_text(problem.get('changes', ())),
+            'patches accepted since the base version:',
+            text_table(_HISTORY_COLUMNS, rows),
+            'changes of your patch against the active version:',
+            format_changes(problem.get('changes', ())),
         ),
     )
 
 
-def _patch_row(patch: Tree) -> Tree:
+def _history_row(patch: JsonObject) -> JsonObject:
     at = dt.datetime.fromtimestamp(
         patch.get('at_ms', 0) / _MS_PER_SECOND,
         tz=dt.UTC,
     )
     return patch | {
         'at': at.strftime('%Y-%m-%d %H:%M:%S'),
-        'paths': _some_paths(patch.get('paths', ())),
+        'paths': _shorten_paths(patch.get('paths', ())),
     }
 
 
-def _some_paths(paths: Sequence[str]) -> list[str]:
-    left = len(paths) - _SHOWN_PATHS
-    shown = list(paths[:_SHOWN_PATHS])
-    return [*shown, f'and {left} more'] if left > 0 else shown
+def _shorten_paths(paths: Sequence[str]) -> list[str]:
+    omitted_count = len(paths) - _MAX_SHOWN_PATHS
+    shown = list(paths[:_MAX_SHOWN_PATHS])
+    return [*shown, f'and {omitted_count} more'] if omitted_count > 0 else shown
 
 
-def _value_text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     return '-' if value is None else json.dumps(value)
--- a/packages/fennelfork-cli/src/fennelfork_cli/_exit_code.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_exit_code.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command, the same for each subcommand."""
+"""Exit codes that all subcommands share."""
 
 import enum
 
@@ -7,7 +7,7 @@
 
 @enum.unique
 class ExitCode(enum.IntEnum):
-    """What a script may conclude from the end of a command."""
+    """Exit code of a command."""
 
     DONE = 0
     BAD_USAGE = 2
@@ -16,11 +16,11 @@
     PARTIAL = 5
 
 
-def exit_code_of(verdict: Verdict) -> ExitCode:
-    """Give the exit code of a failure.
+def exit_code_for(verdict: Verdict) -> ExitCode:
+    """Return the exit code of a failure.
 
-    Only what certainly did not run is `REFUSED`. A request that ran and whose
-    outcome was lost counts as `UNKNOWN`: a script must not repeat it.
+    `REFUSED` means that the request certainly did not run. A request that ran
+    and whose outcome was lost is `UNKNOWN`: a script must not repeat it.
     """
     if verdict is Verdict.NOT_RUN:
         return ExitCode.REFUSED
--- a/packages/fennelfork-cli/src/fennelfork_cli/_explain.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_explain.py
@@ -1,4 +1,4 @@
-"""`fennelfork explain`: what a daemon did for one request."""
+"""The command `fennelfork explain`, which shows the events of a request."""
 
 import json
 import pathlib
@@ -9,17 +9,25 @@
 from returns.result import Failure, Result, Success
 
 from fennelfork import Verdict
-from fennelfork_cli._http import CallFailure, Tree
-from fennelfork_cli._log_search import line_texts, read_lines, story
+from fennelfork_cli._http import JsonObject, RequestFailure
+from fennelfork_cli._log_search import (
+    format_line,
+    lines_for_request,
+    read_lines,
+)
 from fennelfork_cli._options import OperatorOptions
-from fennelfork_cli._page import fetch, fetch_elsewhere, show_result
+from fennelfork_cli._page import (
+    fetch_page,
+    fetch_page_from_members,
+    print_outcome,
+)
 from fennelfork_cli._report import Report
 from fennelfork_cli._text_table import text_table
 
-_HERE: Final = OperatorOptions()
-_NO_EVENTS: Final = 'nothing unusual was noted'
-_EVENTS: Final = ('at_ms', 'event', 'details')
-_COLUMNS_SHOWN: Final = frozenset(('at_ms', 'event'))
+_DEFAULT_OPTIONS: Final = OperatorOptions()
+_NO_EVENTS: Final = 'no unusual events were recorded'
+_EVENT_COLUMNS: Final = ('at_ms', 'event', 'details')
+_SEPARATE_COLUMNS: Final = frozenset(('at_ms', 'event'))
 
 
 def explain(
@@ -27,72 +35,74 @@
     /,
     *,
     log: Sequence[pathlib.Path] = (),
-    options: OperatorOptions = _HERE,
+    options: OperatorOptions = _DEFAULT_OPTIONS,
 ) -> int:
-    """Show what was done for one of the latest requests.
+    """Show the events of a recent request.
 
-    If the daemon that is asked did not answer it, all others are asked. With
-    logs no daemon is asked: the lines on the request, and on the servers that
-    it was sent to, are told in the order of time.
+    If the given daemon does not know the request, all other daemons are asked.
+    With --log, no daemon is asked: the log lines about the request and its
+    backend servers are printed in order of time.
 
     Example: fennelfork explain 6f1c2a --operator 127.0.0.1:8081
 
     Example: fennelfork explain 6f1c2a --log vm-1.log --log vm-2.log
 
     Args:
-        request_id: as in the answer or the refusal.
-        log: captured logs of daemons.
+        request_id: request id of the answer or the error.
+        log: log file of a daemon; may be repeated.
     """
     if log:
-        return show_result(_from_logs(request_id, log), options.json)
+        return print_outcome(_explain_from_logs(request_id, log), options.json)
     path = f'/v1/explain/{quote(request_id, safe="")}'
-    outcome = fetch(path, options)
+    outcome = fetch_page(path, options)
     if isinstance(outcome, Failure):
-        outcome = fetch_elsewhere(path, options).lash(lambda _: outcome)
-    return show_result(outcome.map(_explain_report), options.json)
+        outcome = fetch_page_from_members(path, options).lash(lambda _: outcome)
+    return print_outcome(outcome.map(_explain_report), options.json)
 
 
-def _from_logs(
+def _explain_from_logs(
     request_id: str,
     paths: Sequence[pathlib.Path],
-) -> Result[Report, CallFailure]:
+) -> Result[Report, RequestFailure]:
     try:
         texts = [path.read_text(errors='replace') for path in paths]
     except OSError as error:
-        return Failure(_unread(f'a log cannot be read: {error}'))
+        return Failure(_log_failure(f'cannot read a log file: {error}'))
     lines = read_lines(line for text in texts for line in text.splitlines())
-    told = story(lines, request_id)
-    if not any(line.request == request_id for line in told):
-        detail = f'no line of these logs names {request_id}'
-        return Failure(_unread(detail))
+    selected = lines_for_request(lines, request_id)
+    if not any(line.request == request_id for line in selected):
+        detail = f'the logs hold no line about the request {request_id}'
+        return Failure(_log_failure(detail))
     return Success(
         Report(
-            tree={'events': [line.as_tree for line in told]},
-            text='\n'.join(text for line in told for text in line_texts(line)),
+            payload={'events': [line.as_json for line in selected]},
+            text='\n'.join(
+                text for line in selected for text in format_line(line)
+            ),
         ),
     )
 
 
-def _unread(detail: str) -> CallFailure:
-    return CallFailure(verdict=Verdict.NOT_RUN, detail=detail)
+def _log_failure(detail: str) -> RequestFailure:
+    return RequestFailure(verdict=Verdict.NOT_RUN, detail=detail)
 
 
-def _explain_report(tree: Tree) -> Report:
-    rows = [_event_row(event) for event in tree.get('events', ())]
+def _explain_report(payload: JsonObject) -> Report:
+    rows = [_event_row(event) for event in payload.get('events', ())]
     facts = [
-        f'{name}: {_plain(found)}'
-        for name, found in tree.items()
+        f'{name}: {_format_value(found)}'
+        for name, found in payload.items()
         if name != 'events'
     ]
-    events = text_table(_EVENTS, rows) if rows else _NO_EVENTS
-    return Report(tree=tree, text='\n'.join((*facts, events)))
+    events = text_table(_EVENT_COLUMNS, rows) if rows else _NO_EVENTS
+    return Report(payload=payload, text='\n'.join((*facts, events)))
 
 
-def _event_row(event: Tree) -> Tree:
+def _event_row(event: JsonObject) -> JsonObject:
     details = [
-        f'{name}={_plain(found)}'
+        f'{name}={_format_value(found)}'
         for name, found in event.items()
-        if name not in _COLUMNS_SHOWN
+        if name not in _SEPARATE_COLUMNS
     ]
     return {
         'at_ms': event.get('at_ms'),
@@ -101,5 +111,5 @@
     }
 
 
-def _plain(found: object) -> str:
+def _format_value(found: object) -> str:
     return found if isinstance(found, str) else json.dumps(found)
--- a/packages/fennelfork-cli/src/fennelfork_cli/_fleet_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_fleet_commands.py
@@ -1,18 +1,18 @@
-"""Commands on fronts, members and single daemons."""
+"""Commands for fronts, members and draining."""
 
 from typing import Final
 
 from cyclopts import App
 
 from fennelfork_cli._front_reports import front_list_report, front_report
-from fennelfork_cli._http import Call, Tree, send
+from fennelfork_cli._http import ApiRequest, JsonObject, send_request
 from fennelfork_cli._options import OperatorOptions
-from fennelfork_cli._page import show_page, show_result
+from fennelfork_cli._page import print_outcome, print_page
 from fennelfork_cli._report import Report
 from fennelfork_cli._text_table import text_table
 
-_HERE: Final = OperatorOptions()
-_MEMBERS: Final = (
+_DEFAULT_OPTIONS: Final = OperatorOptions()
+_MEMBER_COLUMNS: Final = (
     'name',
     'state',
     'region',
@@ -28,12 +28,12 @@
 
 
 @front_app.command(name='list')
-def list_fronts(*, options: OperatorOptions = _HERE) -> int:
-    """List the fronts with their shards and servers.
+def list_fronts(*, options: OperatorOptions = _DEFAULT_OPTIONS) -> int:
+    """List the fronts with the number of shards and backend servers.
 
     Example: fennelfork front list
     """
-    return show_page('/v1/fronts', options, front_list_report)
+    return print_page('/v1/fronts', options, front_list_report)
 
 
 @front_app.command(name='show')
@@ -41,52 +41,52 @@
     name: str,
     /,
     *,
-    options: OperatorOptions = _HERE,
+    options: OperatorOptions = _DEFAULT_OPTIONS,
 ) -> int:
-    """Show the shards of a front, their homes and backend servers.
+    """Show the shards, home daemons and backend servers of a front.
 
     Example: fennelfork front show raft-search
 
     Args:
-        name: of the front.
+        name: name of the front.
     """
-    return show_page(
+    return print_page(
         '/v1/fronts',
         options,
-        lambda tree: front_report(tree, name),
+        lambda payload: front_report(payload, name),
     )
 
 
-def members(*, options: OperatorOptions = _HERE) -> int:
-    """List the daemons that the one asked knows of.
+def members(*, options: OperatorOptions = _DEFAULT_OPTIONS) -> int:
+    """List the members that a daemon knows.
 
     Example: fennelfork members --operator 127.0.0.1:8081
     """
-    return show_page(
+    return print_page(
         '/v1/members',
         options,
-        lambda tree: Report(
-            tree=tree,
-            text=text_table(_MEMBERS, tree['members']),
+        lambda payload: Report(
+            payload=payload,
+            text=text_table(_MEMBER_COLUMNS, payload['members']),
         ),
     )
 
 
-def drain(*, options: OperatorOptions = _HERE) -> int:
-    """Send callers elsewhere; the daemon serves on until SIGTERM.
+def drain(*, options: OperatorOptions = _DEFAULT_OPTIONS) -> int:
+    """Drain a daemon: callers use other daemons; it runs until SIGTERM.
 
     Example: fennelfork drain --operator 127.0.0.1:8081
     """
-    call = Call(
+    call = ApiRequest(
         address=options.operator,
         path='/v1/drain',
         body={},
         timeout_ms=options.timeout_ms,
     )
-    return show_result(send(call).map(_drain_report), options.json)
+    return print_outcome(send_request(call).map(_drain_report), options.json)
 
 
-def _drain_report(tree: Tree) -> Report:
-    running = tree.get('running')
-    text = f'{tree.get("phase")}, {running} requests running'
-    return Report(tree=tree, text=text)
+def _drain_report(payload: JsonObject) -> Report:
+    running = payload.get('running')
+    text = f'{payload.get("phase")}, {running} requests running'
+    return Report(payload=payload, text=text)
--- a/packages/fennelfork-cli/src/fennelfork_cli/_front_reports.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_front_reports.py
@@ -1,15 +1,15 @@
-"""Layout of fronts for people."""
+"""Reports on fronts."""
 
 from typing import Final
 
 from fennelfork import FailureCode, Verdict
-from fennelfork_cli._http import CallFailure, Tree
+from fennelfork_cli._http import JsonObject, RequestFailure
 from fennelfork_cli._report import Report, failure_report
 from fennelfork_cli._text_table import text_table
 
 _NAME: Final = 'name'
-_LIST: Final = ('name', 'keys', 'hedge', 'shards', 'servers')
-_SERVERS: Final = (
+_FRONT_COLUMNS: Final = ('name', 'keys', 'hedge', 'shards', 'servers')
+_SERVER_COLUMNS: Final = (
     'shard',
     'home',
     'name',
@@ -22,8 +22,8 @@
 )
 
 
-def front_list_report(tree: Tree) -> Report:
-    """Lay out one line a front."""
+def front_list_report(payload: JsonObject) -> Report:
+    """Report all fronts, one row for each front."""
     rows = [
         {
             'name': front[_NAME],
@@ -32,38 +32,38 @@
             'shards': len(front['shards']),
             'servers': sum(len(shard['servers']) for shard in front['shards']),
         }
-        for front in tree['fronts']
+        for front in payload['fronts']
     ]
     return Report(
-        tree=tree,
-        text=f'{text_table(_LIST, rows)}\n'
-        f'configuration version {tree.get("config_version")}',
+        payload=payload,
+        text=f'{text_table(_FRONT_COLUMNS, rows)}\n'
+        f'configuration version {payload.get("config_version")}',
     )
 
 
-def front_report(tree: Tree, name: str) -> Report:
-    """Lay out one line a backend server of a front."""
-    fronts = {front[_NAME]: front for front in tree['fronts']}
+def front_report(payload: JsonObject, name: str) -> Report:
+    """Report one front, one row for each backend server."""
+    fronts = {front[_NAME]: front for front in payload['fronts']}
     front = fronts.get(name)
     if front is not None:
-        return Report(tree=front, text=_front_text(front))
+        return Report(payload=front, text=_format_front(front))
     known = ', '.join(fronts)
     return failure_report(
-        CallFailure(
+        RequestFailure(
             verdict=Verdict.NOT_RUN,
-            detail=f'no front {name}; there are: {known or "none"}',
+            detail=f'unknown front {name!r}; known fronts: {known or "none"}',
             problem={'code': FailureCode.UNKNOWN_FRONT.value},
         ),
     )
 
 
-def _front_text(front: Tree) -> str:
+def _format_front(front: JsonObject) -> str:
     rows = [
         {'shard': shard[_NAME], 'home': shard.get('home')} | server
         for shard in front['shards']
         for server in shard['servers']
     ]
-    table = text_table(_SERVERS, rows)
+    table = text_table(_SERVER_COLUMNS, rows)
     return (
         f'{front[_NAME]}, keys 0 to {front.get("keys")}, '
         f'hedge {front.get("hedge")}\n{table}'
--- a/packages/fennelfork-cli/src/fennelfork_cli/_http.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_http.py
@@ -1,4 +1,4 @@
-"""Calls of a daemon's HTTP faces."""
+"""HTTP client of the operator API and the caller API of a daemon."""
 
 import json
 from typing import Any, Final
@@ -10,121 +10,130 @@
 from fennelfork import Verdict
 
 _MS_PER_SECOND: Final = 1000
-_ERRORS_FROM: Final = 400
-_UNREACHED: Final = (
+_MIN_ERROR_STATUS: Final = 400
+_CONNECT_ERRORS: Final = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
     urllib3.exceptions.LocationValueError,
 )
 
-Tree = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 @attrs.frozen(kw_only=True)
-class CallFailure:
-    """A call that gave no answer of success.
+class RequestFailure:
+    """Failure of an API request.
 
     Attributes:
-        verdict: whether the daemon or a backend server may have acted on it.
-        detail: one sentence for a person.
-        problem: the problem document, if the daemon answered with one.
+        verdict: whether the request may have run.
+        detail: description of the failure, one sentence.
+        problem: problem document that the daemon returned; empty if the
+            daemon returned none.
     """
 
     verdict: Verdict
     detail: str
-    problem: Tree = attrs.field(factory=dict)
+    problem: JsonObject = attrs.field(factory=dict)
 
     @property
     def code(self) -> str:
-        """The failure code that the daemon gave, or `unreachable`."""
+        """Failure code of the problem document, or `unreachable`."""
         return str(self.problem.get('code', 'unreachable'))
 
 
 @attrs.frozen(kw_only=True)
-class Call:
-    """One HTTP call.
+class ApiRequest:
+    """HTTP request to the operator API or the caller API of a daemon.
 
     Attributes:
-        address: `ip:port` of the face.
+        address: `ip:port` of the API.
         path: path and query string.
-        body: what to POST; a GET without it.
-        timeout_ms: for the whole call.
+        body: JSON body of a POST request; the method is GET without a body.
+        timeout_ms: timeout of the whole request.
     """
 
     address: str
     path: str
-    body: Tree | None = None
+    body: JsonObject | None = None
     timeout_ms: int
 
 
-def send(call: Call) -> Result[Tree, CallFailure]:
-    """Make a call once, without retries.
+def send_request(request: ApiRequest) -> Result[JsonObject, RequestFailure]:
+    """Send a request once, without retries.
 
     Returns:
-        The JSON object of a success, or what is known of the failure.
+        JSON object of a successful response, or the failure.
     """
-    seconds = call.timeout_ms / _MS_PER_SECOND
+    seconds = request.timeout_ms / _MS_PER_SECOND
     try:
         response = urllib3.request(
-            'GET' if call.body is None else 'POST',
-            f'http://{call.address}{call.path}',
-            body=None if call.body is None else json.dumps(call.body),
+            'GET' if request.body is None else 'POST',
+            f'http://{request.address}{request.path}',
+            body=None if request.body is None else json.dumps(request.body),
             headers={'Content-Type': 'application/json'},
             timeout=urllib3.Timeout(total=seconds),
             retries=False,
             redirect=False,
         )
     except urllib3.exceptions.HTTPError as err:
-        return Failure(_lost(call, err))
-    return _read(call, response)
+        return Failure(_transport_failure(request, err))
+    return _parse_response(request, response)
 
 
-def _lost(call: Call, err: urllib3.exceptions.HTTPError) -> CallFailure:
+def _transport_failure(
+    request: ApiRequest, err: urllib3.exceptions.HTTPError
+) -> RequestFailure:
     verdict = Verdict.MAY_HAVE_RUN
-    if isinstance(err, _UNREACHED) or call.body is None:
+    if isinstance(err, _CONNECT_ERRORS) or request.body is None:
         verdict = Verdict.NOT_RUN
-    return CallFailure(
+    return RequestFailure(
         verdict=verdict,
-        detail=f'{call.address} gave no answer: {_reason(err)}',
+        detail=f'no response from {request.address}: {_describe_error(err)}',
     )
 
 
-def _reason(err: urllib3.exceptions.HTTPError) -> str:
-    if isinstance(err, _UNREACHED):
+def _describe_error(err: urllib3.exceptions.HTTPError) -> str:
+    if isinstance(err, _CONNECT_ERRORS):
         return 'cannot connect'
     if isinstance(err, urllib3.exceptions.TimeoutError):
         return 'timed out'
     return 'the connection was lost'
 
 
-def _read(
-    call: Call,
+def _parse_response(
+    request: ApiRequest,
     response: urllib3.BaseHTTPResponse,
-) -> Result[Tree, CallFailure]:
+) -> Result[JsonObject, RequestFailure]:
     try:
-        tree = json.loads(response.data)
+        payload = json.loads(response.data)
     except ValueError:
-        tree = None
-    if not isinstance(tree, dict):
+        payload = None
+    if not isinstance(payload, dict):
         return Failure(
-            CallFailure(
-                verdict=_unread_verdict(call),
-                detail=f'{call.address} answered {response.status} '
-                'with something that is no JSON object',
+            RequestFailure(
+                verdict=_default_verdict(request),
+                detail=f'the body of the response {response.status} '
+                f'from {request.address} is not a JSON object',
             ),
         )
-    if response.status < _ERRORS_FROM:
-        return Success(tree)
-    return Failure(_refused(call, response.status, tree))
+    if response.status < _MIN_ERROR_STATUS:
+        return Success(payload)
+    return Failure(_problem_failure(request, response.status, payload))
 
 
-def _refused(call: Call, status: int, tree: Tree) -> CallFailure:
+def _problem_failure(
+    request: ApiRequest, status: int, payload: JsonObject
+) -> RequestFailure:
     known = {verdict.value for verdict in Verdict}
-    stated = tree.get('verdict')
-    verdict = Verdict(stated) if stated in known else _unread_verdict(call)
-    detail = tree.get('detail') or f'{call.address} answered {status}'
-    return CallFailure(verdict=verdict, detail=str(detail), problem=tree)
+    reported = payload.get('verdict')
+    verdict = (
+        Verdict(reported) if reported in known else _default_verdict(request)
+    )
+    detail = (
+        payload.get('detail') or f'{request.address} returned status {status}'
+    )
+    return RequestFailure(verdict=verdict, detail=str(detail), problem=payload)
 
 
-def _unread_verdict(call: Call) -> Verdict:
-    return Verdict.NOT_RUN if call.body is None else Verdict.MAY_HAVE_RUN
+def _default_verdict(request: ApiRequest) -> Verdict:
+    return Verdict.NOT_RUN if request.body is None else Verdict.MAY_HAVE_RUN
--- a/packages/fennelfork-cli/src/fennelfork_cli/_log_search.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_log_search.py
@@ -1,4 +1,4 @@
-"""The story of one request, out of the logs of several daemons."""
+"""Search for the log lines of one request in the logs of several daemons."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -7,116 +7,132 @@
 
 import attrs
 
-from fennelfork_cli._http import Tree
+from fennelfork_cli._http import JsonObject
 
-# What a line says of itself; the rest is what decided it.
-_FRAME: Final = frozenset(('event', 'level', 'timestamp', 'daemon', 'request'))
-_STEPS: Final = 'steps'
-# The same for each try of one request.
-_CONTENT: Final = 'fingerprint'
-_ON_CONTENT: Final = frozenset(('server_ended', 'request_judged'))
-# What was known of a server longer ago has changed since.
-_BEFORE_S: Final = 10
+# Fields that every log line has; the other fields depend on the event.
+_COMMON_FIELDS: Final = frozenset(
+    ('event', 'level', 'timestamp', 'daemon', 'request')
+)
+_STEPS_FIELD: Final = 'steps'
+# Identifies requests with the same content.
+_FINGERPRINT_FIELD: Final = 'fingerprint'
+_FINGERPRINT_EVENTS: Final = frozenset(('server_ended', 'request_judged'))
+# Older lines about a backend server do not explain the request.
+_MAX_AGE_S: Final = 10
 
 
 @attrs.frozen(kw_only=True)
 class LogLine:
-    """One line of a daemon's log."""
+    """Line of the log of a daemon.
+
+    Attributes:
+        timestamp: time of the event, ISO 8601.
+        daemon: name of the daemon.
+        event: name of the event.
+        request: id of the request that the line is about.
+        facts: fields that are specific to the event.
+    """
 
     timestamp: str
     daemon: str
     event: str
     request: str | None
-    facts: Tree
+    facts: JsonObject
 
     @property
-    def as_tree(self) -> Tree:
-        """The line for machines."""
+    def as_json(self) -> JsonObject:
+        """Line as a JSON object."""
         return {**attrs.asdict(self, recurse=False)}
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Read the lines that are whole; others, cut or foreign, are passed over.
+    """Parse log lines; skip lines that hold no complete JSON event.
 
-    A line may have something before its JSON, such as the name of the VM that
-    a collector adds.
+    Text before the JSON object is ignored, such as the name of a VM that a
+    log collector adds.
     """
     for text in texts:
         start = text.find('{')
         if start >= 0:
-            yield from _read(text[start:])
+            yield from _parse_line(text[start:])
 
 
-def story(lines: Iterable[LogLine], request_id: str) -> list[LogLine]:
-    """Give the lines on a request, and what its daemon knew of the servers.
+def lines_for_request(
+    lines: Iterable[LogLine], request_id: str
+) -> list[LogLine]:
+    """Return the lines that explain a request, ordered by time.
 
-    Lines on the servers that it was sent to count if the same daemon wrote
-    them within ten seconds before the request ended; lines on servers that ended
-    under the same request, whoever wrote them and when.
+    Included are the lines of the request, the lines about its backend servers
+    that the same daemon logged within ten seconds before the request ended,
+    and, from every daemon, the lines about crashes and status changes of
+    requests with the same fingerprint.
     """
-    known = sorted(lines, key=lambda line: line.timestamp)
-    own = [line for line in known if line.request == request_id]
+    sorted_lines = sorted(lines, key=lambda line: line.timestamp)
+    own = [line for line in sorted_lines if line.request == request_id]
     return [
         line
-        for line in known
+        for line in sorted_lines
         if line in own
-        or any(_tells_of(line, one) for one in own)
-        or _tells_of_content(line, own)
+        or any(_concerns_server_of(line, one) for one in own)
+        or _shares_fingerprint(line, own)
     ]
 
 
-def line_texts(line: LogLine) -> list[str]:
-    """Lay out one line for people; steps go below it."""
+def format_line(line: LogLine) -> list[str]:
+    """Format a log line as text, followed by one line for each step."""
     facts = ' '.join(
-        f'{name}={_plain(found)}'
+        f'{name}={_format_value(found)}'
         for name, found in line.facts.items()
-        if name != _STEPS
+        if name != _STEPS_FIELD
     )
     head = f'{line.timestamp} {line.daemon} {line.event} {facts}'
     steps = [
         f'    {service}: {step}'
-        for service, done in line.facts.get(_STEPS, {}).items()
-        for step in done
+        for service, service_steps in line.facts.get(_STEPS_FIELD, {}).items()
+        for step in service_steps
     ]
     return [head, *steps]
 
 
-def _read(text: str) -> Iterator[LogLine]:
+def _parse_line(text: str) -> Iterator[LogLine]:
     try:
-        tree = json.loads(text)
+        payload = json.loads(text)
     except ValueError:
         return
-    if isinstance(tree, dict) and 'event' in tree:
+    if isinstance(payload, dict) and 'event' in payload:
         yield LogLine(
-            timestamp=str(tree.get('timestamp', '')),
-            daemon=str(tree.get('daemon', '')),
-            event=str(tree['event']),
-            request=tree.get('request'),
+            timestamp=str(payload.get('timestamp', '')),
+            daemon=str(payload.get('daemon', '')),
+            event=str(payload['event']),
+            request=payload.get('request'),
             facts={
                 name: found
-                for name, found in tree.items()
-                if name not in _FRAME
+                for name, found in payload.items()
+                if name not in _COMMON_FIELDS
             },
         )
 
 
-def _tells_of(line: LogLine, own: LogLine) -> bool:
-    """Tell whether a line is on a server that a request was sent to."""
+def _concerns_server_of(line: LogLine, own: LogLine) -> bool:
+    """Return whether a line is about a backend server of a request."""
     if line.daemon != own.daemon or line.timestamp > own.timestamp:
         return False
-    if line.facts.get('server') not in set(_servers(own)):
+    if line.facts.get('server') not in set(_server_names(own)):
         return False
-    return _age_s(line, own) <= _BEFORE_S
+    return _age_s(line, own) <= _MAX_AGE_S
 
 
-def _tells_of_content(line: LogLine, own: list[LogLine]) -> bool:
-    """Tell whether a line is on what a request that ends servers asks."""
-    asked = {one.facts.get(_CONTENT) for one in own} - {None}
-    return line.event in _ON_CONTENT and line.facts.get(_CONTENT) in asked
+def _shares_fingerprint(line: LogLine, own: list[LogLine]) -> bool:
+    """Return whether a line is about a request with the same fingerprint."""
+    fingerprints = {one.facts.get(_FINGERPRINT_FIELD) for one in own} - {None}
+    return (
+        line.event in _FINGERPRINT_EVENTS
+        and line.facts.get(_FINGERPRINT_FIELD) in fingerprints
+    )
 
 
 def _age_s(line: LogLine, own: LogLine) -> float:
-    """Give how long before another line one was written."""
+    """Return the time between two lines, 0 if a timestamp is malformed."""
     try:
         begin, end = map(
             datetime.fromisoformat, (line.timestamp, own.timestamp)
@@ -126,11 +142,11 @@
     return (end - begin).total_seconds()
 
 
-def _servers(line: LogLine) -> Iterator[str]:
-    for done in line.facts.get(_STEPS, {}).values():
-        for step in done:
+def _server_names(line: LogLine) -> Iterator[str]:
+    for service_steps in line.facts.get(_STEPS_FIELD, {}).values():
+        for step in service_steps:
             yield step.partition(' ')[0]
 
 
-def _plain(found: object) -> str:
+def _format_value(found: object) -> str:
     return found if isinstance(found, str) else json.dumps(found)
--- a/packages/fennelfork-cli/src/fennelfork_cli/_options.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_options.py
@@ -1,4 +1,4 @@
-"""Options that many commands share."""
+"""Options that several commands share."""
 
 from typing import Annotated, Final
 
@@ -11,12 +11,12 @@
 @Parameter(name='*')
 @attrs.frozen(kw_only=True)
 class OperatorOptions:
-    """How to reach a daemon and how to print.
+    """Options of commands that use the operator API.
 
     Attributes:
         operator: operator address of any daemon, ip:port.
         json: print JSON instead of tables.
-        timeout_ms: for each call.
+        timeout_ms: timeout of each request in milliseconds.
     """
 
     operator: Annotated[
@@ -30,15 +30,15 @@
 @Parameter(name='*')
 @attrs.frozen(kw_only=True)
 class CallerOptions:
-    """How to reach the caller face and what to ask under.
+    """Options of commands that use the caller API.
 
     Attributes:
         caller: caller address of any daemon, ip:port.
         json: print JSON instead of tables.
-        deadline_ms: when the answer is worth nothing any more.
-        tenant: whom the request is for.
-        traffic_class: its class of traffic.
-        request_id: a new one if not given.
+        deadline_ms: deadline of the request in milliseconds.
+        tenant: tenant of the request.
+        traffic_class: traffic class of the request.
+        request_id: id of the request; a random id if not given.
     """
 
     caller: Annotated[
--- a/packages/fennelfork-cli/src/fennelfork_cli/_page.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_page.py
@@ -1,4 +1,4 @@
-"""Pages of the operator face, read and printed."""
+"""Reading and printing of pages of the operator API."""
 
 import functools
 from collections.abc import Callable
@@ -9,21 +9,28 @@
 from returns.result import Failure, Result, Success
 
 from fennelfork import Verdict
-from fennelfork_cli._http import Call, CallFailure, Tree, send
+from fennelfork_cli._http import (
+    ApiRequest,
+    JsonObject,
+    RequestFailure,
+    send_request,
+)
 from fennelfork_cli._options import OperatorOptions
-from fennelfork_cli._report import Report, failure_report, show
+from fennelfork_cli._report import Report, failure_report, print_report
 
-_CALLS_AT_ONCE: Final = 16
-_NOWHERE: Final = CallFailure(
+_MAX_PARALLEL_REQUESTS: Final = 16
+_NOT_FOUND: Final = RequestFailure(
     verdict=Verdict.NOT_RUN,
-    detail='no daemon that could be reached has it',
+    detail='no reachable daemon has the page',
 )
 
 
-def fetch(path: str, options: OperatorOptions) -> Result[Tree, CallFailure]:
-    """Read a page of the operator face."""
-    return send(
-        Call(
+def fetch_page(
+    path: str, options: OperatorOptions
+) -> Result[JsonObject, RequestFailure]:
+    """Read a page of the operator API."""
+    return send_request(
+        ApiRequest(
             address=options.operator,
             path=path,
             timeout_ms=options.timeout_ms,
@@ -31,53 +38,57 @@
     )
 
 
-def fetch_elsewhere(
+def fetch_page_from_members(
     path: str,
     options: OperatorOptions,
-) -> Result[Tree, CallFailure]:
-    """Read a page that only one daemon has, from whichever it is.
+) -> Result[JsonObject, RequestFailure]:
+    """Read a page from the first other member that has the page.
 
     Args:
-        path: of the operator face.
-        options: names the daemon that knows the others.
+        path: path of the operator API.
+        options: address of the daemon that lists the members.
 
     Returns:
-        The page of the first daemon that has it.
+        Page of the first member, in the order of the list, that has the page.
     """
-    members = fetch('/v1/members', options).value_or({'members': ()})
+    members = fetch_page('/v1/members', options).value_or({'members': ()})
     others = [
         attrs.evolve(options, operator=member['operator'])
         for member in members['members']
         if member['operator'] != options.operator
     ]
-    read = functools.partial(fetch, path)
-    with ThreadPoolExecutor(_CALLS_AT_ONCE) as pool:
+    read = functools.partial(fetch_page, path)
+    with ThreadPoolExecutor(_MAX_PARALLEL_REQUESTS) as pool:
         outcomes = pool.map(read, others)
     found = (each for each in outcomes if isinstance(each, Success))
-    return next(found, Failure(_NOWHERE))
+    return next(found, Failure(_NOT_FOUND))
 
 
-def show_page(
+def print_page(
     path: str,
     options: OperatorOptions,
-    report_of: Callable[[Tree], Report],
+    make_report: Callable[[JsonObject], Report],
 ) -> int:
-    """Read a page and print it.
+    """Read a page of the operator API and print a report.
 
     Args:
-        path: of the operator face.
-        options: where that is, and how to print.
-        report_of: lays out the page.
+        path: path of the operator API.
+        options: address of the daemon, timeout and output format.
+        make_report: function that builds the report from the page.
 
     Returns:
-        The exit code.
+        Exit code of the command.
     """
-    return show_result(fetch(path, options).map(report_of), options.json)
+    return print_outcome(
+        fetch_page(path, options).map(make_report), options.json
+    )
 
 
-def show_result(outcome: Result[Report, CallFailure], as_json: bool) -> int:
-    """Print a report, or the failure that stands in its place."""
+def print_outcome(
+    outcome: Result[Report, RequestFailure], as_json: bool
+) -> int:
+    """Print a report or a failure, and return the exit code."""
     report = outcome.lash(
         lambda failure: Success(failure_report(failure)),
     ).unwrap()
-    return show(report, as_json)
+    return print_report(report, as_json)
--- a/packages/fennelfork-cli/src/fennelfork_cli/_patch.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_patch.py
@@ -1,4 +1,4 @@
-"""Sending of a configuration patch until its outcome is known."""
+"""Submission of a configuration patch, with retries."""
 
 import time
 from typing import Any, Final
@@ -7,25 +7,30 @@
 from returns.result import Failure, Result, Success
 
 from fennelfork import FailureCode, Verdict
-from fennelfork_cli._http import Call, CallFailure, Tree, send
+from fennelfork_cli._http import (
+    ApiRequest,
+    JsonObject,
+    RequestFailure,
+    send_request,
+)
 
-_ATTEMPTS: Final = 4
-_PAUSE_S: Final = 0.5
-_SETTLED: Final = frozenset(
+_MAX_ATTEMPTS: Final = 4
+_RETRY_DELAY_S: Final = 0.5
+_FINAL_CODES: Final = frozenset(
     (FailureCode.CONFLICT.value, FailureCode.BAD_REQUEST.value),
 )
 
 
 @attrs.frozen(kw_only=True)
 class PatchRequest:
-    """One patch against a numbered version.
+    """Patch against one version of the configuration.
 
     Attributes:
-        base: the version that the author looked at.
-        patch_id: the same for each try of one patch, so that it is applied
-            once though a reply is lost.
-        author: who asks for it.
-        patch: a merge patch (RFC 7396).
+        base: configuration version that the patch is based on.
+        patch_id: id that all attempts of the patch share; the daemons apply
+            a patch id at most once.
+        author: name of the author.
+        patch: merge patch (RFC 7396).
     """
 
     base: int
@@ -38,27 +43,27 @@
     request: PatchRequest,
     address: str,
     timeout_ms: int,
-) -> Result[Tree, CallFailure]:
-    """Send a patch, and ask again under its id while the outcome is unknown.
+) -> Result[JsonObject, RequestFailure]:
+    """Send a patch; retry with the same patch id while the outcome is unknown.
 
     Returns:
-        The daemon's answer, or the failure with the verdict on all tries
-        together: not run only if that is certain of each.
+        Answer of the daemon, or the last failure with the joined verdict of
+        all attempts: not run only if no attempt ran.
     """
-    call = Call(
+    api_request = ApiRequest(
         address=address,
         path='/v1/config/patch',
         body=attrs.asdict(request),
         timeout_ms=timeout_ms,
     )
     verdict = Verdict.NOT_RUN
-    for attempt in range(_ATTEMPTS):
-        time.sleep(_PAUSE_S if attempt else 0)
-        outcome = send(call)
+    for attempt in range(_MAX_ATTEMPTS):
+        time.sleep(_RETRY_DELAY_S if attempt else 0)
+        outcome = send_request(api_request)
         if isinstance(outcome, Success):
             return outcome
         failure = outcome.failure()
-        if failure.code in _SETTLED:
+        if failure.code in _FINAL_CODES:
             return outcome
         verdict = failure.verdict.join(verdict)
         if verdict is Verdict.NOT_RUN:
--- a/packages/fennelfork-cli/src/fennelfork_cli/_patch_outcome.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_patch_outcome.py
@@ -1,56 +1,58 @@
-"""What became of a configuration patch, told to its author."""
+"""Reports on the outcome of a configuration patch."""
 
 from returns.result import Failure, Result, Success
 
 from fennelfork import FailureCode, Verdict
-from fennelfork_cli._config_reports import conflict_text
+from fennelfork_cli._config_reports import format_conflict
 from fennelfork_cli._exit_code import ExitCode
-from fennelfork_cli._http import CallFailure
+from fennelfork_cli._http import RequestFailure
 from fennelfork_cli._options import OperatorOptions
 from fennelfork_cli._patch import PatchRequest, send_patch
 from fennelfork_cli._report import Report
 
 
-def submit(
+def submit_patch(
     request: PatchRequest,
     options: OperatorOptions,
-) -> Result[Report, CallFailure]:
-    """Send a patch and say what became of it.
+) -> Result[Report, RequestFailure]:
+    """Send a patch and report the outcome.
 
     Returns:
-        A report of the version it made, of the race it lost or of how to
-        settle an unknown outcome; else the failure.
+        Report on the new version, the version conflict or the unknown
+        outcome; any other failure is returned as a failure.
     """
     outcome = send_patch(request, options.operator, options.timeout_ms)
     if isinstance(outcome, Success):
-        tree = outcome.unwrap()
-        version = tree['version']
+        payload = outcome.unwrap()
+        version = payload['version']
         text = f'version {version} accepted, patch {request.patch_id}'
-        return Success(Report(tree=tree, text=text))
+        return Success(Report(payload=payload, text=text))
     failure = outcome.failure()
     if failure.code == FailureCode.CONFLICT.value:
-        return Success(_lost_race(failure))
+        return Success(_conflict_report(failure))
     if failure.verdict is not Verdict.NOT_RUN:
-        return Success(_unknown(request, failure))
+        return Success(_unknown_outcome_report(request, failure))
     return Failure(failure)
 
 
-def _lost_race(failure: CallFailure) -> Report:
+def _conflict_report(failure: RequestFailure) -> Report:
     return Report(
-        tree=failure.problem,
-        text=conflict_text(failure.problem),
+        payload=failure.problem,
+        text=format_conflict(failure.problem),
         code=ExitCode.REFUSED,
     )
 
 
-def _unknown(request: PatchRequest, failure: CallFailure) -> Report:
+def _unknown_outcome_report(
+    request: PatchRequest, failure: RequestFailure
+) -> Report:
     lines = (
         f'unknown whether the patch was accepted: {failure.detail}',
-        'ask again under the same id; it is applied at most once:',
+        'retry with the same patch id, which is applied at most once:',
         f'  --base {request.base} --patch-id {request.patch_id}',
     )
     return Report(
-        tree=failure.problem
+        payload=failure.problem
         | {
             'code': failure.code,
             'verdict': failure.verdict.value,
--- a/packages/fennelfork-cli/src/fennelfork_cli/_removals.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_removals.py
@@ -1,21 +1,21 @@
-"""Removals in merge patches, which TOML itself cannot say."""
+"""Removals in merge patches; TOML has no null to express removals."""
 
 import copy
 from typing import Any
 
 
-def with_removals(
+def add_removals(
     patch: dict[str, Any],
     paths: tuple[str, ...],
 ) -> dict[str, Any]:
     """Add removals to a merge patch.
 
     Args:
-        patch: a merge patch, which is left as it is.
-        paths: what to remove, keys joined by dots.
+        patch: merge patch, which is not modified.
+        paths: paths to remove, keys joined by dots.
 
     Returns:
-        A patch that sets what `patch` sets and removes `paths`.
+        Copy of `patch` that also removes `paths`.
     """
     extended = copy.deepcopy(patch)
     for path in paths:
--- a/packages/fennelfork-cli/src/fennelfork_cli/_report.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_report.py
@@ -1,4 +1,4 @@
-"""What a command prints and how it ends."""
+"""Output and exit code of a command."""
 
 import json
 import sys
@@ -6,27 +6,27 @@
 
 import attrs
 
-from fennelfork_cli._exit_code import ExitCode, exit_code_of
-from fennelfork_cli._http import CallFailure
+from fennelfork_cli._exit_code import ExitCode, exit_code_for
+from fennelfork_cli._http import RequestFailure
 
 
 @attrs.frozen(kw_only=True)
 class Report:
-    """The outcome of one command.
+    """Output and exit code of a command.
 
     Attributes:
-        tree: what `--json` prints.
-        text: what a person reads.
-        code: how the command ends.
+        payload: JSON value that `--json` prints.
+        text: text that is printed without `--json`.
+        code: exit code of the command.
     """
 
-    tree: Any
+    payload: Any
     text: str
     code: ExitCode = ExitCode.DONE
 
 
-def failure_report(failure: CallFailure) -> Report:
-    """Report a call that failed, with its verdict."""
+def failure_report(failure: RequestFailure) -> Report:
+    """Report the failure of a request with its verdict."""
     lines = [f'{failure.code}: {failure.detail}']
     for problem in failure.problem.get('problems', ()):
         lines.append(
@@ -36,27 +36,27 @@
     lines.append(f'verdict: {failure.verdict.value}')
     wait_ms = failure.problem.get('retry_after_ms')
     if wait_ms is not None:
-        lines.append(f'ask again after {wait_ms} ms')
+        lines.append(f'retry after {wait_ms} ms')
     return Report(
-        tree=failure.problem
+        payload=failure.problem
         | {
             'code': failure.code,
             'detail': failure.detail,
             'verdict': failure.verdict.value,
         },
         text='\n'.join(lines),
-        code=exit_code_of(failure.verdict),
+        code=exit_code_for(failure.verdict),
     )
 
 
-def show(report: Report, as_json: bool) -> int:
-    """Print a report; failures in words go to standard error.
+def print_report(report: Report, as_json: bool) -> int:
+    """Print a report; the text of a failure goes to standard error.
 
     Returns:
-        The exit code.
+        Exit code of the command.
     """
     if as_json:
-        sys.stdout.write(f'{json.dumps(report.tree, indent=2)}\n')
+        sys.stdout.write(f'{json.dumps(report.payload, indent=2)}\n')
     elif report.code in {ExitCode.DONE, ExitCode.PARTIAL}:
         sys.stdout.write(f'{report.text}\n')
     else:
--- a/packages/fennelfork-cli/src/fennelfork_cli/_text_table.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_text_table.py
@@ -1,31 +1,33 @@
-"""Tables of text for people."""
+"""Formatting of text tables."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, Final
 
-_GAP: Final = '  '
-_ABSENT: Final = '-'
+_COLUMN_GAP: Final = '  '
+_MISSING_CELL: Final = '-'
 
 
 def text_table(
     columns: Sequence[str],
     rows: Iterable[Mapping[str, Any]],
 ) -> str:
-    """Lay out rows under a heading, numbers to the right.
+    """Format rows as a table with a heading and right-aligned numbers.
 
     Args:
-        columns: which keys of the rows to show, in order.
-        rows: what to show; a missing key is shown as `-`.
+        columns: keys of the columns, in order.
+        rows: rows of the table; a missing key is shown as `-`.
 
     Returns:
-        Lines without a newline at the end.
+        Table without a newline at the end.
     """
-    shown = [list(map(row.get, columns)) for row in rows]
+    raw_rows = [list(map(row.get, columns)) for row in rows]
     cells = [_heading(columns)]
-    cells.extend(list(map(_cell, row)) for row in shown)
-    right = [_all_numbers(column) for column in _columns(shown, columns)]
+    cells.extend(list(map(_format_cell, row)) for row in raw_rows)
+    right_aligned = [
+        _is_numeric(column) for column in _transpose(raw_rows, columns)
+    ]
     widths = _widths(cells)
-    return '\n'.join(_line(row, widths, right) for row in cells)
+    return '\n'.join(_format_row(row, widths, right_aligned) for row in cells)
 
 
 def _widths(cells: list[list[str]]) -> list[int]:
@@ -37,32 +39,36 @@
     return [column.replace('_', ' ') for column in columns]
 
 
-def _columns(
-    shown: list[list[Any]],
+def _transpose(
+    raw_rows: list[list[Any]],
     columns: Sequence[str],
 ) -> list[list[Any]]:
-    return [[row[at] for row in shown] for at in range(len(columns))]
+    return [[row[index] for row in raw_rows] for index in range(len(columns))]
 
 
-def _all_numbers(values: list[Any]) -> bool:
+def _is_numeric(values: list[Any]) -> bool:
     return bool(values) and all(
         isinstance(value, int | float) for value in values
     )
 
 
-def _line(row: list[str], widths: list[int], right: list[bool]) -> str:
+def _format_row(
+    row: list[str], widths: list[int], right_aligned: list[bool]
+) -> str:
     padded = [
-        cell.rjust(width) if to_right else cell.ljust(width)
-        for cell, width, to_right in zip(row, widths, right, strict=True)
+        cell.rjust(width) if is_right_aligned else cell.ljust(width)
+        for cell, width, is_right_aligned in zip(
+            row, widths, right_aligned, strict=True
+        )
     ]
-    return _GAP.join(padded).rstrip()
+    return _COLUMN_GAP.join(padded).rstrip()
 
 
-def _cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if value is None:
-        return _ABSENT
+        return _MISSING_CELL
     if isinstance(value, bool):
         return 'yes' if value else 'no'
     if isinstance(value, list | tuple):
-        return ', '.join(map(str, value)) or _ABSENT
+        return ', '.join(map(str, value)) or _MISSING_CELL
     return str(value)
--- a/packages/fennelfork-cli/src/fennelfork_cli/_toml_file.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_toml_file.py
@@ -1,4 +1,4 @@
-"""Reading of TOML files that a person wrote."""
+"""Reading of TOML files that a user passes."""
 
 import pathlib
 import tomllib
@@ -6,14 +6,14 @@
 
 
 class UsageError(Exception):
-    """What a person gave the command cannot be used."""
+    """An argument of the command is invalid."""
 
 
 def read_toml(path: pathlib.Path) -> dict[str, Any]:
     """Read a TOML file.
 
     Raises:
-        UsageError: if it cannot be read or is not TOML, with the place.
+        UsageError: if the file cannot be read or is not valid TOML.
     """
     try:
         return tomllib.loads(path.read_text(encoding='utf-8'))
--- a/packages/fennelfork-cli/tests/cli_builders.py
+++ b/packages/fennelfork-cli/tests/cli_builders.py
@@ -1,36 +1,44 @@
-"""A scripted daemon, and pages as daemons give them."""
+"""A scripted daemon and builders of the pages of a daemon."""
 
 import contextlib
 import json
 import threading
 from collections.abc import Iterator
 
-# Not `from http import server`: importing eventlet's green modules leaves a
-# green copy under that attribute, and its accept never wakes a real thread.
+# Not `from http import server`: eventlet replaces that attribute with a green
+# module, in which `accept` blocks a native thread for ever.
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 from typing import Any
 
 import attrs
 
-LOST = 'lost'
+CLOSE_CONNECTION = 'lost'
 
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """One scripted answer."""
+    """Scripted response.
 
-    tree: Any
+    Attributes:
+        payload: JSON body of the response.
+        status: HTTP status of the response.
+    """
+
+    payload: Any
     status: int = 200
 
 
 @attrs.define(kw_only=True)
 class ScriptedDaemon:
-    """Answers each path with its script, the last answer for ever.
+    """Daemon stand-in that returns scripted answers for each path.
+
+    The last answer of a path is repeated.
 
     Attributes:
-        script: answers by path; `LOST` closes the connection unanswered.
-        posted: path and body of each POST.
-        address: where it listens.
+        script: answers by path; `CLOSE_CONNECTION` closes the connection
+            without an answer.
+        posted: path and body of each POST request.
+        address: address that the stand-in listens on.
     """
 
     script: dict[str, list[Any]]
@@ -38,17 +46,17 @@
     address: str = ''
 
     def next_answer(self, path: str) -> Any:
-        """Give the answer to a request of `path`."""
+        """Return the next response for `path`."""
         answers = self.script.get(path, [problem(404, code='unknown_front')])
         return answers.pop(0) if len(answers) > 1 else answers[0]
 
 
 @contextlib.contextmanager
 def scripted_daemon(script: dict[str, list[Any]]) -> Iterator[ScriptedDaemon]:
-    """Serve a script on loopback."""
+    """Run a daemon stand-in on a loopback address."""
     daemon = ScriptedDaemon(script=script)
-    scripted = type('_Handler', (_ScriptHandler,), {'daemon': daemon})
-    server = ThreadingHTTPServer(('127.0.0.1', 0), scripted)
+    handler_class = type('_Handler', (_ScriptHandler,), {'daemon': daemon})
+    server = ThreadingHTTPServer(('127.0.0.1', 0), handler_class)
     daemon.address = f'127.0.0.1:{server.server_port}'
     thread = threading.Thread(target=server.serve_forever, args=(0.01,))
     thread.start()
@@ -69,14 +77,14 @@
 
 def problem(status: int, **members: Any) -> Answer:
     """Build a problem document."""
-    tree = {'detail': 'no', 'verdict': 'not_run', 'status': status} | members
-    return Answer(tree=tree, status=status)
+    payload = {'detail': 'no', 'verdict': 'not_run', 'status': status} | members
+    return Answer(payload=payload, status=status)
 
 
 def document(version: int, delay_ms: int) -> Answer:
-    """Build a small configuration page."""
+    """Build a configuration page with one front."""
     return Answer(
-        tree={
+        payload={
             'version': version,
             'patches': [patch_record(version)],
             'fronts': {'raft-search': {'hedge': {'delay_ms': delay_ms}}},
@@ -85,7 +93,7 @@
 
 
 def patch_record(version: int) -> dict[str, Any]:
-    """Build one line of the history."""
+    """Build a patch record of the history."""
     return {
         'id': f'p{version}',
         'version': version,
@@ -96,10 +104,10 @@
 
 
 def query_answer(*, complete: bool) -> Answer:
-    """Build an answer to a query, whole or half."""
+    """Build a complete answer to a query, or a partial answer of one half."""
     missing = [] if complete else [{'lo': 5, 'hi': 10, 'reason': 'no_server'}]
     return Answer(
-        tree={
+        payload={
             'request_id': 'r1',
             'records': [{'key': 1}],
             'snapshot': 7,
@@ -116,9 +124,9 @@
 
 
 def entries_answer(*addresses: str) -> Answer:
-    """Build an answer on entries."""
+    """Build an answer of `/v1/entries`."""
     return Answer(
-        tree={
+        payload={
             'entries': [
                 {'address': address, 'daemon': 'vm-1', 'data_centre': 'dc-1'}
                 for address in addresses
@@ -137,25 +145,25 @@
     daemon: ScriptedDaemon
 
     def do_GET(self) -> None:
-        """Answer from the script."""
+        """Send the next scripted response."""
         self._answer()
 
     def do_POST(self) -> None:
-        """Note the body and answer from the script."""
+        """Record the body and send the next scripted response."""
         length = int(self.headers['Content-Length'])
         body = json.loads(self.rfile.read(length))
         self.daemon.posted.append((self.path, body))
         self._answer()
 
     def log_message(self, *args: Any) -> None:
-        """Keep the tests' output clean."""
+        """Suppress the request log."""
 
     def _answer(self) -> None:
         answer = self.daemon.next_answer(self.path)
-        if answer == LOST:
+        if answer == CLOSE_CONNECTION:
             self.close_connection = True
             return
-        body = json.dumps(answer.tree).encode()
+        body = json.dumps(answer.payload).encode()
         self.send_response(answer.status)
         self.send_header('Content-Length', str(len(body)))
         self.end_headers()
--- a/packages/fennelfork-cli/tests/conftest.py
+++ b/packages/fennelfork-cli/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of every test of the command."""
+"""Hypothesis profiles for the tests of the command line."""
 
 import os
 
--- a/packages/fennelfork-cli/tests/test_app.py
+++ b/packages/fennelfork-cli/tests/test_app.py
@@ -1,4 +1,4 @@
-"""The whole command line against a scripted daemon."""
+"""Tests of the command line against a scripted daemon."""
 
 import json
 import pathlib
@@ -7,7 +7,7 @@
 
 import pytest
 from cli_builders import (
-    LOST,
+    CLOSE_CONNECTION,
     Answer,
     document,
     entries_answer,
@@ -38,7 +38,7 @@
     'completion',
 )
 _FRONTS = Answer(
-    tree={
+    payload={
         'config_version': 4,
         'fronts': [
             {
@@ -66,13 +66,13 @@
 
 
 @pytest.fixture(autouse=True)
-def _no_pause(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(_patch, '_PAUSE_S', 0)
+def _no_retry_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(_patch, '_RETRY_DELAY_S', 0)
 
 
 @pytest.fixture
 def patch_file(tmp_path: pathlib.Path) -> str:
-    """Write a patch of one value."""
+    """Write a patch file that changes one value."""
     path = tmp_path / 'hedge.toml'
     path.write_text('[fronts.raft-search.hedge]\ndelay_ms = 20\n')
     return str(path)
@@ -80,16 +80,19 @@
 
 @pytest.fixture
 def command(capsys: pytest.CaptureFixture[str]) -> Callable[..., Any]:
-    """Run a command; give its exit code and both outputs."""
+    """Return a function that runs a command.
+
+    The function returns the exit code, standard output and standard error.
+    """
     return lambda *tokens: (run(tokens), *capsys.readouterr())
 
 
 class TestHelp:
-    """Help and usage."""
+    """Help texts and invalid arguments."""
 
     @pytest.mark.parametrize('name', _COMMANDS)
     def test_shows_an_example(self, name: str, command: Any) -> None:
-        """The help of each command shows how it is typed."""
+        """The help text of each command contains an example."""
         code, out, _ = command(*name.split(), '--help')
         assert code == 0
         assert f'Example: fennelfork {name}' in out
@@ -99,15 +102,15 @@
         ['bogus', 'config patch', 'query f --deadline-ms x', 'explain'],
     )
     def test_bad_usage(self, line: str, command: Any) -> None:
-        """What the command line does not understand exits 2."""
+        """Invalid arguments lead to exit code 2."""
         assert command(*line.split())[0] == 2
 
-    def test_a_file_that_is_not_toml(
+    def test_patch_file_with_invalid_toml(
         self,
         tmp_path: pathlib.Path,
         command: Any,
     ) -> None:
-        """A patch that cannot be read exits 2 and names the place."""
+        """An invalid patch file leads to exit code 2 and names the line."""
         path = tmp_path / 'bad.toml'
         path.write_text('a = = 1')
         code, _, err = command('config', 'patch', '--base', '1', str(path))
@@ -115,19 +118,19 @@
         assert 'line 1' in err
 
     def test_completion(self, command: Any) -> None:
-        """A completion script names the commands."""
+        """The completion script contains the commands."""
         code, out, _ = command('completion', 'bash')
         assert code == 0
         assert 'explain' in out
 
 
 class TestPages:
-    """Commands that read one page."""
+    """Commands that print one page of the operator API."""
 
     @pytest.mark.parametrize(
-        ('line', 'path', 'tree', 'shown'),
+        ('line', 'path', 'payload', 'shown'),
         [
-            ('front list', '/v1/fronts', _FRONTS.tree, 'raft-search'),
+            ('front list', '/v1/fronts', _FRONTS.payload, 'raft-search'),
             ('config show', '/v1/config', {'version': 4}, '"version": 4'),
             (
                 'config history',
@@ -156,30 +159,30 @@
         self,
         line: str,
         path: str,
-        tree: Any,
+        payload: Any,
         shown: str,
         command: Any,
     ) -> None:
-        """People get a table, `--json` gives the page as it came."""
-        with scripted_daemon({path: [Answer(tree=tree)]}) as daemon:
-            words = (*line.split(), '--operator', daemon.address)
-            code, out, _ = command(*words)
+        """The default output is text; `--json` prints the unchanged page."""
+        with scripted_daemon({path: [Answer(payload=payload)]}) as daemon:
+            arguments = (*line.split(), '--operator', daemon.address)
+            code, out, _ = command(*arguments)
             assert code == 0
             assert shown in out
-            _, out, _ = command(*words, '--json')
-        assert json.loads(out) == tree
+            _, out, _ = command(*arguments, '--json')
+        assert json.loads(out) == payload
 
     def test_one_front(self, command: Any) -> None:
-        """One front is shown with homes and servers, and alone as JSON."""
-        words = ('front', 'show', 'raft-search', '--operator')
+        """Shards, home daemons and servers are shown; JSON has one front."""
+        arguments = ('front', 'show', 'raft-search', '--operator')
         with scripted_daemon({'/v1/fronts': [_FRONTS]}) as daemon:
-            _, out, _ = command(*words, daemon.address)
+            _, out, _ = command(*arguments, daemon.address)
             assert out.splitlines()[-1].split()[:3] == ['s0', 'vm-2', 'raft-a']
-            _, out, _ = command(*words, daemon.address, '--json')
-        assert json.loads(out) == _FRONTS.tree['fronts'][0]
+            _, out, _ = command(*arguments, daemon.address, '--json')
+        assert json.loads(out) == _FRONTS.payload['fronts'][0]
 
     def test_unknown_front(self, command: Any) -> None:
-        """A front that is not there exits 3 and names those that are."""
+        """An unknown front leads to exit code 3 and a list of the fronts."""
         with scripted_daemon({'/v1/fronts': [_FRONTS]}) as daemon:
             code, _, err = command(
                 'front', 'show', 'x', '--operator', daemon.address
@@ -187,27 +190,27 @@
         assert code == 3
         assert 'raft-search' in err
 
-    def test_status_with_a_daemon_behind(self, command: Any) -> None:
-        """A daemon on an older version exits 5 and is named."""
+    def test_status_with_outdated_daemon(self, command: Any) -> None:
+        """A daemon with an older version leads to exit code 5."""
         daemons = [
             {'name': 'vm-1', 'config_version': 4},
             {'name': 'vm-2', 'config_version': 3},
         ]
-        page = Answer(tree={'version': 4, 'daemons': daemons})
+        page = Answer(payload={'version': 4, 'daemons': daemons})
         with scripted_daemon({'/v1/config/status': [page]}) as daemon:
             code, out, _ = command(
                 'config', 'status', '--operator', daemon.address
             )
         assert code == 5
-        assert out.endswith('not known to be in force on: vm-2\n')
+        assert out.endswith('not known to be active on: vm-2\n')
 
     def test_explains_from_another_daemon(self, command: Any) -> None:
-        """A story that the daemon asked lacks is found at its peer."""
+        """A request that the given daemon does not know is found on a peer."""
         path = '/v1/explain/r1'
-        story = Answer(tree={'request_id': 'r1', 'daemon': 'vm-2'})
-        with scripted_daemon({path: [story]}) as other:
+        explanation = Answer(payload={'request_id': 'r1', 'daemon': 'vm-2'})
+        with scripted_daemon({path: [explanation]}) as other:
             members = [{'operator': _NOWHERE}, {'operator': other.address}]
-            page = Answer(tree={'members': members})
+            page = Answer(payload={'members': members})
             with scripted_daemon({'/v1/members': [page]}) as daemon:
                 code, out, _ = command(
                     'explain', 'r1', '--operator', daemon.address
@@ -216,13 +219,13 @@
         assert 'daemon: vm-2' in out
 
     def test_unreachable(self, command: Any) -> None:
-        """A daemon that is not there exits 3: nothing ran."""
+        """An unreachable daemon leads to exit code 3: nothing ran."""
         code, _, err = command('members', '--operator', _NOWHERE)
         assert code == 3
         assert 'cannot connect' in err
 
     def test_diff(self, patch_file: str, command: Any) -> None:
-        """A diff shows path, value in force and value asked for."""
+        """A diff shows the path, the active value and the patched value."""
         with scripted_daemon({'/v1/config': [document(4, 30)]}) as daemon:
             code, out, _ = command(
                 'config', 'diff', patch_file, '--operator', daemon.address
@@ -237,22 +240,22 @@
 
 
 class TestDrain:
-    """Letting a daemon leave."""
+    """The command `drain`."""
 
-    def test_asks_once(self, command: Any) -> None:
-        """The daemon is asked once, and its word is passed on."""
-        tree = {'phase': 'announcing', 'running': 2}
-        script = {'/v1/drain': [Answer(tree=tree)]}
+    def test_sends_one_request(self, command: Any) -> None:
+        """One drain request is sent, and the reply is printed."""
+        payload = {'phase': 'announcing', 'running': 2}
+        script = {'/v1/drain': [Answer(payload=payload)]}
         with scripted_daemon(script) as daemon:
             code, out, _ = command('drain', '--operator', daemon.address)
             assert (code, out) == (0, 'announcing, 2 requests running\n')
             assert daemon.posted == [('/v1/drain', {})]
 
 
-def _patch_with(
+def _send_patch_command(
     command: Any,
     script: dict[str, list[Any]],
-    *more: str,
+    *extra_arguments: str,
 ) -> Any:
     with scripted_daemon(script) as daemon:
         outcome = command(
@@ -261,19 +264,19 @@
             '--base=4',
             '--patch-id=p9',
             f'--operator={daemon.address}',
-            *more,
+            *extra_arguments,
         )
         return outcome, [body for _, body in daemon.posted]
 
 
 class TestPatch:
-    """Changing the configuration."""
+    """The command `config patch`."""
 
     def test_accepted(self, patch_file: str, command: Any) -> None:
-        """The new version is printed; removals go as null."""
-        outcome, posted = _patch_with(
+        """The new version is printed; removals are sent as null."""
+        outcome, posted = _send_patch_command(
             command,
-            {'/v1/config/patch': [Answer(tree={'version': 5})]},
+            {'/v1/config/patch': [Answer(payload={'version': 5})]},
             patch_file,
             '--remove=fronts.old',
         )
@@ -286,19 +289,25 @@
         }
 
     def test_lost_reply(self, patch_file: str, command: Any) -> None:
-        """A lost reply is asked for again under the same patch id."""
-        outcome, posted = _patch_with(
+        """After a lost reply the patch is retried with the same patch id."""
+        outcome, posted = _send_patch_command(
             command,
-            {'/v1/config/patch': [LOST, LOST, Answer(tree={'version': 5})]},
+            {
+                '/v1/config/patch': [
+                    CLOSE_CONNECTION,
+                    CLOSE_CONNECTION,
+                    Answer(payload={'version': 5}),
+                ]
+            },
             patch_file,
         )
         assert outcome[0] == 0
         assert [body['patch_id'] for body in posted] == ['p9', 'p9', 'p9']
         assert posted[0] == posted[2]
 
-    def test_lost_race(self, patch_file: str, command: Any) -> None:
-        """The loser sees the version in force, who won, and a diff."""
-        outcome, posted = _patch_with(
+    def test_version_conflict(self, patch_file: str, command: Any) -> None:
+        """A conflict shows the active version, its author and a diff."""
+        outcome, posted = _send_patch_command(
             command,
             {
                 '/v1/config/patch': [
@@ -316,15 +325,15 @@
         assert outcome[0] == 3
         assert len(posted) == 1
         lines = outcome[2].splitlines()
-        assert 'version 6 is in force; nothing was changed' in lines[0]
+        assert 'version 6 is active; nothing was changed' in lines[0]
         assert lines[3].split()[:2] == ['6', 'anna']
         assert lines[-1].split() == ['a.b', '25', '20']
 
     def test_outcome_unknown(self, patch_file: str, command: Any) -> None:
-        """Replies lost each time exit 4 and tell how to ask again."""
-        outcome, _ = _patch_with(
+        """If every reply is lost, the retry options are printed, exit 4."""
+        outcome, _ = _send_patch_command(
             command,
-            {'/v1/config/patch': [LOST]},
+            {'/v1/config/patch': [CLOSE_CONNECTION]},
             patch_file,
         )
         assert outcome[0] == 4
@@ -335,19 +344,19 @@
         patch_file: str,
         command: Any,
     ) -> None:
-        """A later "not run" does not speak for the try that was lost."""
+        """The verdict "not run" of a retry does not cover a lost attempt."""
         refusal = problem(503, code='platform')
-        outcome, _ = _patch_with(
+        outcome, _ = _send_patch_command(
             command,
-            {'/v1/config/patch': [LOST, refusal]},
+            {'/v1/config/patch': [CLOSE_CONNECTION, refusal]},
             patch_file,
         )
         assert outcome[0] == 4
 
     def test_refused(self, patch_file: str, command: Any) -> None:
-        """A bad patch exits 3 with each path and what is allowed."""
+        """An invalid patch leads to exit code 3 and shows allowed values."""
         wrong = [{'path': 'fronts.a', 'detail': 'unknown', 'allowed': 'b'}]
-        outcome, posted = _patch_with(
+        outcome, posted = _send_patch_command(
             command,
             {
                 '/v1/config/patch': [
@@ -362,11 +371,11 @@
 
 
 class TestCaller:
-    """Acting as a caller."""
+    """Commands that use the caller API."""
 
     @pytest.mark.parametrize(('complete', 'code'), [(True, 0), (False, 5)])
     def test_query(self, complete: bool, code: int, command: Any) -> None:
-        """A partial answer is said to be partial and exits 5."""
+        """A partial answer is marked as partial and leads to exit code 5."""
         path = '/v1/fronts/f/query'
         script: dict[str, list[Any]] = {
             path: [query_answer(complete=complete)],
@@ -388,7 +397,7 @@
         assert body['coverage'] == {'mode': 'partial', 'floor': 0.4}
 
     def test_next_entry(self, command: Any) -> None:
-        """An entry that cannot be reached is passed over."""
+        """An unreachable entry address is skipped."""
         path = '/v1/fronts/f/query'
         script: dict[str, list[Any]] = {path: [query_answer(complete=True)]}
         with scripted_daemon(script) as daemon:
@@ -397,9 +406,9 @@
         assert code == 0
 
     def test_execute_with_a_lost_reply(self, command: Any) -> None:
-        """It is sent once, and exit 4 tells how to ask again safely."""
+        """The request is sent once; the retry options are printed, exit 4."""
         path = '/v1/fronts/f/execute'
-        script: dict[str, list[Any]] = {path: [LOST]}
+        script: dict[str, list[Any]] = {path: [CLOSE_CONNECTION]}
         with scripted_daemon(script) as daemon:
             script['/v1/entries'] = [
                 entries_answer(daemon.address) for _ in range(2)
@@ -418,7 +427,7 @@
         assert '--request-id r9@t1 --ticket t1' in err
 
     def test_execute_refused(self, command: Any) -> None:
-        """A refusal that says "not run" exits 3 with its words."""
+        """The verdict "not run" leads to exit code 3 and the retry delay."""
         path = '/v1/fronts/f/execute'
         refusal = problem(503, code='shed', retry_after_ms=70)
         script: dict[str, list[Any]] = {path: [refusal]}
@@ -433,4 +442,4 @@
                 daemon.address,
             )
         assert code == 3
-        assert 'ask again after 70 ms' in err
+        assert 'retry after 70 ms' in err
--- a/packages/fennelfork-cli/tests/test_log_search.py
+++ b/packages/fennelfork-cli/tests/test_log_search.py
@@ -1,4 +1,4 @@
-"""The story of one request out of captured logs."""
+"""Tests of the search for the log lines of one request."""
 
 import json
 import pathlib
@@ -7,13 +7,17 @@
 import pytest
 
 from fennelfork_cli._app import app
-from fennelfork_cli._log_search import line_texts, read_lines, story
+from fennelfork_cli._log_search import (
+    format_line,
+    lines_for_request,
+    read_lines,
+)
 
 
 def _line(at: str, event: str, **facts: Any) -> str:
     stamp = f'2026-01-01T{at}Z'
-    tree = {'timestamp': stamp, 'daemon': 'vm-1', 'event': event, **facts}
-    return json.dumps(tree)
+    payload = {'timestamp': stamp, 'daemon': 'vm-1', 'event': event, **facts}
+    return json.dumps(payload)
 
 
 _LOG = [
@@ -37,20 +41,20 @@
 ]
 
 
-class TestStory:
-    """Lines on the request, and on the servers that it was sent to."""
+class TestLinesForRequest:
+    """Selection of the lines that explain a request."""
 
     def test_in_time_order(self) -> None:
-        """Torn and foreign lines, old ones and other daemons' stay out."""
-        told = story(read_lines(_LOG), 'r-1')
-        assert [line.event for line in told] == [
+        """Malformed and old lines and lines of other daemons are left out."""
+        selected = lines_for_request(read_lines(_LOG), 'r-1')
+        assert [line.event for line in selected] == [
             'server_ejected',
             'request_ended',
         ]
-        assert told[0].facts['server'] == 'i-1'
+        assert selected[0].facts['server'] == 'i-1'
 
-    def test_refused_for_what_it_asks(self) -> None:
-        """Whose servers ended under the same request, at whichever daemon."""
+    def test_refused_poison_request(self) -> None:
+        """Crashes during requests with the same fingerprint are included."""
         log = [
             _line(
                 '09:00:00',
@@ -70,33 +74,33 @@
             _line('08:10:01', 'request_judged', fingerprint='f2'),
             _line('08:10:02', 'request_ended', request='r-3', fingerprint='f1'),
         ]
-        told = story(read_lines(log), 'r-7')
-        assert [line.event for line in told] == [
+        selected = lines_for_request(read_lines(log), 'r-7')
+        assert [line.event for line in selected] == [
             'server_ended',
             'request_judged',
             'request_refused',
         ]
 
-    def test_prefix_is_passed_over(self) -> None:
-        """A collector may put something before the line."""
+    def test_prefix_is_ignored(self) -> None:
+        """Text before the JSON object of a line is ignored."""
         events = [line.event for line in read_lines(_LOG)]
         assert events.count('config_taken') == 1
 
-    def test_steps_below(self) -> None:
-        """Each step stands in a row of its own."""
-        texts = line_texts(story(read_lines(_LOG), 'r-1')[1])
+    def test_steps_on_separate_lines(self) -> None:
+        """Each step is printed on a separate line."""
+        texts = format_line(lines_for_request(read_lines(_LOG), 'r-1')[1])
         assert texts[2] == '    shard-a: i-2 91 sent again'
 
 
 class TestCommand:
-    """The command over files."""
+    """The command `explain --log`."""
 
     def test_json(
         self,
         tmp_path: pathlib.Path,
         capsys: pytest.CaptureFixture[str],
     ) -> None:
-        """One object with the lines in order."""
+        """The output is one JSON object with the selected lines."""
         status = _explain(tmp_path, 'r-1', '--json')
         events = json.loads(capsys.readouterr().out)['events']
         assert (status, len(events)) == (0, 2)
@@ -106,13 +110,13 @@
         tmp_path: pathlib.Path,
         capsys: pytest.CaptureFixture[str],
     ) -> None:
-        """It is said that no line names it."""
+        """The error message names the unknown request id."""
         assert _explain(tmp_path, 'r-7') != 0
         captured = capsys.readouterr()
         assert 'r-7' in captured.out + captured.err
 
     def test_no_file(self, capsys: pytest.CaptureFixture[str]) -> None:
-        """A log that is not there is named."""
+        """The error message names the missing log file."""
         tokens = ['explain', 'r-1', '--log', 'nowhere.log']
         assert app(tokens, result_action='return_value') != 0
         captured = capsys.readouterr()
--- a/packages/fennelfork-cli/tests/test_text_table.py
+++ b/packages/fennelfork-cli/tests/test_text_table.py
@@ -1,13 +1,13 @@
-"""Tables of text."""
+"""Tests of the formatting of text tables."""
 
 from fennelfork_cli._text_table import text_table
 
 
 class TestTextTable:
-    """Columns under a heading."""
+    """Alignment and headings of columns."""
 
     def test_aligns(self) -> None:
-        """Numbers go to the right, words to the left, blanks are marked."""
+        """Numbers are right-aligned, texts left-aligned, None is `-`."""
         rows = [
             {'name': 'a', 'busy_ms': 5, 'ok': True},
             {'name': 'bcd', 'busy_ms': 12345678, 'ok': None},
@@ -19,5 +19,5 @@
         ]
 
     def test_without_rows(self) -> None:
-        """No rows leave the heading."""
+        """A table without rows consists of the heading."""
         assert text_table(('a', 'b'), []) == 'a  b'
