--- a/packages/fennelfork-bench/src/fennelfork_bench/__init__.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/__init__.py
@@ -1,3 +1,3 @@
-"""Stand-ins, rig and experiments of the fennelfork query tier."""
+"""Stand-ins, test rig and experiments of the fennelfork query tier."""
 
 from fennelfork_bench import _quiet as _quiet
--- a/packages/fennelfork-bench/src/fennelfork_bench/__main__.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/__main__.py
@@ -1,4 +1,4 @@
-"""Experiments and the demo: `python -m fennelfork_bench NAME`."""
+"""Command line of the experiments: `python -m fennelfork_bench NAME`."""
 
 from fennelfork_bench.rig import _eventlet  # noqa: F401, I001  (patches first)
 
@@ -11,7 +11,7 @@
 
 from fennelfork_bench.rig._process import RigError
 
-# One line an experiment: a module whose `run(seed)` gives a `Report`.
+# Module of each experiment; its function `run(seed)` returns a `Report`.
 _EXPERIMENTS: Final[dict[str, str]] = {
     'config': 'fennelfork_bench.experiments._config',
     'control': 'fennelfork_bench.experiments._control',
@@ -43,14 +43,14 @@
     """Run one experiment on real processes over loopback.
 
     Args:
-        name: the experiment, or `demo`.
-        seed: of every random choice of the load and the stand-ins.
-        minutes: of the soak only; the others have a length of their own.
-        json: print one JSON object in place of a table.
+        name: name of the experiment, or `demo`.
+        seed: seed of all random choices of the load and the stand-ins.
+        minutes: duration of the soak; not accepted by other experiments.
+        json: print one JSON object instead of a table.
 
     Returns:
-        0, 1 if the run saw a promise broken or could not go on, 2 for an
-        unknown name.
+        Exit code: 0 for success, 1 if a check failed or the run was aborted,
+        2 for an unknown name.
     """
     if name not in _EXPERIMENTS:
         known = ', '.join(sorted(_EXPERIMENTS))
--- a/packages/fennelfork-bench/src/fennelfork_bench/_quiet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/_quiet.py
@@ -1,7 +1,7 @@
-"""Quiets the deprecation warning of eventlet, and only it.
+"""Filter of the deprecation warning of eventlet.
 
-Importing the package runs this before any module of it imports eventlet; the
-reason to use eventlet all the same is in docs/STYLE.md.
+The package imports this module before any of its modules imports eventlet.
+docs/STYLE.md explains the use of eventlet.
 """
 
 import warnings
--- a/packages/fennelfork-bench/src/fennelfork_bench/_vms_app.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/_vms_app.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of VMs."""
+"""WSGI application of the VM list stand-in, which lags behind changes."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -17,15 +17,20 @@
     send,
 )
 
-_LIMIT_BYTES: Final = 1_048_576
-_HISTORY: Final = 1000
+_MAX_BODY_BYTES: Final = 1_048_576
+_MAX_VERSIONS: Final = 1000
 _OK: Final = '200 OK'
-_BAD: Final = '400 Bad Request'
+_BAD_REQUEST: Final = '400 Bad Request'
 
 
 @attrs.frozen(kw_only=True)
-class Sighting:
-    """The list as it truly was from `at_ms` on."""
+class VmListVersion:
+    """List of VMs from one point in time on.
+
+    Attributes:
+        at_ms: time of the change in milliseconds.
+        vms: VMs of the list.
+    """
 
     at_ms: float
     vms: list[dict[str, Any]]
@@ -33,40 +38,41 @@
 
 @attrs.define(kw_only=True)
 class VmList:
-    """Truth and what of it is shown.
+    """Versions of the VM list, shown to readers after a lag.
 
     Attributes:
-        lag_ms: a change shows only when it is this old.
-        down: each read is cut.
-        reads: how many reads were answered or cut.
+        lag_ms: age in milliseconds at which a change becomes visible.
+        is_down: whether the connection of each reader is closed without an
+            answer.
+        read_count: number of reads, including unanswered reads.
     """
 
     lag_ms: float = 0
-    down: bool = False
-    reads: int = 0
+    is_down: bool = False
+    read_count: int = 0
     _clock: Clock
-    _history: deque[Sighting] = attrs.field(
-        factory=lambda: deque(maxlen=_HISTORY),
+    _history: deque[VmListVersion] = attrs.field(
+        factory=lambda: deque(maxlen=_MAX_VERSIONS),
     )
 
-    def set_truth(self, vms: list[dict[str, Any]]) -> None:
-        """Change the truth."""
+    def set_vms(self, vms: list[dict[str, Any]]) -> None:
+        """Replace the list."""
         now_ms = self._clock.now_ms()
-        self._history.append(Sighting(at_ms=now_ms, vms=vms))
+        self._history.append(VmListVersion(at_ms=now_ms, vms=vms))
 
-    def shown(self) -> list[dict[str, Any]]:
-        """Give the newest list that is as old as the lag, the first if none."""
+    def visible_vms(self) -> list[dict[str, Any]]:
+        """Return the newest list older than the lag, else the first list."""
         horizon_ms = self._clock.now_ms() - self.lag_ms
-        shown: list[dict[str, Any]] = []
-        for index, sighting in enumerate(self._history):
-            if index == 0 or sighting.at_ms <= horizon_ms:
-                shown = sighting.vms
-        return shown
+        visible_vms: list[dict[str, Any]] = []
+        for index, version in enumerate(self._history):
+            if index == 0 or version.at_ms <= horizon_ms:
+                visible_vms = version.vms
+        return visible_vms
 
 
 @attrs.frozen(kw_only=True)
 class Application:
-    """The list as a WSGI application."""
+    """WSGI application that serves the VM list."""
 
     _vm_list: VmList
 
@@ -75,33 +81,33 @@
         environ: Json,
         start_response: StartResponse,
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Handle a request."""
         try:
-            body = read_json(environ, _LIMIT_BYTES)
+            body = read_json(environ, _MAX_BODY_BYTES)
         except (TooLargeError, ValueError) as error:
-            answer = Answer(status=_BAD, body={'detail': str(error)})
+            answer = Answer(status=_BAD_REQUEST, body={'detail': str(error)})
             return send(answer, start_response)
         return send(self._answer(environ, body), start_response)
 
     def _answer(self, environ: Json, body: Json) -> Answer:
-        call = f'{environ["REQUEST_METHOD"]} {environ["PATH_INFO"]}'
-        if call == 'GET /v1/vms':
-            self._vm_list.reads += 1
-            if self._vm_list.down:
+        route = f'{environ["REQUEST_METHOD"]} {environ["PATH_INFO"]}'
+        if route == 'GET /v1/vms':
+            self._vm_list.read_count += 1
+            if self._vm_list.is_down:
                 cut(environ)
-            return Answer(status=_OK, body={'vms': self._vm_list.shown()})
-        if call == 'PUT /control/vms':
-            self._vm_list.set_truth(list(body.get('vms', ())))
+            return Answer(status=_OK, body={'vms': self._vm_list.visible_vms()})
+        if route == 'PUT /control/vms':
+            self._vm_list.set_vms(list(body.get('vms', ())))
             return Answer(status=_OK, body={})
-        if call == 'POST /control/faults':
+        if route == 'POST /control/faults':
             self._vm_list.lag_ms = body.get('lag_ms', self._vm_list.lag_ms)
-            self._vm_list.down = body.get('down', self._vm_list.down)
+            self._vm_list.is_down = body.get('down', self._vm_list.is_down)
             return Answer(status=_OK, body={})
-        if call == 'GET /control/log':
-            return Answer(status=_OK, body={'reads': self._vm_list.reads})
-        return Answer(status='404 Not Found', body={'detail': call})
+        if route == 'GET /control/log':
+            return Answer(status=_OK, body={'reads': self._vm_list.read_count})
+        return Answer(status='404 Not Found', body={'detail': route})
 
 
 def application(clock: Clock, lag_ms: float = 0) -> Application:
-    """Build the application over an empty list."""
+    """Build the application with an empty list."""
     return Application(vm_list=VmList(clock=clock, lag_ms=lag_ms))
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend.py
@@ -1,4 +1,4 @@
-"""The stand-in backend server: `python -m fennelfork_bench.backend`."""
+"""Backend server stand-in: `python -m fennelfork_bench.backend`."""
 
 import json
 import pathlib
@@ -20,21 +20,23 @@
     *,
     servers: pathlib.Path | None = None,
 ) -> None:
-    """Serve one stand-in, or many in one process, until ended.
+    """Run one or more backend server stand-ins until the process is stopped.
 
     Args:
-        settings: settings of one server.
-        servers: JSON file with a list of settings, one for each server of
-            this process; it takes the place of the single settings.
+        settings: settings of a single server.
+        servers: JSON file with a list of settings, one entry for each server
+            of the process; replaces the single settings.
     """
-    wanted = read_settings(servers) if servers else (settings,)
-    sys.stdout.write(ready_line([start_server(each) for each in wanted]))
+    server_settings = read_settings(servers) if servers else (settings,)
+    sys.stdout.write(
+        ready_line([start_server(each) for each in server_settings])
+    )
     sys.stdout.flush()
     Event().wait()
 
 
 def read_settings(path: pathlib.Path) -> tuple[ServerSettings, ...]:
-    """Read the settings of many servers from a JSON file."""
+    """Read the settings of several servers from a JSON file."""
     return cattrs.structure(
         json.loads(path.read_text()),
         tuple[ServerSettings, ...],
@@ -42,10 +44,10 @@
 
 
 def ready_line(addresses: list[Address]) -> str:
-    """Write the line that says where the servers listen.
+    """Format the JSON line that announces the addresses of the servers.
 
-    The first server stands by itself, so that the line of a lone server is
-    the one of the interface page; `servers` lists all of them.
+    `address` and `control` belong to the first server, as the interface page
+    documents for a single server; `servers` lists all servers.
     """
     first = addresses[0]
     ready: dict[str, Any] = {
@@ -58,7 +60,7 @@
 
 
 def main() -> None:
-    """Read the command line and serve."""
+    """Parse the command line and run the servers."""
     run(serve)
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/caller.py
@@ -1,4 +1,4 @@
-"""The caller stand-in: `python -m fennelfork_bench.caller`."""
+"""Caller stand-in: `python -m fennelfork_bench.caller`."""
 
 from fennelfork_bench.rig import _eventlet  # noqa: F401, I001  (patches first)
 
@@ -12,12 +12,12 @@
 
 
 def load(spec: Annotated[LoadSpec, Parameter(name='*')]) -> None:
-    """Run one open load and print its tally as one line of JSON."""
+    """Run an open-loop load and print the tally as one line of JSON."""
     sys.stdout.write(f'{run_load(spec).to_json()}\n')
 
 
 def main() -> None:
-    """Read the command line and run the load."""
+    """Parse the command line and run the load."""
     run(load)
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/__init__.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The stand-in of callers."""
+"""Caller stand-in: open-loop load, tallies and checks of the answers."""
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_client.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_client.py
@@ -1,4 +1,4 @@
-"""Sends one query of a caller and notes what came of it."""
+"""Client of the caller stand-in, which records each query and its outcome."""
 
 import json
 import random
@@ -8,7 +8,7 @@
 import urllib3
 from eventlet import sleep
 
-from fennelfork_bench.callers._reply import QueryEnd, query_end
+from fennelfork_bench.callers._reply import QueryOutcome, parse_reply
 from fennelfork_bench.callers._spec import LoadSpec
 from fennelfork_bench.history._caller import (
     ConnectionCut,
@@ -18,30 +18,30 @@
 from fennelfork_bench.history._history import Recorder
 
 _MS_PER_SECOND: Final = 1000
-_GRACE_MS: Final = 2000
+_TIMEOUT_MARGIN_MS: Final = 2000
 _POOL_SIZE: Final = 500
 _ENTRY_TTL_MS: Final = 3_600_000
 
 
 @attrs.frozen(kw_only=True)
 class CallerClient:
-    """The connections of one caller and its record of events."""
+    """Client that sends queries and records their events."""
 
     _spec: LoadSpec
     _recorder: Recorder
     _randomness: random.Random
     _pools: urllib3.PoolManager
 
-    def ask(self, number: int) -> QueryEnd:
-        """Send one query to one of the entries and wait for its end."""
-        asked = self._asked(number)
-        self._recorder.note(asked)
+    def send_query(self, number: int) -> QueryOutcome:
+        """Send a query to a random entry address and return the outcome."""
+        query_event = self._query_event(number)
+        self._recorder.note(query_event)
         sleep(self._spec.link_ms / _MS_PER_SECOND)
-        end = self._sent(asked)
-        self._recorder.note(end.event)
-        return end
+        outcome = self._send(query_event)
+        self._recorder.note(outcome.event)
+        return outcome
 
-    def _asked(self, number: int) -> QueryAsked:
+    def _query_event(self, number: int) -> QueryAsked:
         spec = self._spec
         request_id = f'{spec.caller}-{number}'
         return QueryAsked(
@@ -57,44 +57,44 @@
             floor=spec.floor,
         )
 
-    def _sent(self, asked: QueryAsked) -> QueryEnd:
+    def _send(self, query_event: QueryAsked) -> QueryOutcome:
         try:
-            reply = self._post(asked)
+            reply = self._post(query_event)
         except urllib3.exceptions.NewConnectionError as error:
             refused = ConnectRefused(
                 at_ms=self._recorder.now_ms(),
-                attempt=asked.attempt,
+                attempt=query_event.attempt,
                 detail=repr(error),
             )
-            return QueryEnd(event=refused)
+            return QueryOutcome(event=refused)
         except urllib3.exceptions.HTTPError as error:
             cut = ConnectionCut(
                 at_ms=self._recorder.now_ms(),
-                attempt=asked.attempt,
+                attempt=query_event.attempt,
                 detail=repr(error),
             )
-            return QueryEnd(event=cut)
+            return QueryOutcome(event=cut)
         sleep(self._spec.link_ms / _MS_PER_SECOND)
-        return query_end(
-            asked.attempt,
+        return parse_reply(
+            query_event.attempt,
             self._recorder.now_ms(),
             reply.status,
             reply.data,
         )
 
-    def _post(self, asked: QueryAsked) -> urllib3.BaseHTTPResponse:
+    def _post(self, query_event: QueryAsked) -> urllib3.BaseHTTPResponse:
         spec = self._spec
         return self._pools.request(
             'POST',
-            f'http://{asked.daemon}/v1/fronts/{spec.front}/query',
-            body=json.dumps(_body(spec, asked)),
+            f'http://{query_event.daemon}/v1/fronts/{spec.front}/query',
+            body=json.dumps(_request_body(spec, query_event)),
             headers={'Content-Type': 'application/json'},
-            timeout=(spec.deadline_ms + _GRACE_MS) / _MS_PER_SECOND,
+            timeout=(spec.deadline_ms + _TIMEOUT_MARGIN_MS) / _MS_PER_SECOND,
         )
 
 
 def caller_client(spec: LoadSpec, recorder: Recorder) -> CallerClient:
-    """Build a caller that has no connection yet."""
+    """Build a client without open connections."""
     return CallerClient(
         spec=spec,
         recorder=recorder,
@@ -108,20 +108,20 @@
 
 
 def _query(spec: LoadSpec, randomness: random.Random) -> str:
-    """Ask for keys spread evenly, so that every shard has some."""
+    """Build a query for evenly spread keys, so that it reaches all shards."""
     step = max(1, spec.keys // spec.wanted)
     first = randomness.randrange(step)
     keys = list(range(first, spec.keys, step))
     return json.dumps({'keys': keys})
 
 
-def _body(spec: LoadSpec, asked: QueryAsked) -> dict[str, Any]:
+def _request_body(spec: LoadSpec, query_event: QueryAsked) -> dict[str, Any]:
     mode = 'whole' if spec.whole else 'partial'
     return {
-        'request_id': asked.request_id,
+        'request_id': query_event.request_id,
         'deadline_ms': spec.deadline_ms,
         'tenant': spec.tenant,
         'class': spec.class_,
-        'query': json.loads(asked.query),
+        'query': json.loads(query_event.query),
         'coverage': {'mode': mode, 'floor': spec.floor},
     }
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_group.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_group.py
@@ -1,65 +1,71 @@
-"""Several caller processes that share one load."""
+"""Group of caller processes that share one load."""
 
 from typing import Final
 
 import attrs
 
 from fennelfork_bench.callers._spec import LoadSpec
-from fennelfork_bench.callers._tally import Tally, beside, parse_tally
+from fennelfork_bench.callers._tally import Tally, merge_parallel, parse_tally
 from fennelfork_bench.rig._process import Process, Rig, RigError
 
-# What one caller process sends a second without being the bottleneck.
-_RATE_A_PROCESS: Final = 250
+# Rate at which a single caller process is not the bottleneck.
+_MAX_RATE_PER_PROCESS: Final = 250
 _MARGIN_S: Final = 90
-_MS: Final = 1000
+_MS_PER_SECOND: Final = 1000
 
 
 def run_callers(rig: Rig, load: LoadSpec) -> Tally:
-    """Run a load, split over as many processes as its rate needs.
+    """Run a load in as many caller processes as the rate requires.
 
     Raises:
-        RigError: if a caller process failed or did not end.
+        RigError: if a caller process failed or timed out.
     """
     started = start_callers(rig, load)
     return await_callers(started, load)
 
 
 def start_callers(rig: Rig, load: LoadSpec) -> list[Process]:
-    """Start the caller processes of a load and return at once."""
-    count = max(1, -int(-load.rate_per_s // _RATE_A_PROCESS))
+    """Start the caller processes of a load without waiting for them."""
+    count = max(1, -int(-load.rate_per_s // _MAX_RATE_PER_PROCESS))
     return [
         rig.start_module(
             f'caller-{number}',
             'fennelfork_bench.caller',
-            _options(_part(load, number, count)),
+            _options(_load_share(load, number, count)),
         )
         for number in range(count)
     ]
 
 
 def await_callers(started: list[Process], load: LoadSpec) -> Tally:
-    """Wait for the caller processes of a load and add their tallies.
+    """Wait for the caller processes of a load and merge their tallies.
 
     Raises:
-        RigError: if one failed or did not end.
+        RigError: if a caller process failed or timed out.
     """
-    cap_s = load.count / load.rate_per_s + load.deadline_ms / _MS + _MARGIN_S
+    timeout_s = (
+        load.count / load.rate_per_s
+        + load.deadline_ms / _MS_PER_SECOND
+        + _MARGIN_S
+    )
     for process in started:
-        status = process.wait(cap_s)
-        if status != 0:
+        exit_code = process.wait(timeout_s)
+        if exit_code != 0:
             errors = process.stderr.read_text()
-            raise RigError(f'{process.name} gave {status}: {errors}')
-    return beside(parse_tally(each.stdout.read_text()) for each in started)
+            raise RigError(f'{process.name} exited with {exit_code}: {errors}')
+    return merge_parallel(
+        parse_tally(each.stdout.read_text()) for each in started
+    )
 
 
-def _part(load: LoadSpec, number: int, count: int) -> LoadSpec:
+def _load_share(load: LoadSpec, number: int, count: int) -> LoadSpec:
     history = load.history
     return attrs.evolve(
         load,
         caller=f'{load.caller}-{number}',
         rate_per_s=load.rate_per_s / count,
         count=load.count // count,
-        seed=load.seed * _MS + number,
+        seed=load.seed * _MS_PER_SECOND + number,
         history=history and history.with_suffix(f'.{number}'),
     )
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_load.py
@@ -1,4 +1,4 @@
-"""The open load: starts each request when it is due."""
+"""Open-loop load, which starts requests independently of the responses."""
 
 import random
 from collections.abc import Callable
@@ -9,7 +9,7 @@
 
 from fennelfork import Clock, Verdict, system_clock, wall_clock
 from fennelfork_bench.callers._client import caller_client
-from fennelfork_bench.callers._reply import QueryEnd
+from fennelfork_bench.callers._reply import QueryOutcome
 from fennelfork_bench.callers._spec import LoadSpec
 from fennelfork_bench.callers._tally import Tally, add_latency
 from fennelfork_bench.callers._truth import front_truth
@@ -26,20 +26,24 @@
 )
 
 _MS_PER_SECOND: Final = 1000
-_SHOWN: Final = 20
+_MAX_VIOLATIONS: Final = 20
 
 
 @attrs.define(kw_only=True)
-class OpenLoad:
-    """Starts requests at random gaps and tallies how they end."""
+class OpenLoopLoad:
+    """Load with random gaps between requests, and the tally of outcomes.
+
+    Attributes:
+        tally: counts and latencies of the requests.
+    """
 
     _spec: LoadSpec
     _clock: Clock
-    _ask: Callable[[int], QueryEnd]
+    _send_query: Callable[[int], QueryOutcome]
     tally: Tally = attrs.field(factory=Tally)
 
     def run(self) -> None:
-        """Start every request when it is due and wait for all ends."""
+        """Start each request when it is due and wait for all outcomes."""
         pool = GreenPool(self._spec.open_requests)
         gaps = random.Random(f'gaps {self._spec.seed}')
         first_ms = self._clock.now_ms()
@@ -49,48 +53,52 @@
             self._wait_until(due_ms)
             self.tally.counts['offered'] += 1
             if pool.free() > 0:
-                pool.spawn_n(self._one, number, due_ms)
+                pool.spawn_n(self._run_request, number, due_ms)
             else:
                 self.tally.counts['given_up'] += 1
         pool.waitall()
         self.tally.span_ms = self._clock.now_ms() - first_ms
 
     def _wait_until(self, due_ms: float) -> None:
-        left_ms = due_ms - self._clock.now_ms()
-        sleep(max(0, left_ms) / _MS_PER_SECOND)
+        remaining_ms = due_ms - self._clock.now_ms()
+        sleep(max(0, remaining_ms) / _MS_PER_SECOND)
 
-    def _one(self, number: int, due_ms: float) -> None:
-        end = self._ask(number)
-        count_end(self.tally, end, self._clock.now_ms() - due_ms)
+    def _run_request(self, number: int, due_ms: float) -> None:
+        outcome = self._send_query(number)
+        record_outcome(self.tally, outcome, self._clock.now_ms() - due_ms)
 
 
-def count_end(tally: Tally, end: QueryEnd, took_ms: float) -> None:
-    """Add the end of one request to a tally."""
-    event = end.event
+def record_outcome(tally: Tally, outcome: QueryOutcome, took_ms: float) -> None:
+    """Add the outcome of a request to a tally."""
+    event = outcome.event
     if isinstance(event, QueryAnswered):
         _count_answer(tally, event)
-        add_latency(tally.answers, took_ms)
-        for name, amount in attrs.asdict(end.work).items():
+        add_latency(tally.answer_latency, took_ms)
+        for name, amount in attrs.asdict(outcome.work).items():
             tally.counts[name] += amount
     elif isinstance(event, Refused):
         tally.counts['refused'] += 1
         tally.counts[f'code_{event.code}'] += 1
         if event.verdict is Verdict.NOT_RUN:
             tally.counts['not_run'] += 1
-        add_latency(tally.refusals, took_ms)
+        add_latency(tally.refusal_latency, took_ms)
     else:
         tally.counts['lost'] += 1
 
 
 def run_load(spec: LoadSpec) -> Tally:
-    """Run a load to its end, check its answers and write its history."""
+    """Run a load, check the answers and write the history."""
     recorder = Recorder(clock=wall_clock())
     client = caller_client(spec, recorder)
-    load = OpenLoad(spec=spec, clock=system_clock(), ask=client.ask)
+    load = OpenLoopLoad(
+        spec=spec, clock=system_clock(), send_query=client.send_query
+    )
     load.run()
     history = gather(recorder.events)
-    for found in _violations(spec, history)[:_SHOWN]:
-        load.tally.violations.append(f'{found.promise.value}: {found.detail}')
+    for violation in _find_violations(spec, history)[:_MAX_VIOLATIONS]:
+        load.tally.violations.append(
+            f'{violation.promise.value}: {violation.detail}'
+        )
     if spec.history:
         write_history(spec.history, history)
     return load.tally
@@ -102,7 +110,7 @@
     tally.fractions += event.fraction
 
 
-def _violations(spec: LoadSpec, history: History) -> list[Violation]:
+def _find_violations(spec: LoadSpec, history: History) -> list[Violation]:
     truth = front_truth(spec.keys, spec.front_seed, spec.newest)
     return [
         *check_snapshot(history, truth),
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_reply.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_reply.py
@@ -1,4 +1,4 @@
-"""Reads a daemon's reply to a query as the event that ends a try."""
+"""Parsing of the answer to a query into an event of the history."""
 
 import json
 from typing import Any
@@ -20,7 +20,14 @@
 
 @attrs.frozen(kw_only=True)
 class Work:
-    """What an answer says that was done for it."""
+    """Work that an answer reports.
+
+    Attributes:
+        sub_queries: number of sub-queries.
+        hedges: number of hedges.
+        retries: number of retries.
+        reruns: number of reruns of the query.
+    """
 
     sub_queries: int = 0
     hedges: int = 0
@@ -29,37 +36,44 @@
 
 
 @attrs.frozen(kw_only=True)
-class QueryEnd:
-    """How a try ended, with the work that the answer reports."""
+class QueryOutcome:
+    """Outcome of a query.
+
+    Attributes:
+        event: event that ends the attempt.
+        work: work that the answer reports.
+    """
 
     event: Ended
     work: Work = Work()
 
 
-def query_end(
+def parse_reply(
     attempt: str,
     at_ms: float,
     status: int,
     body: bytes,
-) -> QueryEnd:
-    """Read a reply; one that breaks the contract counts as cut.
+) -> QueryOutcome:
+    """Parse an answer; a malformed answer counts as a lost connection.
 
     Args:
-        attempt: the try that got the reply.
-        at_ms: when it came.
-        status: its HTTP status.
-        body: its body.
+        attempt: id of the attempt.
+        at_ms: time of the answer in milliseconds.
+        status: HTTP status of the answer.
+        body: body of the answer.
     """
     try:
-        return _parsed(attempt, at_ms, status, json.loads(body))
+        return _parse_body(attempt, at_ms, status, json.loads(body))
     except (KeyError, TypeError, ValueError) as error:
-        detail = f'status {status}, unreadable: {error!r}'
-    return QueryEnd(
+        detail = f'malformed answer with status {status}: {error!r}'
+    return QueryOutcome(
         event=ConnectionCut(at_ms=at_ms, attempt=attempt, detail=detail),
     )
 
 
-def _parsed(attempt: str, at_ms: float, status: int, reply: Any) -> QueryEnd:
+def _parse_body(
+    attempt: str, at_ms: float, status: int, reply: Any
+) -> QueryOutcome:
     if status != _OK:
         event = Refused(
             at_ms=at_ms,
@@ -68,15 +82,15 @@
             code=reply['code'],
             verdict=Verdict(reply['verdict']),
         )
-        return QueryEnd(event=event)
+        return QueryOutcome(event=event)
     work = reply['work']
-    return QueryEnd(
-        event=_answered(attempt, at_ms, reply),
+    return QueryOutcome(
+        event=_answer_event(attempt, at_ms, reply),
         work=Work(**{name: work[name] for name in attrs.fields_dict(Work)}),
     )
 
 
-def _answered(attempt: str, at_ms: float, reply: Any) -> QueryAnswered:
+def _answer_event(attempt: str, at_ms: float, reply: Any) -> QueryAnswered:
     coverage = reply['coverage']
     return QueryAnswered(
         at_ms=at_ms,
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_spec.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_spec.py
@@ -1,4 +1,4 @@
-"""What one caller stand-in is told at its start."""
+"""Specification of the load of a caller stand-in."""
 
 from pathlib import Path
 
@@ -7,28 +7,30 @@
 
 @attrs.frozen(kw_only=True)
 class LoadSpec:
-    """An open load: requests start when due, however slow the answers are.
+    """Open-loop load: requests start on schedule, however slow answers are.
 
     Attributes:
         entries: caller addresses of daemons, separated by commas; each
-            request goes to one of them at random.
-        front: the front that is asked.
-        keys: size of its key space.
-        front_seed: seed of its records.
-        newest: the snapshots from 1 to this one exist.
-        wanted: how many keys, evenly spread, each query asks for.
-        rate_per_s: mean of requests a second.
-        count: how many requests in all.
-        open_requests: most requests in progress; further ones are given up.
-        deadline_ms: deadline of each request.
-        link_ms: delay of the network, one way, added to both ways.
-        caller: name of the caller, the start of its request ids.
-        tenant: who asks.
-        class_: for which class of work.
-        whole: whether a partial answer is refused.
-        floor: least fraction that a partial answer must cover.
-        seed: seed of gaps and choices.
-        history: file that takes the events; none keeps them in memory.
+            request goes to a random address.
+        front: name of the front.
+        keys: size of the key space of the front.
+        front_seed: seed of the records of the front.
+        newest: number of the newest snapshot; snapshots start at 1.
+        wanted: number of evenly spread keys in each query.
+        rate_per_s: mean number of requests per second.
+        count: total number of requests.
+        open_requests: maximum number of requests in flight; a request that is
+            due above the limit is not sent.
+        deadline_ms: deadline of each request in milliseconds.
+        link_ms: simulated one-way network delay in milliseconds, added in
+            both directions.
+        caller: name of the caller, the prefix of the request ids.
+        tenant: tenant of the requests.
+        class_: traffic class of the requests.
+        whole: whether only complete answers are accepted.
+        floor: minimum coverage of a partial answer, as a fraction.
+        seed: seed of the gaps between requests and of the random choices.
+        history: file that the events are written to; no file if None.
     """
 
     entries: str
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_tally.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_tally.py
@@ -1,4 +1,4 @@
-"""Counts and histograms of what callers got, which add up."""
+"""Mergeable counts and latency histograms of the requests of callers."""
 
 import json
 from collections import Counter
@@ -8,108 +8,109 @@
 import attrs
 from hdrh.histogram import HdrHistogram
 
-_LOWEST_US: Final = 1
-_HIGHEST_US: Final = 600_000_000
-_DIGITS: Final = 3
+_MIN_LATENCY_US: Final = 1
+_MAX_LATENCY_US: Final = 600_000_000
+_SIGNIFICANT_DIGITS: Final = 3
 _US_PER_MS: Final = 1000
 _PERCENT: Final = 100
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+    return HdrHistogram(_MIN_LATENCY_US, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
 
 
 @attrs.define(kw_only=True, eq=False)
 class Tally:
-    """What a load of requests came to.
+    """Outcomes of the requests of a load.
 
     Attributes:
-        counts: how many requests met each outcome, and the sums of the work
-            that the answers report.
-        fractions: sum of the fractions of all answers.
-        violations: broken promises, in words.
-        span_ms: from the first request due to the last end.
-        answers: latency of answers, from when the request was due.
-        refusals: the same of refusals.
+        counts: number of requests by outcome, and sums of the work that the
+            answers report.
+        fractions: sum of the coverage fractions of all answers.
+        violations: descriptions of violated guarantees.
+        span_ms: time from the start of the load to the last outcome, in
+            milliseconds.
+        answer_latency: latency of answers from the time the request was due.
+        refusal_latency: latency of refusals from the time the request was due.
     """
 
     counts: Counter[str] = attrs.field(factory=Counter)
     fractions: float = 0
     violations: list[str] = attrs.field(factory=list)
     span_ms: float = 0
-    answers: HdrHistogram = attrs.field(factory=_histogram)
-    refusals: HdrHistogram = attrs.field(factory=_histogram)
+    answer_latency: HdrHistogram = attrs.field(factory=_histogram)
+    refusal_latency: HdrHistogram = attrs.field(factory=_histogram)
 
-    def quantile_ms(self, share: float) -> float:
-        """Give a quantile of the latency of answers."""
-        return _quantile_ms(self.answers, share)
+    def quantile_ms(self, fraction: float) -> float:
+        """Return a quantile of the latency of answers in milliseconds."""
+        return _quantile_ms(self.answer_latency, fraction)
 
-    def refusal_ms(self, share: float) -> float:
-        """Give a quantile of the time to a refusal."""
-        return _quantile_ms(self.refusals, share)
+    def refusal_ms(self, fraction: float) -> float:
+        """Return a quantile of the latency of refusals in milliseconds."""
+        return _quantile_ms(self.refusal_latency, fraction)
 
     def per_second(self, name: str) -> float:
-        """Give a count by second of the span."""
+        """Return a count divided by the duration of the load in seconds."""
         return self.counts[name] * _US_PER_MS / max(self.span_ms, 1)
 
     def ratio(self, name: str, base: str) -> float:
-        """Give one count as a share of another; 0 of nothing."""
+        """Return the ratio of two counts; the denominator is at least 1."""
         return self.counts[name] / max(self.counts[base], 1)
 
     def to_json(self) -> str:
-        """Write the tally as one line."""
+        """Serialise the tally as one line of JSON."""
         return json.dumps(
             {
                 'counts': self.counts,
                 'fractions': self.fractions,
                 'violations': self.violations,
                 'span_ms': self.span_ms,
-                'answers': self.answers.encode().decode(),
-                'refusals': self.refusals.encode().decode(),
+                'answers': self.answer_latency.encode().decode(),
+                'refusals': self.refusal_latency.encode().decode(),
             },
         )
 
 
 def parse_tally(line: str) -> Tally:
-    """Read what `Tally.to_json` wrote."""
+    """Parse the output of `Tally.to_json`."""
     fields: dict[str, Any] = json.loads(line)
     return Tally(
         counts=Counter(fields['counts']),
         fractions=fields['fractions'],
         violations=fields['violations'],
         span_ms=fields['span_ms'],
-        answers=HdrHistogram.decode(fields['answers']),
-        refusals=HdrHistogram.decode(fields['refusals']),
+        answer_latency=HdrHistogram.decode(fields['answers']),
+        refusal_latency=HdrHistogram.decode(fields['refusals']),
     )
 
 
 def add_latency(histogram: HdrHistogram, latency_ms: float) -> None:
-    """Record one latency."""
-    histogram.record_value(max(_LOWEST_US, round(latency_ms * _US_PER_MS)))
+    """Record a latency in a histogram."""
+    histogram.record_value(max(_MIN_LATENCY_US, round(latency_ms * _US_PER_MS)))
 
 
-def beside(tallies: Iterable[Tally]) -> Tally:
-    """Add tallies of loads that ran at the same time."""
-    return _added(tallies, max)
+def merge_parallel(tallies: Iterable[Tally]) -> Tally:
+    """Merge the tallies of loads that ran at the same time."""
+    return _merge(tallies, max)
 
 
 def in_turn(tallies: Iterable[Tally]) -> Tally:
-    """Add tallies of loads that ran one after the other."""
-    return _added(tallies, sum)
+    """Merge the tallies of loads that ran one after the other."""
+    return _merge(tallies, sum)
 
 
-def _added(tallies: Iterable[Tally], span: Any) -> Tally:
+def _merge(tallies: Iterable[Tally], merge_spans: Any) -> Tally:
     parts = list(tallies)
-    total = Tally(span_ms=span(part.span_ms for part in parts))
+    total = Tally(span_ms=merge_spans(part.span_ms for part in parts))
     for part in parts:
         total.counts.update(part.counts)
         total.fractions += part.fractions
         total.violations.extend(part.violations)
-        total.answers.add(part.answers)
-        total.refusals.add(part.refusals)
+        total.answer_latency.add(part.answer_latency)
+        total.refusal_latency.add(part.refusal_latency)
     return total
 
 
-def _quantile_ms(histogram: HdrHistogram, share: float) -> float:
-    micros = histogram.get_value_at_percentile(share * _PERCENT)
+def _quantile_ms(histogram: HdrHistogram, fraction: float) -> float:
+    micros = histogram.get_value_at_percentile(fraction * _PERCENT)
     return float(micros) / _US_PER_MS
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_truth.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_truth.py
@@ -1,4 +1,4 @@
-"""What the front of the stand-ins holds, for the checkers of histories."""
+"""Records that the backend server stand-ins hold, for checks of histories."""
 
 import functools
 import json
@@ -11,18 +11,18 @@
 from fennelfork_bench.backend_server._records import Query, select_records
 from fennelfork_bench.checks._base import Truth
 
-_CACHED: Final = 256
+_CACHE_SIZE: Final = 256
 
 
 def front_truth(keys: int, front_seed: int, newest: int) -> Truth:
-    """Build the truth of a front of the stand-ins.
+    """Build the reference data of a front of backend server stand-ins.
 
-    The stamp of a record is its text, which names its key and snapshot.
+    The stamp of a record is its text, which contains the key and the snapshot.
 
     Args:
         keys: size of the key space.
         front_seed: seed of the records.
-        newest: the snapshots from 1 to this one exist.
+        newest: number of the newest snapshot; snapshots start at 1.
     """
     return Truth(
         keys=keys,
@@ -31,13 +31,13 @@
     )
 
 
-@functools.lru_cache(_CACHED)
+@functools.lru_cache(_CACHE_SIZE)
 def _stamps(
-    whole: KeyRange,
+    key_space: KeyRange,
     front_seed: int,
     snapshot: int,
     query: str,
 ) -> Mapping[int, str]:
-    wanted = cattrs.structure(json.loads(query), Query)
-    found = select_records(front_seed, snapshot, whole, wanted)
-    return {record.key: record.text for record in found}
+    parsed_query = cattrs.structure(json.loads(query), Query)
+    matches = select_records(front_seed, snapshot, key_space, parsed_query)
+    return {record.key: record.text for record in matches}
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_check.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_check.py
@@ -1,4 +1,4 @@
-"""Judges one answer against what the backend servers hold."""
+"""Check of an answer against the records of the backend servers."""
 
 from collections.abc import Iterable
 from typing import Any, Final
@@ -9,17 +9,17 @@
 from fennelfork_bench.rig._caller import Asked
 
 _FRONT_SEED: Final = 1
-_NEAR: Final = 1e-6
+_TOLERANCE: Final = 1e-6
 
 
 @attrs.frozen(kw_only=True)
 class Expected:
-    """What a right answer holds.
+    """Expected content of an answer.
 
     Attributes:
-        keys: key space of the front.
-        wanted: keys that the query matches; none means all.
-        complete: whether nothing may be missing.
+        keys: size of the key space of the front.
+        wanted: keys that the query matches; None means all keys.
+        complete: whether the answer must be complete.
     """
 
     keys: int
@@ -28,14 +28,14 @@
 
 
 def faults_of(asked: Asked, expected: Expected) -> list[str]:
-    """List what is wrong with an answer; nothing if it is right.
+    """Return the faults of an answer; an empty list if it is correct.
 
     Args:
-        asked: the request and its answer.
-        expected: what is right.
+        asked: request and its answer.
+        expected: expected content of the answer.
 
     Returns:
-        One sentence a fault.
+        Description of each fault.
     """
     body = asked.reply.body
     if not asked.reply.fine:
@@ -43,15 +43,15 @@
     missing = _missing_keys(body['coverage'])
     checks = (
         (body['request_id'] == asked.request_id, 'answer to another request'),
-        (_records_match(body, expected, missing), 'wrong records'),
-        (_fraction_is_true(body, expected, missing), 'coverage is not true'),
+        (_are_records_correct(body, expected, missing), 'wrong records'),
+        (_is_fraction_correct(body, expected, missing), 'wrong coverage'),
         (
             body['coverage']['complete'] is not bool(missing),
-            'complete contradicts what is missing',
+            'complete contradicts the missing ranges',
         ),
         (not (expected.complete and missing), 'not complete'),
     )
-    return [fault for holds, fault in checks if not holds]
+    return [description for is_correct, description in checks if not is_correct]
 
 
 def _missing_keys(coverage: dict[str, Any]) -> set[int]:
@@ -59,7 +59,7 @@
     return {key for span in spans for key in range(span['lo'], span['hi'])}
 
 
-def _records_match(
+def _are_records_correct(
     body: dict[str, Any],
     expected: Expected,
     missing: Iterable[int],
@@ -68,17 +68,17 @@
     if wanted is None:
         wanted = frozenset(range(expected.keys))
     snapshot = body['snapshot']
-    right = [
+    expected_records = [
         attrs.asdict(record_at(_FRONT_SEED, key, snapshot))
         for key in sorted(wanted.difference(missing))
     ]
-    return bool(body['records'] == right)
+    return bool(body['records'] == expected_records)
 
 
-def _fraction_is_true(
+def _is_fraction_correct(
     body: dict[str, Any],
     expected: Expected,
     missing: set[int],
 ) -> bool:
     fraction = 1 - len(missing) / expected.keys
-    return bool(abs(body['coverage']['fraction'] - fraction) < _NEAR)
+    return bool(abs(body['coverage']['fraction'] - fraction) < _TOLERANCE)
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet of the demo: one front for each deployment of the brief."""
+"""Fleet of the demo, with one front for each deployment of the brief."""
 
 from typing import Final
 
@@ -18,18 +18,18 @@
 CEDOLE: Final = 'cedole-trinacria'
 _HALF: Final = KEYS // 2
 _ENTRY_TTL_MS: Final = 2000
-_STRAGGLE: Final = 0.01
+_STRAGGLER_SHARE: Final = 0.01
 _HEDGE: Final = {'policy': 'quantile', 'quantile': 0.95, 'delay_ms': 30}
 
 
 def demo_fleet(seed: int) -> FleetSpec:
-    """Build six backend servers over two fronts, and three daemons.
+    """Build the specification of two fronts and three daemons.
 
-    In each front the lower half of the keys has two servers and the upper
-    half has one, so that a lost server may or may not cost coverage.
+    In each front the lower half of the keys has two replicas and the upper
+    half has one, so that only the loss of the latter reduces coverage.
 
     Args:
-        seed: of the service times.
+        seed: seed of the service times.
     """
     return FleetSpec(
         fronts=(
@@ -57,6 +57,6 @@
         lo=lo,
         hi=hi,
         keys=KEYS,
-        straggle=_STRAGGLE,
+        straggle=_STRAGGLER_SHARE,
         seed=seed,
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_load.py
@@ -1,4 +1,4 @@
-"""Steady lookups of several callers while the demo kills processes."""
+"""Continuous lookups of several callers while the demo kills processes."""
 
 import itertools
 import random
@@ -20,50 +20,50 @@
 from fennelfork_bench.rig._caller import Caller
 
 _CALLERS: Final = 6
-_GAP_S: Final = 0.03
-_PLACES: Final = tuple(
+_PAUSE_S: Final = 0.03
+_LOCATIONS: Final = tuple(
     f'?region=region-{number}&data_centre=dc-{number}' for number in (1, 2, 3)
 )
 _TENANTS: Final = ((SALVARE_FRONT, SALVARE), (CEDOLE_FRONT, CEDOLE))
 
 
 @attrs.define(kw_only=True)
-class Load:
-    """Callers that ask until told to stop.
+class LookupLoad:
+    """Callers that send lookups until the load is stopped.
 
     Attributes:
-        step: takes the answers of requests sent from now on.
+        step: step of the demo that records the next requests.
     """
 
     step: Step
     _seeds: tuple[str, ...]
     _randomness: random.Random
-    _stopped: bool = False
+    _is_stopped: bool = False
     _pool: eventlet.GreenPool = attrs.field(factory=eventlet.GreenPool)
 
     def start(self) -> None:
-        """Start every caller."""
+        """Start all callers."""
         for number in range(_CALLERS):
-            self._pool.spawn(self._call, number)
+            self._pool.spawn(self._run_caller, number)
 
     def stop(self) -> None:
-        """Let every caller finish its request and end."""
-        self._stopped = True
+        """Stop all callers after their current requests."""
+        self._is_stopped = True
         self._pool.waitall()
 
-    def _call(self, number: int) -> None:
+    def _run_caller(self, number: int) -> None:
         front, tenant = _TENANTS[number % len(_TENANTS)]
-        place = _PLACES[number % len(_PLACES)]
+        place = _LOCATIONS[number % len(_LOCATIONS)]
         caller = Caller(seeds=self._seeds, place=place)
-        for _ in itertools.takewhile(self._goes_on, itertools.count()):
+        for _ in itertools.takewhile(self._is_running, itertools.count()):
             step = self.step
             key = self._randomness.randrange(KEYS)
             asked = caller.query(front, lookup(tenant, key))
-            step.add(asked, faults_of(asked, one_key(key)))
-            time.sleep(_GAP_S)
+            step.add(asked, faults_of(asked, expect_one_key(key)))
+            time.sleep(_PAUSE_S)
 
-    def _goes_on(self, _: int) -> bool:
-        return not self._stopped
+    def _is_running(self, _: int) -> bool:
+        return not self._is_stopped
 
 
 def lookup(tenant: str, key: int) -> dict[str, object]:
@@ -76,12 +76,14 @@
     }
 
 
-def one_key(key: int) -> Expected:
-    """Give what the answer to a lookup must hold."""
+def expect_one_key(key: int) -> Expected:
+    """Return the expected answer to a lookup of one record."""
     return Expected(keys=KEYS, wanted=frozenset((key,)))
 
 
-def register(tenant: str, mode: str, floor: float = 0) -> dict[str, object]:
+def register_body(
+    tenant: str, mode: str, floor: float = 0
+) -> dict[str, object]:
     """Build the body of a query for a whole register."""
     return {
         'tenant': tenant,
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_run.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_run.py
@@ -1,4 +1,4 @@
-"""The demo: a small fleet, real requests, and processes that are killed."""
+"""Run of the demo: requests to a small fleet while processes are killed."""
 
 import sys
 import time
@@ -7,7 +7,7 @@
 
 import attrs
 
-from fennelfork_bench.demo import _steps as steps_of
+from fennelfork_bench.demo import _steps as demo_steps
 from fennelfork_bench.demo._fleet import demo_fleet
 from fennelfork_bench.demo._table import Step, steps_table
 from fennelfork_bench.rig._config import await_version, first_patch
@@ -16,12 +16,18 @@
 from fennelfork_bench.rig._report import Arm, Report
 from fennelfork_bench.rig._settings import write_toml
 
-_CLI_CAP_S: Final = 20
+_CLI_TIMEOUT_S: Final = 20
 
 
 @attrs.frozen(kw_only=True)
 class DemoReport:
-    """Every step; prints as a table, and fails if an answer was not right."""
+    """Report of the demo.
+
+    Attributes:
+        seed: seed of the run.
+        steps: steps in the order of the run.
+        took_s: duration of the run in seconds.
+    """
 
     seed: int
     steps: tuple[Step, ...]
@@ -29,22 +35,26 @@
 
     @property
     def failures(self) -> tuple[str, ...]:
-        """What was wrong with any answer."""
+        """Faults of the answers of all steps."""
         return tuple(fault for step in self.steps for fault in step.faults)
 
     def to_text(self) -> str:
-        """Write the table and the conclusion."""
-        wrong = sum(step.wrong for step in self.steps)
-        conclusion = f'{wrong} answers wrong, {self.took_s:.0f} s in all'
-        listed = list(self.steps)
-        return '\n'.join((steps_table(listed), conclusion, *self.failures))
+        """Format the table of steps, a summary and the faults."""
+        wrong_count = sum(step.wrong_count for step in self.steps)
+        conclusion = (
+            f'{wrong_count} wrong answers, total time {self.took_s:.0f} s'
+        )
+        listed_steps = list(self.steps)
+        return '\n'.join(
+            (steps_table(listed_steps), conclusion, *self.failures)
+        )
 
     def to_json(self) -> str:
-        """Write the counts of each step as the JSON of an experiment."""
+        """Serialise the counts of each step like the report of an experiment."""
         arms = tuple(
             Arm(
                 name=step.name,
-                metrics={'asked': len(step.asked), 'wrong': step.wrong},
+                metrics={'asked': len(step.asked), 'wrong': step.wrong_count},
             )
             for step in self.steps
         )
@@ -55,13 +65,13 @@
     """Run the demo.
 
     Args:
-        seed: of the service times and the keys asked for.
+        seed: seed of the service times and of the requested keys.
     """
     started_s = time.monotonic()
     with rig() as started:
         fleet = empty_fleet(started, demo_fleet(seed))
         fleet.start_backends().start_daemons()
-        _patch_by_command(fleet)
+        _apply_first_patch(fleet)
         done = _run_steps(fleet, seed)
     return DemoReport(
         seed=seed,
@@ -72,18 +82,18 @@
 
 def _run_steps(fleet: Fleet, seed: int) -> list[Step]:
     return [
-        steps_of.ask_entries(fleet),
-        steps_of.look_up(fleet, seed),
-        steps_of.read_register(fleet, 'whole register'),
-        steps_of.issue_certificate(fleet, 'issue certificate', 7),
-        *steps_of.kill_under_load(fleet, seed),
-        steps_of.read_register(fleet, 'whole register again'),
-        steps_of.issue_certificate(fleet, 'issue another', 8),
-        *steps_of.lose_a_range(fleet),
+        demo_steps.fetch_entries(fleet),
+        demo_steps.look_up_records(fleet, seed),
+        demo_steps.read_register(fleet, 'whole register'),
+        demo_steps.issue_certificate(fleet, 'issue certificate', 7),
+        *demo_steps.kill_under_load(fleet, seed),
+        demo_steps.read_register(fleet, 'whole register again'),
+        demo_steps.issue_certificate(fleet, 'issue another', 8),
+        *demo_steps.kill_only_replica(fleet),
     ]
 
 
-def _patch_by_command(fleet: Fleet) -> None:
+def _apply_first_patch(fleet: Fleet) -> None:
     path: Path = fleet.rig.directory / 'fronts.toml'
     path.write_text(write_toml(first_patch(fleet)))
     command = fleet.rig.start(
@@ -93,7 +103,7 @@
             *('--base', '0', '--operator', fleet.operators[0], str(path)),
         ),
     )
-    if command.wait(_CLI_CAP_S) != 0:
-        said = command.stdout.read_text() + command.stderr.read_text()
-        raise RigError(f'fennelfork config patch failed: {said}')
+    if command.wait(_CLI_TIMEOUT_S) != 0:
+        output_text = command.stdout.read_text() + command.stderr.read_text()
+        raise RigError(f'fennelfork config patch failed: {output_text}')
     await_version(fleet, 1)
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_table.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_table.py
@@ -1,4 +1,4 @@
-"""The table that the demo prints: one row a step."""
+"""Table that the demo prints, with one row for each step."""
 
 from typing import Final
 
@@ -7,7 +7,7 @@
 from fennelfork_bench.rig._caller import Asked
 from fennelfork_bench.rig._report import percentile, table
 
-_TITLES: Final = (
+_COLUMNS: Final = (
     'step',
     'asked',
     'right',
@@ -26,30 +26,32 @@
 
 @attrs.define(kw_only=True)
 class Step:
-    """One step of the demo and everything that was asked in it.
+    """Step of the demo with its requests.
 
     Attributes:
-        asked: every request and its answer.
-        faults: what was wrong, a sentence each.
-        wrong: how many answers had a fault.
+        name: name of the step.
+        asked: requests and their answers.
+        faults: descriptions of the faults of all answers.
+        wrong_count: number of answers with a fault.
+        remark: text of the last column.
     """
 
     name: str
     asked: list[Asked] = attrs.field(factory=list)
     faults: list[str] = attrs.field(factory=list)
-    wrong: int = 0
+    wrong_count: int = 0
     remark: str = ''
 
     def add(self, asked: Asked, faults: list[str]) -> None:
-        """Note one answer and what was wrong with it."""
+        """Record an answer and its faults."""
         self.asked.append(asked)
         self.faults.extend(f'{self.name}: {fault}' for fault in faults)
         if faults:
-            self.wrong += 1
+            self.wrong_count += 1
             self.remark = faults[0]
 
     def row(self) -> list[str]:
-        """Write the row of the table."""
+        """Format the row of the step."""
         bodies = [each.reply.body for each in self.asked]
         fractions = [
             body['coverage']['fraction']
@@ -61,12 +63,12 @@
         return [
             self.name,
             str(len(self.asked)),
-            str(len(self.asked) - self.wrong),
+            str(len(self.asked) - self.wrong_count),
             str(sum(each.attempts - 1 for each in self.asked)),
             str(sum(len(body.get('records', ())) for body in bodies)),
-            _seen([body.get('snapshot') for body in bodies]),
+            _join_distinct([body.get('snapshot') for body in bodies]),
             f'{min(fractions):.3f}' if fractions else '-',
-            _seen([body.get('config_version') for body in bodies]),
+            _join_distinct([body.get('config_version') for body in bodies]),
             str(sum(hedges)),
             f'{percentile(times_ms, _MEDIAN):.0f}' if times_ms else '-',
             f'{max(times_ms):.0f}' if times_ms else '-',
@@ -75,10 +77,10 @@
 
 
 def steps_table(steps: list[Step]) -> str:
-    """Write the whole table."""
-    return table([list(_TITLES), *(step.row() for step in steps)])
+    """Format the table of all steps."""
+    return table([list(_COLUMNS), *(step.row() for step in steps)])
 
 
-def _seen(found: list[int | None]) -> str:
-    known = sorted({each for each in found if each is not None})
-    return ','.join(map(str, known)) or '-'
+def _join_distinct(numbers: list[int | None]) -> str:
+    distinct = sorted({each for each in numbers if each is not None})
+    return ','.join(map(str, distinct)) or '-'
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv.py
@@ -16,12 +16,12 @@
     reads_per_s: float = 0,
     writes_per_s: float = 0,
 ) -> None:
-    """Serve the subset of etcd's v3 JSON gateway that the product uses.
+    """Serve the subset of the etcd v3 JSON gateway that fennelfork uses.
 
     Args:
-        listen: address to listen on; port 0 lets the system choose.
-        reads_per_s: refuse reads above this rate; 0 means no limit.
-        writes_per_s: refuse writes above this rate; 0 means no limit.
+        listen: address to listen on; port 0 selects a free port.
+        reads_per_s: maximum rate of reads per second; 0 means no limit.
+        writes_per_s: maximum rate of writes per second; 0 means no limit.
     """
     built = application(system_clock(), reads_per_s, writes_per_s)
     eventlet.spawn(built.expire_forever)
--- a/packages/fennelfork-bench/src/fennelfork_bench/modules.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/modules.py
@@ -1,7 +1,7 @@
-"""Writes the list of folders and modules in docs/ARCHITECTURE.md.
+"""Generator of the list of folders and modules in docs/ARCHITECTURE.md.
 
-A line a folder, from the docstring of its `__init__`, and a line for each
-module that stands in no folder.
+The list has one row for each folder, from the docstring of its `__init__`,
+and one row for each module outside the folders.
 """
 
 import ast
@@ -22,11 +22,11 @@
 _END: Final = '<!-- end of modules -->\n'
 
 
-def page_with_modules(page: str) -> str:
-    """Replace the list of modules in a page.
+def update_module_list(page: str) -> str:
+    """Return a page with the current list of modules.
 
     Args:
-        page: text with both markers in it.
+        page: text of the page, with the start and end markers of the list.
     """
     head, _, rest = page.partition(_START)
     _, _, tail = rest.partition(_END)
@@ -35,9 +35,9 @@
 
 
 def main() -> None:
-    """Write the page."""
+    """Update docs/ARCHITECTURE.md."""
     page = _PAGE.read_text(encoding='utf-8')
-    _PAGE.write_text(page_with_modules(page), encoding='utf-8')
+    _PAGE.write_text(update_module_list(page), encoding='utf-8')
     sys.stdout.write(f'{_PAGE.name} written\n')
 
 
@@ -56,8 +56,8 @@
 
 
 def _rows(folder: pathlib.Path) -> Iterator[str]:
-    for inside in sorted(folder.glob('*/__init__.py')):
-        yield f'| `{inside.parent.name}/` | {_first_line(inside)} |'
+    for package_init in sorted(folder.glob('*/__init__.py')):
+        yield f'| `{package_init.parent.name}/` | {_first_line(package_init)} |'
     for module in sorted(folder.glob('*.py')):
         yield f'| `{module.stem}` | {_first_line(module)} |'
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/vms.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/vms.py
@@ -13,8 +13,8 @@
     """Serve the list of VMs at `GET /v1/vms`.
 
     Args:
-        listen: address to listen on; port 0 lets the system choose.
-        lag_ms: a change of the truth shows only when it is this old.
+        listen: address to listen on; port 0 selects a free port.
+        lag_ms: age in milliseconds at which a change becomes visible.
     """
     serve(listen, application(system_clock(), lag_ms))
 
--- a/packages/fennelfork-bench/tests/bench_builders_caller.py
+++ b/packages/fennelfork-bench/tests/bench_builders_caller.py
@@ -1,4 +1,4 @@
-"""A stand-in of a daemon's caller face, for tests of the caller."""
+"""Stand-in of the caller API of a daemon, for tests of the caller."""
 
 import contextlib
 import json
@@ -14,39 +14,39 @@
 from fennelfork_bench.backend_server._records import record_at
 from fennelfork_bench.callers._tally import Tally, parse_tally
 
-# Gives status and body of the reply to a request; none closes without one.
+# Returns the status and body of an answer; None closes the connection.
 Script = Callable[[dict[str, Any]], tuple[int, dict[str, Any]] | None]
 
 
 @contextlib.contextmanager
-def entry(script: Script) -> Iterator[str]:
-    """Serve one entry that answers after a script; gives its address."""
-    with ThreadingHTTPServer(('127.0.0.1', 0), _Exchange) as listening:
-        listening.script = script
-        thread = threading.Thread(target=listening.serve_forever)
+def serve_entry(script: Script) -> Iterator[str]:
+    """Serve a scripted entry address and yield `ip:port`."""
+    with ThreadingHTTPServer(('127.0.0.1', 0), _ScriptedHandler) as http_server:
+        http_server.script = script
+        thread = threading.Thread(target=http_server.serve_forever)
         thread.start()
         try:
-            yield f'127.0.0.1:{listening.server_port}'
+            yield f'127.0.0.1:{http_server.server_port}'
         finally:
-            listening.shutdown()
+            http_server.shutdown()
             thread.join()
 
 
 def run_caller(entries: str, **options: Any) -> Tally:
-    """Run the caller process to its end."""
+    """Run a caller process and return its tally."""
     named = {'entries': entries, 'rate_per_s': 200, 'count': 20, **options}
     arguments = [
         f'--{name.replace("_", "-")}={option}' for name, option in named.items()
     ]
     command = [sys.executable, '-m', 'fennelfork_bench.caller', *arguments]
-    done = subprocess.run(
+    completed = subprocess.run(
         command, check=True, capture_output=True, timeout=60, text=True
     )
-    return parse_tally(done.stdout)
+    return parse_tally(completed.stdout)
 
 
-def true_answer(body: dict[str, Any], **changes: Any) -> dict[str, Any]:
-    """Build the whole and true answer to a query for keys."""
+def correct_answer(body: dict[str, Any], **changes: Any) -> dict[str, Any]:
+    """Build the complete and correct answer to a query for keys."""
     return {
         'request_id': body['request_id'],
         'records': [record(key) for key in body['query']['keys']],
@@ -60,13 +60,13 @@
 
 
 def record(key: int) -> dict[str, Any]:
-    """Build the true record of a key at the first snapshot."""
-    found = record_at(1, key, 1)
-    return {'key': found.key, 'text': found.text}
+    """Build the record of a key in the first snapshot."""
+    matching_record = record_at(1, key, 1)
+    return {'key': matching_record.key, 'text': matching_record.text}
 
 
 def refusal(body: dict[str, Any]) -> dict[str, Any]:
-    """Build a refusal as not run."""
+    """Build a refusal with the verdict `not_run`."""
     return {
         'request_id': body['request_id'],
         'code': 'queue_full',
@@ -74,7 +74,7 @@
     }
 
 
-class _Exchange(BaseHTTPRequestHandler):
+class _ScriptedHandler(BaseHTTPRequestHandler):
     protocol_version = 'HTTP/1.1'
 
     def do_POST(self) -> None:
@@ -91,4 +91,4 @@
         self.wfile.write(payload)
 
     def log_message(self, *_: object) -> None:
-        """Write no log."""
+        """Suppress the request log."""
--- a/packages/fennelfork-bench/tests/conftest.py
+++ b/packages/fennelfork-bench/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings and fixtures of every test of the bench."""
+"""Hypothesis profiles and fixtures for the tests of the bench."""
 
 import os
 from collections.abc import Iterator
@@ -23,13 +23,13 @@
 
 @pytest.fixture
 def rig() -> Iterator[Rig]:
-    """Give a rig that ends its processes after the test."""
+    """Provide a rig that stops its processes after the test."""
     with new_rig() as started:
         yield started
 
 
 @pytest.fixture
 def key_value(rig: Rig) -> KeyValueClient:
-    """Give a client of a fresh key-value stand-in."""
+    """Provide a client of a new key-value store stand-in."""
     process = rig.start_module('key-value', 'fennelfork_bench.kv')
     return KeyValueClient(process=process.await_ready())
--- a/packages/fennelfork-bench/tests/test_demo_check.py
+++ b/packages/fennelfork-bench/tests/test_demo_check.py
@@ -1,4 +1,4 @@
-"""The judge of the demo's answers."""
+"""Tests of the check of answers in the demo."""
 
 import attrs
 import pytest
@@ -15,10 +15,10 @@
 
 def _asked(lo: int, hi: int, missing: list[dict[str, int]]) -> Asked:
     records = [attrs.asdict(record_at(1, key, 3)) for key in range(lo, hi)]
-    gaps = sum(each['hi'] - each['lo'] for each in missing)
+    missing_keys = sum(each['hi'] - each['lo'] for each in missing)
     coverage = {
         'complete': not missing,
-        'fraction': 1 - gaps / _KEYS,
+        'fraction': 1 - missing_keys / _KEYS,
         'missing': missing,
     }
     body = {
@@ -32,22 +32,22 @@
 
 
 class TestFaultsOf:
-    """Right answers pass and each kind of wrong one is named."""
+    """Correct answers have no faults; each kind of fault is found."""
 
-    def test_whole_and_partial_answers_pass(self) -> None:
-        """A full answer, and a partial one that says what lacks, are right."""
+    def test_complete_and_partial_answers_pass(self) -> None:
+        """Complete answers and partial answers with coverage are correct."""
         assert not faults_of(_asked(0, _KEYS, []), _ALL)
-        half = _asked(0, 10, [{'lo': 10, 'hi': _KEYS}])
-        assert not faults_of(half, _PARTIAL)
+        partial_answer = _asked(0, 10, [{'lo': 10, 'hi': _KEYS}])
+        assert not faults_of(partial_answer, _PARTIAL)
 
-    def test_silent_loss_is_named(self) -> None:
-        """Records that lack without a word are wrong records."""
+    def test_unreported_loss_is_found(self) -> None:
+        """A missing record outside the missing ranges is a fault."""
         assert faults_of(_asked(0, 19, []), _ALL) == ['wrong records']
 
-    def test_partial_where_whole_was_wanted(self) -> None:
-        """A true partial answer is no answer to a caller who wants all."""
-        half = _asked(0, 10, [{'lo': 10, 'hi': _KEYS}])
-        assert faults_of(half, _ALL) == ['not complete']
+    def test_partial_answer_to_complete_query(self) -> None:
+        """A partial answer is a fault where a complete answer is expected."""
+        partial_answer = _asked(0, 10, [{'lo': 10, 'hi': _KEYS}])
+        assert faults_of(partial_answer, _ALL) == ['not complete']
 
     @pytest.mark.parametrize(
         ('changed', 'fault'),
@@ -62,7 +62,7 @@
                         'missing': [],
                     },
                 },
-                'coverage is not true',
+                'wrong coverage',
             ),
             (
                 {
@@ -72,30 +72,30 @@
                         'missing': [],
                     },
                 },
-                'complete contradicts what is missing',
+                'complete contradicts the missing ranges',
             ),
         ],
     )
-    def test_each_lie_is_named(
+    def test_wrong_field_is_found(
         self,
         changed: dict[str, object],
         fault: str,
     ) -> None:
-        """One untrue member is enough."""
-        right = _asked(0, _KEYS, [])
-        body = {**right.reply.body, **changed}
-        reply = attrs.evolve(right.reply, body=body)
-        assert faults_of(attrs.evolve(right, reply=reply), _ALL) == [fault]
+        """A single wrong field is a fault."""
+        correct = _asked(0, _KEYS, [])
+        body = {**correct.reply.body, **changed}
+        reply = attrs.evolve(correct.reply, body=body)
+        assert faults_of(attrs.evolve(correct, reply=reply), _ALL) == [fault]
 
-    def test_doubled_record_is_named(self) -> None:
-        """A record that comes twice is a wrong record."""
-        right = _asked(0, _KEYS, [])
-        records = right.reply.body['records']
-        right.reply.body['records'] = [records[0], *records]
-        assert faults_of(right, _ALL) == ['wrong records']
+    def test_duplicate_record_is_found(self) -> None:
+        """A duplicate record is a fault."""
+        correct = _asked(0, _KEYS, [])
+        records = correct.reply.body['records']
+        correct.reply.body['records'] = [records[0], *records]
+        assert faults_of(correct, _ALL) == ['wrong records']
 
-    def test_refusal_is_named(self) -> None:
-        """A problem document is no answer."""
+    def test_refusal_is_found(self) -> None:
+        """A problem document instead of an answer is a fault."""
         reply = HttpReply(status=503, body={'detail': 'busy'})
         asked = Asked(request_id='r1', reply=reply, attempts=1, took_ms=1)
         assert faults_of(asked, _ALL) == ['no answer: 503 busy']
--- a/packages/fennelfork-bench/tests/test_modules.py
+++ b/packages/fennelfork-bench/tests/test_modules.py
@@ -1,28 +1,28 @@
-"""The list of modules in docs/ARCHITECTURE.md."""
+"""Tests of the list of modules in docs/ARCHITECTURE.md."""
 
 import pathlib
 
-from fennelfork_bench.modules import page_with_modules
+from fennelfork_bench.modules import update_module_list
 
 _PAGE = pathlib.Path(__file__).parents[3] / 'docs/ARCHITECTURE.md'
 
 
-class TestPageWithModules:
-    """The page against the code."""
+class TestUpdateModuleList:
+    """Generation of the list from the code."""
 
     def test_is_up_to_date(self) -> None:
-        """Each folder and each module outside of one has its line; `make modules` writes them anew."""
+        """The list is up to date; `make modules` updates the page."""
         page = _PAGE.read_text(encoding='utf-8')
-        assert page_with_modules(page) == page
+        assert update_module_list(page) == page
 
     def test_replaces_only_the_list(self) -> None:
-        """What stands around the list stays."""
+        """The text around the list is unchanged."""
         page = (
             'a\n<!-- modules -->\nlist of before\n<!-- end of modules -->\nb\n'
         )
-        found = page_with_modules(page)
-        assert found.startswith('a\n<!-- modules -->\n### fennelfork\n')
-        assert found.endswith('<!-- end of modules -->\nb\n')
-        assert 'list of before' not in found
-        assert '| `_verdict` | Failure of a request and' in found
-        assert '| `gather/` | Partitioning, coverage and' in found
+        updated = update_module_list(page)
+        assert updated.startswith('a\n<!-- modules -->\n### fennelfork\n')
+        assert updated.endswith('<!-- end of modules -->\nb\n')
+        assert 'list of before' not in updated
+        assert '| `_verdict` | Failure of a request and' in updated
+        assert '| `gather/` | Partitioning, coverage and' in updated
--- a/packages/fennelfork-bench/tests/test_sources.py
+++ b/packages/fennelfork-bench/tests/test_sources.py
@@ -1,4 +1,4 @@
-"""What the sources of the workspace may not hold."""
+"""Checks of the sources of all packages."""
 
 import ast
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 
 def _http_attributes(path: Path) -> list[str]:
-    """List the submodules that a file takes as attributes of `http`."""
+    """Return the submodules that a module imports with `from http import`."""
     tree = ast.parse(path.read_text(encoding='utf-8'))
     return [
         alias.name
@@ -19,17 +19,17 @@
 
 
 class TestImports:
-    """Imports that eventlet's green modules make unsafe."""
+    """Imports that are unsafe together with eventlet."""
 
     def test_no_submodule_of_http_by_attribute(self) -> None:
-        """No file takes `server` from `http`.
+        """No module contains `from http import server`.
 
-        eventlet leaves a green copy there, and a real thread that serves
-        with it never wakes: the test hangs.
+        eventlet replaces the attribute with a green module, in which a server
+        on a native thread blocks for ever.
         """
-        found = {
+        unsafe_imports = {
             str(path): names
             for path in _PACKAGES.glob('*/*/**/*.py')
             if (names := _http_attributes(path))
         }
-        assert not found
+        assert not unsafe_imports
--- a/packages/fennelfork-cli/src/fennelfork_cli/_caller_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_caller_commands.py
@@ -139,7 +139,7 @@
     retry_fields = {name: body[name] for name in ('request_id', 'ticket')}
     return attrs.evolve(
         failure,
-        detail=f'{failure.detail}; to retry without running it twice: '
+        detail=f'{failure.detail}; to retry without running the request twice: '
         f'--request-id {retry_fields["request_id"]} --ticket {retry_fields["ticket"]}',
         problem=retry_fields | failure.problem,
     )
--- a/packages/fennelfork-cli/src/fennelfork_cli/_explain.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_explain.py
@@ -89,19 +89,19 @@
 
 def _explain_report(payload: JsonObject) -> Report:
     rows = [_event_row(event) for event in payload.get('events', ())]
-    facts = [
-        f'{name}: {_format_value(found)}'
-        for name, found in payload.items()
+    header_lines = [
+        f'{name}: {_format_value(field_value)}'
+        for name, field_value in payload.items()
         if name != 'events'
     ]
     events = text_table(_EVENT_COLUMNS, rows) if rows else _NO_EVENTS
-    return Report(payload=payload, text='\n'.join((*facts, events)))
+    return Report(payload=payload, text='\n'.join((*header_lines, events)))
 
 
 def _event_row(event: JsonObject) -> JsonObject:
     details = [
-        f'{name}={_format_value(found)}'
-        for name, found in event.items()
+        f'{name}={_format_value(field_value)}'
+        for name, field_value in event.items()
         if name not in _SEPARATE_COLUMNS
     ]
     return {
@@ -111,5 +111,7 @@
     }
 
 
-def _format_value(found: object) -> str:
-    return found if isinstance(found, str) else json.dumps(found)
+def _format_value(field_value: object) -> str:
+    return (
+        field_value if isinstance(field_value, str) else json.dumps(field_value)
+    )
--- a/packages/fennelfork-cli/src/fennelfork_cli/_fleet_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_fleet_commands.py
@@ -73,7 +73,7 @@
 
 
 def drain(*, options: OperatorOptions = _DEFAULT_OPTIONS) -> int:
-    """Drain a daemon: callers use other daemons; it runs until SIGTERM.
+    """Drain a daemon: redirect callers, serve requests until SIGTERM.
 
     Example: fennelfork drain --operator 127.0.0.1:8081
     """
--- a/packages/fennelfork-cli/src/fennelfork_cli/_log_search.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_log_search.py
@@ -68,21 +68,26 @@
     requests with the same fingerprint.
     """
     sorted_lines = sorted(lines, key=lambda line: line.timestamp)
-    own = [line for line in sorted_lines if line.request == request_id]
+    request_lines = [
+        line for line in sorted_lines if line.request == request_id
+    ]
     return [
         line
         for line in sorted_lines
-        if line in own
-        or any(_concerns_server_of(line, one) for one in own)
-        or _shares_fingerprint(line, own)
+        if line in request_lines
+        or any(
+            _concerns_server_of(line, request_line)
+            for request_line in request_lines
+        )
+        or _shares_fingerprint(line, request_lines)
     ]
 
 
 def format_line(line: LogLine) -> list[str]:
     """Format a log line as text, followed by one line for each step."""
     facts = ' '.join(
-        f'{name}={_format_value(found)}'
-        for name, found in line.facts.items()
+        f'{name}={_format_value(field_value)}'
+        for name, field_value in line.facts.items()
         if name != _STEPS_FIELD
     )
     head = f'{line.timestamp} {line.daemon} {line.event} {facts}'
@@ -106,36 +111,42 @@
             event=str(payload['event']),
             request=payload.get('request'),
             facts={
-                name: found
-                for name, found in payload.items()
+                name: field_value
+                for name, field_value in payload.items()
                 if name not in _COMMON_FIELDS
             },
         )
 
 
-def _concerns_server_of(line: LogLine, own: LogLine) -> bool:
+def _concerns_server_of(line: LogLine, request_line: LogLine) -> bool:
     """Return whether a line is about a backend server of a request."""
-    if line.daemon != own.daemon or line.timestamp > own.timestamp:
+    if (
+        line.daemon != request_line.daemon
+        or line.timestamp > request_line.timestamp
+    ):
         return False
-    if line.facts.get('server') not in set(_server_names(own)):
+    if line.facts.get('server') not in set(_server_names(request_line)):
         return False
-    return _age_s(line, own) <= _MAX_AGE_S
+    return _age_s(line, request_line) <= _MAX_AGE_S
 
 
-def _shares_fingerprint(line: LogLine, own: list[LogLine]) -> bool:
+def _shares_fingerprint(line: LogLine, request_lines: list[LogLine]) -> bool:
     """Return whether a line is about a request with the same fingerprint."""
-    fingerprints = {one.facts.get(_FINGERPRINT_FIELD) for one in own} - {None}
+    fingerprints = {
+        request_line.facts.get(_FINGERPRINT_FIELD)
+        for request_line in request_lines
+    } - {None}
     return (
         line.event in _FINGERPRINT_EVENTS
         and line.facts.get(_FINGERPRINT_FIELD) in fingerprints
     )
 
 
-def _age_s(line: LogLine, own: LogLine) -> float:
+def _age_s(line: LogLine, request_line: LogLine) -> float:
     """Return the time between two lines, 0 if a timestamp is malformed."""
     try:
         begin, end = map(
-            datetime.fromisoformat, (line.timestamp, own.timestamp)
+            datetime.fromisoformat, (line.timestamp, request_line.timestamp)
         )
     except ValueError:
         return 0
@@ -148,5 +159,7 @@
             yield step.partition(' ')[0]
 
 
-def _format_value(found: object) -> str:
-    return found if isinstance(found, str) else json.dumps(found)
+def _format_value(field_value: object) -> str:
+    return (
+        field_value if isinstance(field_value, str) else json.dumps(field_value)
+    )
--- a/packages/fennelfork-cli/src/fennelfork_cli/_page.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_page.py
@@ -60,8 +60,8 @@
     read = functools.partial(fetch_page, path)
     with ThreadPoolExecutor(_MAX_PARALLEL_REQUESTS) as pool:
         outcomes = pool.map(read, others)
-    found = (each for each in outcomes if isinstance(each, Success))
-    return next(found, Failure(_NOT_FOUND))
+    successes = (each for each in outcomes if isinstance(each, Success))
+    return next(successes, Failure(_NOT_FOUND))
 
 
 def print_page(
--- a/packages/fennelfork-cli/tests/test_app.py
+++ b/packages/fennelfork-cli/tests/test_app.py
@@ -382,7 +382,7 @@
         }
         with scripted_daemon(script) as daemon:
             script['/v1/entries'] = [entries_answer(daemon.address)]
-            found, out, _ = command(
+            actual_code, out, _ = command(
                 'query',
                 'f',
                 '--key=1',
@@ -391,7 +391,7 @@
                 daemon.address,
             )
             body = daemon.posted[0][1]
-        assert found == code
+        assert actual_code == code
         assert ('PARTIAL: 50.00%' in out) is not complete
         assert body['query'] == {'keys': [1]}
         assert body['coverage'] == {'mode': 'partial', 'floor': 0.4}
