--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_load.py
@@ -58,7 +58,7 @@
         for _ in itertools.takewhile(self._is_running, itertools.count()):
             step = self.step
             key = self._randomness.randrange(KEYS)
-            asked = caller.query(front, lookup(tenant, key))
+            asked = caller.query(front, lookup_body(tenant, key))
             step.add(asked, faults_of(asked, expect_one_key(key)))
             time.sleep(_PAUSE_S)
 
@@ -66,7 +66,7 @@
         return not self._is_stopped
 
 
-def lookup(tenant: str, key: int) -> dict[str, object]:
+def lookup_body(tenant: str, key: int) -> dict[str, object]:
     """Build the body of a lookup of one record."""
     return {
         'tenant': tenant,
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_steps.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_steps.py
@@ -15,7 +15,7 @@
 from fennelfork_bench.demo._load import (
     LookupLoad,
     expect_one_key,
-    lookup,
+    lookup_body,
     register_body,
 )
 from fennelfork_bench.demo._table import Step
@@ -70,7 +70,7 @@
     step = Step(name='lookups')
     caller = Caller(seeds=tuple(fleet.callers))
     for key in random.Random(seed).sample(range(KEYS), _LOOKUPS):
-        asked = caller.query(SALVARE_FRONT, lookup(SALVARE, key))
+        asked = caller.query(SALVARE_FRONT, lookup_body(SALVARE, key))
         step.add(asked, faults_of(asked, expect_one_key(key)))
     return step
 
