--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_load.py
@@ -107,7 +107,7 @@
 def _count_answer(tally: Tally, event: QueryAnswered) -> None:
     tally.counts['answered'] += 1
     tally.counts['complete'] += event.complete
-    tally.fractions += event.fraction
+    tally.coverage_sum += event.fraction
 
 
 def _find_violations(spec: LoadSpec, history: History) -> list[Violation]:
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_tally.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_tally.py
@@ -26,7 +26,7 @@
     Attributes:
         counts: number of requests by outcome, and sums of the work that the
             answers report.
-        fractions: sum of the coverage fractions of all answers.
+        coverage_sum: sum of the coverage fractions of all answers.
         violations: descriptions of violated guarantees.
         span_ms: time from the start of the load to the last outcome, in
             milliseconds.
@@ -35,17 +35,17 @@
     """
 
     counts: Counter[str] = attrs.field(factory=Counter)
-    fractions: float = 0
+    coverage_sum: float = 0
     violations: list[str] = attrs.field(factory=list)
     span_ms: float = 0
     answer_latency: HdrHistogram = attrs.field(factory=_histogram)
     refusal_latency: HdrHistogram = attrs.field(factory=_histogram)
 
-    def quantile_ms(self, fraction: float) -> float:
+    def answer_quantile_ms(self, fraction: float) -> float:
         """Return a quantile of the latency of answers in milliseconds."""
         return _quantile_ms(self.answer_latency, fraction)
 
-    def refusal_ms(self, fraction: float) -> float:
+    def refusal_quantile_ms(self, fraction: float) -> float:
         """Return a quantile of the latency of refusals in milliseconds."""
         return _quantile_ms(self.refusal_latency, fraction)
 
@@ -62,7 +62,7 @@
         return json.dumps(
             {
                 'counts': self.counts,
-                'fractions': self.fractions,
+                'fractions': self.coverage_sum,
                 'violations': self.violations,
                 'span_ms': self.span_ms,
                 'answers': self.answer_latency.encode().decode(),
@@ -76,7 +76,7 @@
     fields: dict[str, Any] = json.loads(line)
     return Tally(
         counts=Counter(fields['counts']),
-        fractions=fields['fractions'],
+        coverage_sum=fields['fractions'],
         violations=fields['violations'],
         span_ms=fields['span_ms'],
         answer_latency=HdrHistogram.decode(fields['answers']),
@@ -94,7 +94,7 @@
     return _merge(tallies, max)
 
 
-def in_turn(tallies: Iterable[Tally]) -> Tally:
+def merge_sequential(tallies: Iterable[Tally]) -> Tally:
     """Merge the tallies of loads that ran one after the other."""
     return _merge(tallies, sum)
 
@@ -104,7 +104,7 @@
     total = Tally(span_ms=merge_spans(part.span_ms for part in parts))
     for part in parts:
         total.counts.update(part.counts)
-        total.fractions += part.fractions
+        total.coverage_sum += part.coverage_sum
         total.violations.extend(part.violations)
         total.answer_latency.add(part.answer_latency)
         total.refusal_latency.add(part.refusal_latency)
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_check.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_check.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Expected:
+class ExpectedAnswer:
     """Expected content of an answer.
 
     Attributes:
@@ -27,7 +27,7 @@
     complete: bool = True
 
 
-def faults_of(asked: Asked, expected: Expected) -> list[str]:
+def find_faults(asked: Asked, expected: ExpectedAnswer) -> list[str]:
     """Return the faults of an answer; an empty list if it is correct.
 
     Args:
@@ -61,7 +61,7 @@
 
 def _are_records_correct(
     body: dict[str, Any],
-    expected: Expected,
+    expected: ExpectedAnswer,
     missing: Iterable[int],
 ) -> bool:
     wanted = expected.wanted
@@ -77,7 +77,7 @@
 
 def _is_fraction_correct(
     body: dict[str, Any],
-    expected: Expected,
+    expected: ExpectedAnswer,
     missing: set[int],
 ) -> bool:
     fraction = 1 - len(missing) / expected.keys
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_load.py
@@ -8,7 +8,7 @@
 import attrs
 import eventlet
 
-from fennelfork_bench.demo._check import Expected, faults_of
+from fennelfork_bench.demo._check import ExpectedAnswer, find_faults
 from fennelfork_bench.demo._fleet import (
     CEDOLE,
     CEDOLE_FRONT,
@@ -59,7 +59,7 @@
             step = self.step
             key = self._randomness.randrange(KEYS)
             asked = caller.query(front, lookup_body(tenant, key))
-            step.add(asked, faults_of(asked, expect_one_key(key)))
+            step.add(asked, find_faults(asked, expect_one_key(key)))
             time.sleep(_PAUSE_S)
 
     def _is_running(self, _: int) -> bool:
@@ -76,9 +76,9 @@
     }
 
 
-def expect_one_key(key: int) -> Expected:
+def expect_one_key(key: int) -> ExpectedAnswer:
     """Return the expected answer to a lookup of one record."""
-    return Expected(keys=KEYS, wanted=frozenset((key,)))
+    return ExpectedAnswer(keys=KEYS, wanted=frozenset((key,)))
 
 
 def register_body(
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_steps.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_steps.py
@@ -4,7 +4,7 @@
 import time
 from typing import Any, Final
 
-from fennelfork_bench.demo._check import Expected, faults_of
+from fennelfork_bench.demo._check import ExpectedAnswer, find_faults
 from fennelfork_bench.demo._fleet import (
     CEDOLE,
     CEDOLE_FRONT,
@@ -28,7 +28,7 @@
 _FLOOR: Final = 0.4
 _MAX_ENTRY_REQUESTS: Final = 50
 _ENTRIES_PAUSE_S: Final = 0.2
-_ALL: Final = Expected(keys=KEYS)
+_ALL: Final = ExpectedAnswer(keys=KEYS)
 
 
 def fetch_entries(fleet: Fleet) -> Step:
@@ -71,7 +71,7 @@
     caller = Caller(seeds=tuple(fleet.callers))
     for key in random.Random(seed).sample(range(KEYS), _LOOKUPS):
         asked = caller.query(SALVARE_FRONT, lookup_body(SALVARE, key))
-        step.add(asked, faults_of(asked, expect_one_key(key)))
+        step.add(asked, find_faults(asked, expect_one_key(key)))
     return step
 
 
@@ -80,7 +80,7 @@
     step = Step(name=name)
     caller = Caller(seeds=tuple(fleet.callers))
     asked = caller.query(CEDOLE_FRONT, register_body(CEDOLE, 'whole'))
-    step.add(asked, faults_of(asked, _ALL))
+    step.add(asked, find_faults(asked, _ALL))
     return step
 
 
@@ -135,8 +135,8 @@
     caller = Caller(seeds=tuple(fleet.callers))
     partial_step = Step(name='register, range lost')
     asked = caller.query(CEDOLE_FRONT, register_body(CEDOLE, 'partial', _FLOOR))
-    expected = Expected(keys=KEYS, complete=False)
-    faults = faults_of(asked, expected)
+    expected = ExpectedAnswer(keys=KEYS, complete=False)
+    faults = find_faults(asked, expected)
     partial_step.add(asked, faults)
     if not faults:
         partial_step.remark = f'missing {_missing_ranges(asked.reply.body)}'
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_config.py
@@ -10,8 +10,8 @@
 from fennelfork import system_clock
 from fennelfork_bench.experiments._patch_race import run_patch_race
 from fennelfork_bench.experiments._small_fleet import (
+    DEFAULT_DAEMONS,
     SIZES,
-    TODAY,
     hedge_patch,
     small_fleet,
 )
@@ -39,7 +39,7 @@
     arms = [_propagation_arm(size, seed) for size in SIZES]
     for name, lose_replies in (('race', False), ('race_lost_replies', True)):
         with rig() as started:
-            fleet = start_fleet(started, small_fleet(TODAY, seed))
+            fleet = start_fleet(started, small_fleet(DEFAULT_DAEMONS, seed))
             arms.append(
                 Arm(name=name, metrics=run_patch_race(fleet, lose_replies))
             )
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_control.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_control.py
@@ -12,7 +12,7 @@
     read_costs,
 )
 from fennelfork_bench.experiments._small_fleet import (
-    TODAY,
+    DEFAULT_DAEMONS,
     hedge_patch,
     small_fleet,
 )
@@ -43,7 +43,7 @@
         seed: seed of the service times.
     """
     with rig() as started:
-        fleet = start_fleet(started, small_fleet(TODAY, seed))
+        fleet = start_fleet(started, small_fleet(DEFAULT_DAEMONS, seed))
         time.sleep(_STARTUP_GOSSIP_S)
         idle = cost_metrics(costs_over(fleet.living, _WINDOW_S))
         patched = cost_metrics(_patched_costs(fleet))
@@ -63,7 +63,7 @@
     base = 1
     for number in range(_WINDOW_S // _PATCH_INTERVAL_S):
         started_ms = _CLOCK.now_ms()
-        operator = fleet.operators[number % TODAY]
+        operator = fleet.operators[number % DEFAULT_DAEMONS]
         reply = send_patch(operator, hedge_patch(number + 1), base)
         if not reply.fine:
             raise RigError(
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fleet.py
@@ -96,7 +96,7 @@
     await_version(fleet, document['version'])
 
 
-def order_faults(fleet: Fleet, server: str, **faults: Any) -> None:
+def inject_faults(fleet: Fleet, server: str, **faults: Any) -> None:
     """Inject faults into one backend server.
 
     Raises:
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_load.py
@@ -10,7 +10,7 @@
 
 from fennelfork_bench.callers._group import await_callers, start_callers
 from fennelfork_bench.callers._spec import LoadSpec
-from fennelfork_bench.callers._tally import Tally, in_turn
+from fennelfork_bench.callers._tally import Tally, merge_sequential
 from fennelfork_bench.experiments._fleet import FrontSize, sum_server_counts
 from fennelfork_bench.experiments._processor_time import processor_us
 from fennelfork_bench.rig._fleet import Fleet
@@ -119,7 +119,7 @@
         counts.update(each.counts)
     return LoadResult(
         required=sum(part.required for part in parts),
-        tally=in_turn(part.tally for part in parts),
+        tally=merge_sequential(part.tally for part in parts),
         counts=counts,
         daemon_us=sum(part.daemon_us for part in parts),
         server_us=sum(part.server_us for part in parts),
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_metrics.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_metrics.py
@@ -31,15 +31,15 @@
 def latency_metrics(tally: Tally) -> dict[str, float]:
     """Return the median, p99 and p99.9 latency of answers."""
     return {
-        'p50_ms': tally.quantile_ms(_MEDIAN),
-        'p99_ms': tally.quantile_ms(_P99),
-        'p999_ms': tally.quantile_ms(_P999),
+        'p50_ms': tally.answer_quantile_ms(_MEDIAN),
+        'p99_ms': tally.answer_quantile_ms(_P99),
+        'p999_ms': tally.answer_quantile_ms(_P999),
     }
 
 
 def refusal_p99_ms(tally: Tally) -> float:
     """Return the p99 latency of refusals."""
-    return tally.refusal_ms(_P99)
+    return tally.refusal_quantile_ms(_P99)
 
 
 def outcome_metrics(measured: LoadResult) -> dict[str, float]:
@@ -51,7 +51,7 @@
         'complete': tally.counts['complete'],
         'refused': tally.counts['refused'],
         'lost': tally.counts['lost'] + tally.counts['given_up'],
-        'coverage': tally.fractions / max(tally.counts['answered'], 1),
+        'coverage': tally.coverage_sum / max(tally.counts['answered'], 1),
         'connections_refused': measured.counts['connections_refused'],
         'load_average': measured.load_average,
     }
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_outage.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_outage.py
@@ -5,7 +5,7 @@
 
 from fennelfork import system_clock
 from fennelfork_bench.experiments._small_fleet import (
-    TODAY,
+    DEFAULT_DAEMONS,
     hedge_patch,
     small_fleet,
 )
@@ -54,7 +54,7 @@
 
 def _arm(name: str, seed: int) -> Arm:
     with rig() as started:
-        fleet = start_fleet(started, small_fleet(TODAY, seed))
+        fleet = start_fleet(started, small_fleet(DEFAULT_DAEMONS, seed))
         load = steady_load(fleet.callers, seed)
         load.start()
         metrics = _outage_metrics(fleet, load, name)
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_silent.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_silent.py
@@ -9,7 +9,7 @@
 from fennelfork_bench.experiments._fleet import (
     FrontSize,
     apply_hedge_policy,
-    order_faults,
+    inject_faults,
     start_front_fleet,
 )
 from fennelfork_bench.experiments._load import (
@@ -85,7 +85,7 @@
     if not case.injects_silence:
         return bool
     servers: Iterator[str] = itertools.cycle(fleet.backends)
-    return lambda: order_faults(fleet, next(servers), silence=True)
+    return lambda: inject_faults(fleet, next(servers), silence=True)
 
 
 def _arm(case: _Case, measured: LoadResult) -> Arm:
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_small_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_small_fleet.py
@@ -12,8 +12,8 @@
 
 FRONT: Final = 'certificate-registry'
 KEYS: Final = 300
-TODAY: Final = 9
-SIZES: Final = (TODAY, 30, 60)
+DEFAULT_DAEMONS: Final = 9
+SIZES: Final = (DEFAULT_DAEMONS, 30, 60)
 _SERVERS: Final = 3
 _ENTRY_TTL_MS: Final = 2000
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_steady_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_steady_load.py
@@ -10,7 +10,7 @@
 import eventlet
 
 from fennelfork import system_clock
-from fennelfork_bench.demo._check import Expected, faults_of
+from fennelfork_bench.demo._check import ExpectedAnswer, find_faults
 from fennelfork_bench.experiments._small_fleet import FRONT, KEYS
 from fennelfork_bench.rig._caller import Asked, Caller
 from fennelfork_bench.rig._report import percentile
@@ -69,12 +69,12 @@
         for _ in itertools.takewhile(self._is_running, itertools.count()):
             key = self._rng.randrange(KEYS)
             result = caller.query(FRONT, _lookup(key))
-            expected = Expected(keys=KEYS, wanted=frozenset((key,)))
+            expected = ExpectedAnswer(keys=KEYS, wanted=frozenset((key,)))
             self.samples.append(
                 Sample(
                     at_ms=_CLOCK.now_ms(),
                     result=result,
-                    faults=tuple(faults_of(result, expected)),
+                    faults=tuple(find_faults(result, expected)),
                 ),
             )
             time.sleep(_PAUSE_S)
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_stop.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_stop.py
@@ -6,7 +6,10 @@
 import attrs
 
 from fennelfork import system_clock
-from fennelfork_bench.experiments._small_fleet import TODAY, small_fleet
+from fennelfork_bench.experiments._small_fleet import (
+    DEFAULT_DAEMONS,
+    small_fleet,
+)
 from fennelfork_bench.experiments._steady_load import (
     SteadyLoad,
     load_metrics,
@@ -40,7 +43,7 @@
         seed: seed of the requested keys and of the service times.
     """
     with rig() as started:
-        fleet = start_fleet(started, small_fleet(TODAY, seed))
+        fleet = start_fleet(started, small_fleet(DEFAULT_DAEMONS, seed))
         load = steady_load(fleet.callers, seed)
         load.start()
         arms = (_baseline_arm(load), _rolling_arm(fleet, load))
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_counts.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_counts.py
@@ -21,7 +21,7 @@
     PatchUnknown,
 )
 from fennelfork_bench.history._server import ExecuteRan, QueryRan
-from fennelfork_bench.soak._round import Round
+from fennelfork_bench.soak._round import RoundResult
 
 Counts = collections.Counter[str]
 _EventTypes = dict[str, type[Event]]
@@ -42,7 +42,7 @@
 }
 
 
-def count_events(done: Round) -> Counts:
+def count_events(done: RoundResult) -> Counts:
     """Count the events of a round by type, and the violated guarantees."""
     history = done.history
     counts = Counts(rounds=1, faults=len(done.faults))
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault.py
@@ -7,7 +7,7 @@
 import attrs
 
 from fennelfork_bench.history._daemon import FaultChanged
-from fennelfork_bench.soak._trial import Trial
+from fennelfork_bench.soak._round_context import RoundContext
 
 # Function that clears an injected fault.
 Clear = Callable[[], None]
@@ -25,7 +25,7 @@
 
 
 @functools.singledispatch
-def inject(fault: Fault, context: Trial) -> Clear:
+def inject(fault: Fault, context: RoundContext) -> Clear:
     """Inject a fault.
 
     Args:
@@ -39,7 +39,7 @@
     raise TypeError(f'no injection is registered for {fault!r}')
 
 
-def run_fault(fault: Fault, context: Trial) -> None:
+def run_fault(fault: Fault, context: RoundContext) -> None:
     """Inject a fault, wait for `hold_s`, and clear the fault."""
     clear = inject(fault, context)
     _record_change(fault, context, active=True)
@@ -52,7 +52,9 @@
     """Do nothing, for faults that are permanent or clear themselves."""
 
 
-def _record_change(fault: Fault, context: Trial, *, active: bool) -> None:
+def _record_change(
+    fault: Fault, context: RoundContext, *, active: bool
+) -> None:
     context.recorder.note(
         FaultChanged(
             at_ms=context.recorder.now_ms(),
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
@@ -14,7 +14,7 @@
 )
 from fennelfork_bench.rig._process import Process
 from fennelfork_bench.soak._fault import Clear, Fault, inject
-from fennelfork_bench.soak._trial import Trial
+from fennelfork_bench.soak._round_context import RoundContext
 
 _STOP_TIMEOUT_S: Final = 60
 
@@ -35,7 +35,7 @@
 
 
 @inject.register
-def _inject_kill(fault: KillDaemon, context: Trial) -> Clear:
+def _inject_kill(fault: KillDaemon, context: RoundContext) -> Clear:
     daemon = _draw_daemon(context)
     daemon.kill()
     context.recorder.note(
@@ -46,7 +46,7 @@
 
 
 @inject.register
-def _inject_pause(fault: PauseDaemon, context: Trial) -> Clear:
+def _inject_pause(fault: PauseDaemon, context: RoundContext) -> Clear:
     daemon = _draw_daemon(context)
     context.recorder.note(
         Paused(at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']),
@@ -56,7 +56,7 @@
 
 
 @inject.register
-def _inject_stop(fault: StopDaemon, context: Trial) -> Clear:
+def _inject_stop(fault: StopDaemon, context: RoundContext) -> Clear:
     daemon = _draw_daemon(context)
     context.fleet.mark_leaving(daemon.name)
     context.recorder.note(
@@ -68,14 +68,14 @@
     return functools.partial(_await_exit, context, daemon)
 
 
-def _resume(context: Trial, daemon: Process) -> None:
+def _resume(context: RoundContext, daemon: Process) -> None:
     daemon.resume()
     context.recorder.note(
         Resumed(at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']),
     )
 
 
-def _await_exit(context: Trial, daemon: Process) -> None:
+def _await_exit(context: RoundContext, daemon: Process) -> None:
     status = daemon.wait(_STOP_TIMEOUT_S)
     if status is not None:
         context.recorder.note(
@@ -88,7 +88,7 @@
         _restart(context, daemon)
 
 
-def _restart(context: Trial, daemon: Process) -> None:
+def _restart(context: RoundContext, daemon: Process) -> None:
     fleet = context.fleet
     if fleet.daemons[daemon.name] is not daemon:
         return
@@ -100,5 +100,5 @@
     )
 
 
-def _draw_daemon(context: Trial) -> Process:
+def _draw_daemon(context: RoundContext) -> Process:
     return context.randomness.choice(context.fleet.living)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_index.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_index.py
@@ -7,8 +7,8 @@
 import attrs
 
 from fennelfork_bench.soak._fault import Clear, Fault, inject
-from fennelfork_bench.soak._servers import order
-from fennelfork_bench.soak._trial import Trial
+from fennelfork_bench.soak._round_context import RoundContext
+from fennelfork_bench.soak._servers import send_control_command
 
 _PAUSE_BETWEEN_SERVERS_S: Final = 0.05
 
@@ -24,14 +24,14 @@
 
 
 @inject.register
-def _inject_next_snapshot(fault: NextSnapshot, context: Trial) -> Clear:
+def _inject_next_snapshot(fault: NextSnapshot, context: RoundContext) -> Clear:
     version = max(context.snapshots) + 1
     _load_snapshot(context, version, keep=tuple(context.snapshots))
     return functools.partial(_load_snapshot, context, version, keep=())
 
 
 @inject.register
-def _inject_repartition(fault: Repartition, context: Trial) -> Clear:
+def _inject_repartition(fault: Repartition, context: RoundContext) -> Clear:
     first, second = context.front.shards[:2]
     low = context.layout[first.servers[0].name][0]
     high = context.layout[second.servers[0].name][1]
@@ -43,7 +43,9 @@
     return functools.partial(_load_snapshot, context, version, keep=())
 
 
-def _load_snapshot(context: Trial, version: int, keep: tuple[int, ...]) -> None:
+def _load_snapshot(
+    context: RoundContext, version: int, keep: tuple[int, ...]
+) -> None:
     context.snapshots.add(version)
     servers = list(context.fleet.backends.values())
     context.randomness.shuffle(servers)
@@ -51,5 +53,5 @@
         if server.alive:
             lo, hi = context.layout[server.name]
             body = {'version': version, 'ranges': [[lo, hi]], 'keep': keep}
-            order(server, 'snapshot', body)
+            send_control_command(server, 'snapshot', body)
             time.sleep(_PAUSE_BETWEEN_SERVERS_S)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_platform.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_platform.py
@@ -7,7 +7,7 @@
 
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.soak._fault import Clear, Fault, inject
-from fennelfork_bench.soak._trial import Trial
+from fennelfork_bench.soak._round_context import RoundContext
 
 
 @attrs.frozen(kw_only=True)
@@ -36,7 +36,9 @@
 
 
 @inject.register
-def _inject_platform_fault(fault: PlatformFault, context: Trial) -> Clear:
+def _inject_platform_fault(
+    fault: PlatformFault, context: RoundContext
+) -> Clear:
     platform = context.fleet.platform
     platform.switch(**fault.switches)
     healthy = {name: _HEALTHY_SWITCHES[name] for name in fault.switches}
@@ -44,11 +46,11 @@
 
 
 @inject.register
-def _inject_vm_list_down(fault: VmListDown, context: Trial) -> Clear:
+def _inject_vm_list_down(fault: VmListDown, context: RoundContext) -> Clear:
     _set_vm_list_down(context, down=True)
     return functools.partial(_set_vm_list_down, context, down=False)
 
 
-def _set_vm_list_down(context: Trial, *, down: bool) -> None:
+def _set_vm_list_down(context: RoundContext, *, down: bool) -> None:
     address = context.fleet.platform.vm_list_address
     http.post(address, '/control/faults', {'down': down})
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
@@ -6,13 +6,13 @@
 
 from fennelfork_bench.history._server import DrainAsked
 from fennelfork_bench.soak._fault import Clear, Fault, clear_nothing, inject
-from fennelfork_bench.soak._servers import order, server_events
+from fennelfork_bench.soak._round_context import RoundContext
+from fennelfork_bench.soak._servers import send_control_command, server_events
 from fennelfork_bench.soak._targets import (
     draw_redundant_server,
     draw_server,
     set_server_faults,
 )
-from fennelfork_bench.soak._trial import Trial
 
 
 @attrs.frozen(kw_only=True)
@@ -58,10 +58,10 @@
 
 
 @inject.register
-def _inject_kill(fault: KillServer, context: Trial) -> Clear:
+def _inject_kill(fault: KillServer, context: RoundContext) -> Clear:
     server = draw_redundant_server(context)
     # A frozen server runs no further work, so the log is complete.
-    order(server, 'faults', {'freeze_ms': 60_000})
+    send_control_command(server, 'faults', {'freeze_ms': 60_000})
     for event in server_events(server):
         context.recorder.note(event)
     server.kill()
@@ -69,19 +69,19 @@
 
 
 @inject.register
-def _inject_freeze(fault: FreezeServer, context: Trial) -> Clear:
+def _inject_freeze(fault: FreezeServer, context: RoundContext) -> Clear:
     set_server_faults(draw_server(context), freeze_ms=1000 * fault.hold_s)
     return clear_nothing
 
 
 @inject.register
-def _inject_silence(fault: SilenceConnections, context: Trial) -> Clear:
+def _inject_silence(fault: SilenceConnections, context: RoundContext) -> Clear:
     set_server_faults(draw_server(context), silence=True)
     return clear_nothing
 
 
 @inject.register
-def _inject_reply_fault(fault: SpoilReplies, context: Trial) -> Clear:
+def _inject_reply_fault(fault: SpoilReplies, context: RoundContext) -> Clear:
     server = draw_server(context)
     rule = {
         'kind': fault.kind,
@@ -93,11 +93,11 @@
 
 
 @inject.register
-def _inject_drain(fault: DrainServer, context: Trial) -> Clear:
+def _inject_drain(fault: DrainServer, context: RoundContext) -> Clear:
     server = draw_redundant_server(context)
     if fault.lies:
         set_server_faults(server, health={'state': 'serving', 'busy': 0})
-    order(server, 'drain', {'draining': True})
+    send_control_command(server, 'drain', {'draining': True})
     now_ms = context.recorder.now_ms()
     context.recorder.note(DrainAsked(at_ms=now_ms, server=server.name))
     return clear_nothing
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_play.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_front_round.py
@@ -7,14 +7,14 @@
 from fennelfork_bench.history._caller import Asked
 from fennelfork_bench.history._history import write_history
 from fennelfork_bench.soak._counts import count_events
-from fennelfork_bench.soak._menu import draw_fault_pair
-from fennelfork_bench.soak._round import Round, run_round
-from fennelfork_bench.soak._rounds import Outcome
+from fennelfork_bench.soak._fault_catalogue import draw_fault_pair
+from fennelfork_bench.soak._round import RoundResult, run_round
+from fennelfork_bench.soak._rounds import RoundSummary
 
 _RESULTS_DIRECTORY: Final = Path('results')
 
 
-def play_fronts(seed: int) -> Outcome:
+def run_front_round(seed: int) -> RoundSummary:
     """Run a round, and write the history to a file after a violation.
 
     Args:
@@ -26,17 +26,17 @@
         write_history(
             _RESULTS_DIRECTORY / f'soak-{seed}.jsonl', round_result.history
         )
-    return Outcome(
-        told=_describe(round_result),
+    return RoundSummary(
+        description=_describe(round_result),
         counts=count_events(round_result),
-        broken=tuple(
+        violation_texts=tuple(
             f'{violation.promise.value}: {violation.detail}'
             for violation in round_result.violations
         ),
     )
 
 
-def _describe(round_result: Round) -> str:
+def _describe(round_result: RoundResult) -> str:
     faults = ' + '.join(map(repr, round_result.faults))
     attempts = len(round_result.history.of(Asked))
     violation_count = len(round_result.violations)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_round.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_round.py
@@ -13,8 +13,11 @@
 from fennelfork_bench.soak._caller import CallerProfile
 from fennelfork_bench.soak._entry import await_entries
 from fennelfork_bench.soak._fault import Fault, run_fault
-from fennelfork_bench.soak._menu import small_fleet
-from fennelfork_bench.soak._trial import Trial, build_round_context
+from fennelfork_bench.soak._fault_catalogue import small_fleet
+from fennelfork_bench.soak._round_context import (
+    RoundContext,
+    build_round_context,
+)
 from fennelfork_bench.soak._workers import Workers
 
 _PATCH_PAUSE_S: Final = 0.5
@@ -40,7 +43,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Round:
+class RoundResult:
     """Result of a round.
 
     Attributes:
@@ -54,7 +57,7 @@
     violations: tuple[Violation, ...]
 
 
-def small_trial(round_rig: Rig, seed: int, load: Load) -> Trial:
+def start_small_round(round_rig: Rig, seed: int, load: Load) -> RoundContext:
     """Start a small fleet, callers and operators.
 
     Args:
@@ -75,7 +78,9 @@
     return context
 
 
-def strike_together(context: Trial, faults: tuple[Fault, ...]) -> Round:
+def run_faults_concurrently(
+    context: RoundContext, faults: tuple[Fault, ...]
+) -> RoundResult:
     """Run faults concurrently, and check the history.
 
     Args:
@@ -90,7 +95,7 @@
     workers.stop()
     time.sleep(_SETTLE_S)
     history = context.finish()
-    return Round(
+    return RoundResult(
         faults=faults,
         history=history,
         violations=context.find_violations(history),
@@ -101,7 +106,7 @@
     seed: int,
     faults: tuple[Fault, ...],
     load: Load = _FULL_LOAD,
-) -> Round:
+) -> RoundResult:
     """Run one round on a new fleet.
 
     Args:
@@ -110,9 +115,11 @@
         load: load on the fleet.
     """
     with rig() as round_rig:
-        return strike_together(small_trial(round_rig, seed, load), faults)
+        return run_faults_concurrently(
+            start_small_round(round_rig, seed, load), faults
+        )
 
 
-def _run_fault_after_delay(fault: Fault, context: Trial) -> None:
+def _run_fault_after_delay(fault: Fault, context: RoundContext) -> None:
     time.sleep(context.randomness.random())
     run_fault(fault, context)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_trial.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_round_context.py
@@ -31,7 +31,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Trial:
+class RoundContext:
     """Running fleet of a round, its load and its recorded events.
 
     Attributes:
@@ -136,7 +136,7 @@
         return random.Random(self.randomness.random())
 
 
-def build_round_context(fleet: Fleet, seed: int) -> Trial:
+def build_round_context(fleet: Fleet, seed: int) -> RoundContext:
     """Build the context of a round on a running fleet.
 
     Args:
@@ -145,7 +145,7 @@
     """
     shards = fleet.spec.fronts[0].shards
     servers = [each for shard in shards for each in shard.servers]
-    context = Trial(
+    context = RoundContext(
         fleet=fleet,
         layout={each.name: (each.lo, each.hi) for each in servers},
         recorder=Recorder(clock=wall_clock()),
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_rounds.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_rounds.py
@@ -17,22 +17,22 @@
 
 
 @attrs.frozen(kw_only=True)
-class Outcome:
+class RoundSummary:
     """Summary of a round.
 
     Attributes:
-        told: faults and numbers of the round, in one line.
+        description: faults and numbers of the round, in one line.
         counts: numbers of events, by name.
-        broken: descriptions of the violated guarantees.
+        violation_texts: descriptions of the violated guarantees.
     """
 
-    told: str
+    description: str
     counts: Mapping[str, int]
-    broken: tuple[str, ...]
+    violation_texts: tuple[str, ...]
 
 
 # Function that runs a round with a seed on a new fleet.
-RunRound = Callable[[int], Outcome]
+RunRound = Callable[[int], RoundSummary]
 
 
 def run_rounds(
@@ -58,9 +58,10 @@
         outcome = next(rotation)(round_seed)
         counts.update(outcome.counts)
         failures.extend(
-            f'round {round_seed}: {violation}' for violation in outcome.broken
+            f'round {round_seed}: {violation}'
+            for violation in outcome.violation_texts
         )
-        sys.stderr.write(f'round {round_seed}: {outcome.told}\n')
+        sys.stderr.write(f'round {round_seed}: {outcome.description}\n')
     metrics = {name: float(counts[name]) for name in sorted(counts)}
     return Report(
         experiment='soak',
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_servers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_servers.py
@@ -11,7 +11,9 @@
 _EXIT_TIMEOUT_S: Final = 1
 
 
-def order(server: Process, command: str, body: dict[str, Any]) -> None:
+def send_control_command(
+    server: Process, command: str, body: dict[str, Any]
+) -> None:
     """Send a command to the control interface of a stand-in.
 
     Faults do not affect the control interface. The failure of a command to a
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_targets.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_targets.py
@@ -3,24 +3,24 @@
 from typing import Any
 
 from fennelfork_bench.rig._process import Process
-from fennelfork_bench.soak._servers import order
-from fennelfork_bench.soak._trial import Trial
+from fennelfork_bench.soak._round_context import RoundContext
+from fennelfork_bench.soak._servers import send_control_command
 
 
 def set_server_faults(server: Process, **faults: Any) -> None:
     """Replace the fault settings of a server if it is alive."""
     if server.alive:
-        order(server, 'faults', faults)
+        send_control_command(server, 'faults', faults)
 
 
-def draw_server(context: Trial) -> Process:
+def draw_server(context: RoundContext) -> Process:
     """Return a random backend server that is alive."""
     servers = context.fleet.backends.values()
     alive_servers = [server for server in servers if server.alive]
     return context.randomness.choice(alive_servers)
 
 
-def draw_redundant_server(context: Trial) -> Process:
+def draw_redundant_server(context: RoundContext) -> Process:
     """Return a random server of a shard with other replicas; mark it lost."""
     candidates = []
     for shard in context.front.shards:
--- a/packages/fennelfork-bench/tests/bench_builders_answers.py
+++ b/packages/fennelfork-bench/tests/bench_builders_answers.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from fennelfork_bench.experiments._fleet import order_faults
+from fennelfork_bench.experiments._fleet import inject_faults
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._config import await_version, first_patch
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
@@ -61,7 +61,7 @@
     def faults(self, **faults: Any) -> None:
         """Put the same faults in force on every server."""
         for server in self.servers:
-            order_faults(self.fleet, server, **faults)
+            inject_faults(self.fleet, server, **faults)
 
     def order(self, server: str, name: str, body: dict[str, Any]) -> None:
         """Give one server an order of its control face."""
--- a/packages/fennelfork-bench/tests/bench_builders_golden.py
+++ b/packages/fennelfork-bench/tests/bench_builders_golden.py
@@ -14,7 +14,7 @@
 from fennelfork_bench.rig._process import Process, Rig
 from fennelfork_bench.rig._specs import daemon_specs
 from fennelfork_bench.soak._entry import await_entries
-from fennelfork_bench.soak._menu import small_fleet
+from fennelfork_bench.soak._fault_catalogue import small_fleet
 from fennelfork_bench.soak._servers import server_events
 
 # Suffix that the home daemon adds to a sub-query for each attempt.
--- a/packages/fennelfork-bench/tests/test_caller.py
+++ b/packages/fennelfork-bench/tests/test_caller.py
@@ -15,8 +15,8 @@
 from fennelfork_bench.callers._tally import (
     Tally,
     add_latency,
-    in_turn,
     merge_parallel,
+    merge_sequential,
     parse_tally,
 )
 from fennelfork_bench.history._caller import QueryAnswered, QueryAsked
@@ -97,15 +97,17 @@
         """Durations add up for sequential loads, not for parallel loads."""
         parts = [_tally(10), _tally(30)]
         assert merge_parallel(parts).span_ms == 30
-        assert in_turn(parts).span_ms == 40
-        assert in_turn(parts).counts['answered'] == 2
-        assert in_turn(parts).quantile_ms(1) == pytest.approx(30, rel=0.01)
+        assert merge_sequential(parts).span_ms == 40
+        assert merge_sequential(parts).counts['answered'] == 2
+        assert merge_sequential(parts).answer_quantile_ms(1) == pytest.approx(
+            30, rel=0.01
+        )
 
     def test_json_round_trip(self) -> None:
         """Parsing a serialised tally returns the same tally."""
         read = parse_tally(_tally(10).to_json())
         assert read.counts == _tally(10).counts
-        assert read.quantile_ms(0.5) == pytest.approx(10, rel=0.01)
+        assert read.answer_quantile_ms(0.5) == pytest.approx(10, rel=0.01)
 
 
 def _refuse_even_close_odd(body: dict[str, Any]) -> Any:
--- a/packages/fennelfork-bench/tests/test_demo_check.py
+++ b/packages/fennelfork-bench/tests/test_demo_check.py
@@ -4,13 +4,13 @@
 import pytest
 
 from fennelfork_bench.backend_server._records import record_at
-from fennelfork_bench.demo._check import Expected, faults_of
+from fennelfork_bench.demo._check import ExpectedAnswer, find_faults
 from fennelfork_bench.rig._caller import Asked
 from fennelfork_bench.rig._http import HttpReply
 
 _KEYS = 20
-_ALL = Expected(keys=_KEYS)
-_PARTIAL = Expected(keys=_KEYS, complete=False)
+_ALL = ExpectedAnswer(keys=_KEYS)
+_PARTIAL = ExpectedAnswer(keys=_KEYS, complete=False)
 
 
 def _asked(lo: int, hi: int, missing: list[dict[str, int]]) -> Asked:
@@ -36,18 +36,18 @@
 
     def test_complete_and_partial_answers_pass(self) -> None:
         """Complete answers and partial answers with coverage are correct."""
-        assert not faults_of(_asked(0, _KEYS, []), _ALL)
+        assert not find_faults(_asked(0, _KEYS, []), _ALL)
         partial_answer = _asked(0, 10, [{'lo': 10, 'hi': _KEYS}])
-        assert not faults_of(partial_answer, _PARTIAL)
+        assert not find_faults(partial_answer, _PARTIAL)
 
     def test_unreported_loss_is_found(self) -> None:
         """A missing record outside the missing ranges is a fault."""
-        assert faults_of(_asked(0, 19, []), _ALL) == ['wrong records']
+        assert find_faults(_asked(0, 19, []), _ALL) == ['wrong records']
 
     def test_partial_answer_to_complete_query(self) -> None:
         """A partial answer is a fault where a complete answer is expected."""
         partial_answer = _asked(0, 10, [{'lo': 10, 'hi': _KEYS}])
-        assert faults_of(partial_answer, _ALL) == ['not complete']
+        assert find_faults(partial_answer, _ALL) == ['not complete']
 
     @pytest.mark.parametrize(
         ('changed', 'fault'),
@@ -85,17 +85,17 @@
         correct = _asked(0, _KEYS, [])
         body = {**correct.reply.body, **changed}
         reply = attrs.evolve(correct.reply, body=body)
-        assert faults_of(attrs.evolve(correct, reply=reply), _ALL) == [fault]
+        assert find_faults(attrs.evolve(correct, reply=reply), _ALL) == [fault]
 
     def test_duplicate_record_is_found(self) -> None:
         """A duplicate record is a fault."""
         correct = _asked(0, _KEYS, [])
         records = correct.reply.body['records']
         correct.reply.body['records'] = [records[0], *records]
-        assert faults_of(correct, _ALL) == ['wrong records']
+        assert find_faults(correct, _ALL) == ['wrong records']
 
     def test_refusal_is_found(self) -> None:
         """A problem document instead of an answer is a fault."""
         reply = HttpReply(status=503, body={'detail': 'busy'})
         asked = Asked(request_id='r1', reply=reply, attempts=1, took_ms=1)
-        assert faults_of(asked, _ALL) == ['no answer: 503 busy']
+        assert find_faults(asked, _ALL) == ['no answer: 503 busy']
--- a/packages/fennelfork-bench/tests/test_experiments_load.py
+++ b/packages/fennelfork-bench/tests/test_experiments_load.py
@@ -7,7 +7,7 @@
 from fennelfork_bench.experiments._fleet import (
     FrontSize,
     apply_hedge_policy,
-    order_faults,
+    inject_faults,
     start_front_fleet,
 )
 from fennelfork_bench.experiments._load import (
@@ -47,7 +47,7 @@
         """Requests of the load meet the injected faults."""
         fleet = start_front_fleet(rig, _SIZE, seed=1)
         rule = {'kind': 'lose_reply', 'limit': 3}
-        order_faults(fleet, 's0-0', rules=[rule])
+        inject_faults(fleet, 's0-0', rules=[rule])
         measured = measure(fleet, front_load_spec(fleet, _SIZE, count=_COUNT))
         assert measured.counts['fault_lose_reply'] == 3
         assert not measured.tally.violations
--- a/packages/fennelfork-bench/tests/test_faults_verdicts.py
+++ b/packages/fennelfork-bench/tests/test_faults_verdicts.py
@@ -6,8 +6,8 @@
 from fennelfork_bench.history._caller import Refused
 from fennelfork_bench.history._server import QueryRan
 from fennelfork_bench.rig._process import Rig, wait_until
-from fennelfork_bench.soak._servers import order
-from fennelfork_bench.soak._trial import Trial
+from fennelfork_bench.soak._round_context import RoundContext
+from fennelfork_bench.soak._servers import send_control_command
 
 pytestmark = pytest.mark.process
 
@@ -15,7 +15,7 @@
 _MIN_REFUSALS = 8
 
 
-def _count_refusals(context: Trial) -> int:
+def _count_refusals(context: RoundContext) -> int:
     events = context.recorder.events
     return sum(isinstance(event, Refused) for event in events)
 
@@ -31,9 +31,9 @@
             for server in context.front.shards[0].servers
         )
         lost_reply = {'kind': 'lose_reply', 'call': 'search'}
-        order(first, 'faults', {'rules': [lost_reply]})
-        order(second, 'faults', {'health': {'state': 'serving'}})
-        order(second, 'drain', {})
+        send_control_command(first, 'faults', {'rules': [lost_reply]})
+        send_control_command(second, 'faults', {'health': {'state': 'serving'}})
+        send_control_command(second, 'drain', {})
         wait_until(
             lambda: _count_refusals(context) >= _MIN_REFUSALS,
             _TIMEOUT_S,
--- a/packages/fennelfork-bench/tests/test_golden_queries.py
+++ b/packages/fennelfork-bench/tests/test_golden_queries.py
@@ -9,7 +9,7 @@
 from fennelfork_bench.history._history import gather
 from fennelfork_bench.history._server import QueryRan, Work, WorkCancelled
 from fennelfork_bench.rig._process import Rig
-from fennelfork_bench.soak._servers import order, server_events
+from fennelfork_bench.soak._servers import send_control_command, server_events
 
 pytestmark = pytest.mark.process
 
@@ -22,7 +22,7 @@
 def _drain_shard(transcript: Session, shard: str) -> None:
     for name, server in transcript.fleet.backends.items():
         if name.startswith(shard):
-            order(server, 'drain', {'draining': True})
+            send_control_command(server, 'drain', {'draining': True})
 
 
 def _first_attempt_was_cancelled(transcript: Session, request_id: str) -> bool:
@@ -90,7 +90,7 @@
         transcript = start_session(rig)
         lost = {'kind': 'lose_reply'}
         server = transcript.fleet.backends['low-0']
-        order(server, 'faults', {'rules': [lost]})
+        send_control_command(server, 'faults', {'rules': [lost]})
         request_id = _query_until(transcript, retries=1, hedges=0)
         transcript.record_server_work(request_id)
         assert transcript.text.replace(request_id, 'lost') == snapshot
@@ -101,7 +101,7 @@
         slow = {'kind': 'straggle', 'factor': 100, 'share': 0.1}
         # Only one server is slow, so that the hedge is not slow as well.
         server = transcript.fleet.backends['low-0']
-        order(server, 'faults', {'rules': [slow]})
+        send_control_command(server, 'faults', {'rules': [slow]})
         for _ in range(_MAX_QUERIES):
             request_id = _query_until(transcript, retries=0, hedges=1)
             if _first_attempt_was_cancelled(transcript, request_id):
--- a/packages/fennelfork-bench/tests/test_golden_stop.py
+++ b/packages/fennelfork-bench/tests/test_golden_stop.py
@@ -8,7 +8,7 @@
 from fennelfork_bench.history._server import QueryRan
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._process import Process, Rig, wait_until
-from fennelfork_bench.soak._servers import order, server_events
+from fennelfork_bench.soak._servers import send_control_command, server_events
 
 pytestmark = pytest.mark.process
 
@@ -38,7 +38,7 @@
         leaving, staying = transcript.fleet.living
         slow = {'kind': 'straggle', 'factor': 100}
         for server in transcript.fleet.backends.values():
-            order(server, 'faults', {'rules': [slow]})
+            send_control_command(server, 'faults', {'rules': [slow]})
         transcript.request_entries(staying)
         body = query('slow-1', deadline_ms=20_000)
         asking = threading.Thread(
--- a/packages/fennelfork-bench/tests/test_soak_servers.py
+++ b/packages/fennelfork-bench/tests/test_soak_servers.py
@@ -10,7 +10,7 @@
 )
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._process import Rig, RigError
-from fennelfork_bench.soak._servers import order, server_events
+from fennelfork_bench.soak._servers import send_control_command, server_events
 
 pytestmark = pytest.mark.process
 
@@ -29,7 +29,7 @@
         address = server.ready['address']
         assert http.post(address, '/v1/search', _SEARCH).fine
         assert http.post(address, '/v1/execute', _EXECUTE).fine
-        order(server, 'drain', {'draining': True})
+        send_control_command(server, 'drain', {'draining': True})
         http.post(address, '/v1/search', _SEARCH)
         kinds = [type(event) for event in server_events(server)]
         assert kinds == [
@@ -46,9 +46,11 @@
         server = rig.start_module('raft-a', 'fennelfork_bench.backend')
         server.await_ready()
         with pytest.raises(RigError, match='raft-a refused snapshot'):
-            order(server, 'snapshot', {'version': 2, 'ranges': [[5, 5]]})
+            send_control_command(
+                server, 'snapshot', {'version': 2, 'ranges': [[5, 5]]}
+            )
         server.kill()
-        order(server, 'drain', {'draining': True})
+        send_control_command(server, 'drain', {'draining': True})
 
     def test_unavailable_log(self, rig: Rig) -> None:
         """An unavailable log raises an error instead of yielding no events."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_families.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_families.py
@@ -117,7 +117,9 @@
             (*_QUERY_LABELS, 'verdict', 'code'),
             registry=registry,
         ),
-        hedges=_by_front('hedges', 'Second copies of slow sub-queries', registry),
+        hedges=_by_front(
+            'hedges', 'Second copies of slow sub-queries', registry
+        ),
         retries=_by_front('retries', 'Sub-queries sent again', registry),
         sheds=_by_front('sheds', 'Sub-queries shed by servers', registry),
         dropped_replies=Counter(
--- a/tests/test_platform_fatal_requests.py
+++ b/tests/test_platform_fatal_requests.py
@@ -11,15 +11,15 @@
 
 from fennelfork_bench.rig._process import Rig, wait_until
 from fennelfork_platform_bench._events import await_ready
-from fennelfork_platform_bench._fatal_runs import (
-    MOST_LATER,
-    arrivals,
-    later_tries,
+from fennelfork_platform_bench._fleet import PlatformFleet
+from fennelfork_platform_bench._poison_arrivals import (
+    MAX_LATE_REQUESTS,
+    late_requests,
+    poison_arrivals,
 )
-from fennelfork_platform_bench._fleet import DayFleet
-from fennelfork_platform_bench._records import FATAL
-from fennelfork_platform_bench._revival import Revival
-from fennelfork_platform_bench._steady_callers import SteadyCaller
+from fennelfork_platform_bench._records import POISON_MARKER
+from fennelfork_platform_bench._server_restarter import ServerRestarter
+from fennelfork_platform_bench._steady_callers import ConstantRateCaller
 
 # Time until the requests of other callers must succeed.
 _SETTLE_S: Final = 12.0
@@ -33,10 +33,10 @@
 
 
 @pytest.fixture
-def fleet(processes: Rig) -> DayFleet:
+def fleet(processes: Rig) -> PlatformFleet:
     """Start a store, daemons and registered backend servers."""
     store = processes.start_module('store', 'fennelfork_platform_bench.store')
-    started = DayFleet(
+    started = PlatformFleet(
         rig=processes, store=store.await_ready().ready['address']
     )
     started.start()
@@ -52,16 +52,16 @@
     """The effect of a poison request on other callers."""
 
     @pytest.mark.parametrize('route', ['all', 'one', 'once'])
-    def test_repeated_request(self, fleet: DayFleet, route: str) -> None:
+    def test_repeated_request(self, fleet: PlatformFleet, route: str) -> None:
         """All daemons recognise the request, and others are served."""
-        poison = SteadyCaller(
+        poison = ConstantRateCaller(
             name='fatal',
             fleet=fleet,
-            path_of=lambda number: f'/{route}/{FATAL}',
+            path_of=lambda number: f'/{route}/{POISON_MARKER}',
             pause_s=_POISON_PAUSE_S,
             sources=_SOURCES,
         )
-        others = SteadyCaller(
+        others = ConstantRateCaller(
             name='other',
             fleet=fleet,
             path_of=lambda number: (
@@ -70,23 +70,27 @@
             pause_s=_PAUSE_S,
         )
         start_s = time.monotonic()
-        with Revival(fleet=fleet).running(), others.asking(), poison.asking():
+        with (
+            ServerRestarter(fleet=fleet).running(),
+            others.running(),
+            poison.running(),
+        ):
             time.sleep(_DURATION_S)
-        poison_arrivals = arrivals(fleet.runs)
-        assert len(poison_arrivals) >= 3
-        assert len(later_tries(poison_arrivals)) <= MOST_LATER
+        observed = poison_arrivals(fleet.server_logs)
+        assert len(observed) >= 3
+        assert len(late_requests(observed)) <= MAX_LATE_REQUESTS
         span = (start_s + _SETTLE_S, start_s + _DURATION_S - 1)
-        assert others.served_share(*span) >= _MIN_SERVED_SHARE
+        assert others.success_share(*span) >= _MIN_SERVED_SHARE
 
-    def test_unrelated_crashes(self, fleet: DayFleet) -> None:
+    def test_unrelated_crashes(self, fleet: PlatformFleet) -> None:
         """A request in flight during three power losses is not quarantined."""
-        popular = SteadyCaller(
+        popular = ConstantRateCaller(
             name='popular',
             fleet=fleet,
             path_of=lambda number: '/all/popular',
             pause_s=1 / 30,
         )
-        with Revival(fleet=fleet).running(), popular.asking():
+        with ServerRestarter(fleet=fleet).running(), popular.running():
             for _ in range(3):
                 time.sleep(4)
                 for process in fleet.servers.values():
@@ -96,4 +100,4 @@
             wait_until(fleet.is_registered, 20, 'all servers to register again')
             recovery_s = time.monotonic()
             time.sleep(4)
-        assert popular.served_share(recovery_s + 1, recovery_s + 3) == 1
+        assert popular.success_share(recovery_s + 1, recovery_s + 3) == 1
--- a/tests/test_platform_silent_store.py
+++ b/tests/test_platform_silent_store.py
@@ -11,7 +11,7 @@
 
 from fennelfork_bench.rig._process import Rig, wait_until
 from fennelfork_platform_bench._events import await_ready
-from fennelfork_platform_bench._fleet import ZONES, DayFleet
+from fennelfork_platform_bench._fleet import ZONES, PlatformFleet
 from fennelfork_platform_bench._state import Silence
 
 # Bound in the settings of the fleet on the time until a change applies.
@@ -28,10 +28,10 @@
 
 
 @pytest.fixture
-def fleet(processes: Rig) -> DayFleet:
+def fleet(processes: Rig) -> PlatformFleet:
     """Start a store with a first configuration."""
     store = processes.start_module('store', 'fennelfork_platform_bench.store')
-    started = DayFleet(
+    started = PlatformFleet(
         rig=processes, store=store.await_ready().ready['address']
     )
     started.configure(1)
@@ -39,7 +39,7 @@
 
 
 @pytest.fixture
-def serving(fleet: DayFleet) -> DayFleet:
+def serving(fleet: PlatformFleet) -> PlatformFleet:
     """Start one daemon that watches the store."""
     fleet.start_daemon(_DAEMON, ZONES[0])
     await_ready(fleet, _DAEMON)
@@ -52,12 +52,12 @@
 class TestUnresponsiveStore:
     """A daemon applies changes within the bound of the operators."""
 
-    def test_change_after_outage(self, serving: DayFleet) -> None:
+    def test_change_after_outage(self, serving: PlatformFleet) -> None:
         """A change after a long outage is applied in time."""
         _interrupt_store(serving, Silence.ALL, _LONG_OUTAGE_S)
         _expect_change_in_time(serving, 2)
 
-    def test_dropped_watch(self, serving: DayFleet) -> None:
+    def test_dropped_watch(self, serving: PlatformFleet) -> None:
         """A change is applied in time if the store drops only the watch.
 
         The lease renewals succeed, so only the watch can reveal the fault.
@@ -65,32 +65,32 @@
         _interrupt_store(serving, Silence.WATCHES, _SHORT_OUTAGE_S)
         _expect_change_in_time(serving, 2)
 
-    def test_dropped_watch_twice(self, serving: DayFleet) -> None:
+    def test_dropped_watch_twice(self, serving: PlatformFleet) -> None:
         """A second dropped watch is detected as well."""
         for version in (2, 3):
             _interrupt_store(serving, Silence.WATCHES, _SHORT_OUTAGE_S)
             _expect_change_in_time(serving, version)
             time.sleep(1)
 
-    def test_start_during_outage(self, fleet: DayFleet) -> None:
+    def test_start_during_outage(self, fleet: PlatformFleet) -> None:
         """A daemon that starts during an outage is ready soon after it."""
-        fleet.store_silent(Silence.ALL)
+        fleet.set_store_silence(Silence.ALL)
         fleet.start_daemon(_DAEMON, ZONES[0])
         time.sleep(_START_OUTAGE_S)
-        fleet.store_silent(Silence.NONE)
+        fleet.set_store_silence(Silence.NONE)
         awaited = 'a daemon that started during the outage'
         wait_until(lambda: fleet.is_ready(_DAEMON), _MAX_START_S, awaited)
 
 
 def _interrupt_store(
-    fleet: DayFleet, silence: Silence, duration_s: float
+    fleet: PlatformFleet, silence: Silence, duration_s: float
 ) -> None:
-    fleet.store_silent(silence)
+    fleet.set_store_silence(silence)
     time.sleep(duration_s)
-    fleet.store_silent(Silence.NONE)
+    fleet.set_store_silence(Silence.NONE)
 
 
-def _expect_change_in_time(fleet: DayFleet, version: int) -> None:
+def _expect_change_in_time(fleet: PlatformFleet, version: int) -> None:
     fleet.configure(version)
     awaited = f'version {version} to be active'
     wait_until(
