--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_codec.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_codec.py
@@ -1,4 +1,4 @@
-"""JSON of the stand-in's messages."""
+"""Parses and renders the JSON messages of the stand-in."""
 
 import json
 from typing import TypeVar
@@ -9,17 +9,17 @@
 
 
 def parse_message(body: bytes, kind: type[_Message]) -> _Message:
-    """Read a JSON body as a message.
+    """Parse a JSON body as a message.
 
     Raises:
-        ValueError: if it is no JSON, or not of that kind.
+        ValueError: if the body is not valid JSON or not such a message.
     """
     try:
         return cattrs.structure(json.loads(body), kind)
     except (cattrs.BaseValidationError, TypeError, KeyError) as error:
-        raise ValueError(f'not a {kind.__name__}') from error
+        raise ValueError(f'the body is not a {kind.__name__}') from error
 
 
 def render_message(message: object) -> bytes:
-    """Write a message as JSON."""
+    """Render a message as JSON."""
     return json.dumps(cattrs.unstructure(message)).encode()
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_connection.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_connection.py
@@ -1,4 +1,4 @@
-"""Connections of a stand-in: limit, cost of a new one, and silence."""
+"""Connections of a stand-in: limit, setup delay and loss of traffic."""
 
 import contextlib
 import socket
@@ -9,36 +9,37 @@
 from eventlet import Timeout, listen, sleep, spawn, wsgi
 from eventlet.queue import LightQueue
 
-from fennelfork_bench.backend_server._engine import wait_until_thawed
+from fennelfork_bench.backend_server._engine import wait_while_frozen
 from fennelfork_bench.backend_server._state import ServerState
 
-LINK_KEY: Final = 'fennelfork.link'
+CONNECTION_KEY: Final = 'fennelfork.link'
 _MS_PER_SECOND: Final = 1000
 _DISCARD_BYTES: Final = 65_536
-_HOLD_S: Final = 600
+_MAX_DISCARD_S: Final = 600
 
 
 @attrs.define(kw_only=True, eq=False)
-class Link:
-    """One open connection as seen by the server.
+class ServerConnection:
+    """One open connection of the server.
 
     Attributes:
-        silent: whether its bytes are lost, both ways, for good.
-        cut: whether it is closed after the reply in progress.
+        is_unresponsive: whether all bytes are dropped in both directions.
+        closes_after_reply: whether the connection closes after the current
+            reply.
     """
 
     _socket: Any
-    silent: bool = False
-    cut: bool = False
-
-    def hold(self) -> None:
-        """Swallow what arrives, and answer nothing, until the peer closes."""
-        self.cut = True
-        with Timeout(_HOLD_S, exception=False):
-            while self._receives():
+    is_unresponsive: bool = False
+    closes_after_reply: bool = False
+
+    def discard_input(self) -> None:
+        """Discard all input without a response until the peer closes."""
+        self.closes_after_reply = True
+        with Timeout(_MAX_DISCARD_S, exception=False):
+            while self._has_input():
                 sleep(0)
 
-    def _receives(self) -> bool:
+    def _has_input(self) -> bool:
         try:
             return bool(self._socket.recv(_DISCARD_BYTES))
         except OSError:
@@ -47,59 +48,62 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Listener:
-    """A listening socket that keeps the connection limit of a server.
+    """A listening socket that enforces the connection limit of a server.
 
-    The WSGI server takes it for a socket. A connection above the limit is
-    closed before a byte is read; any other is handed on after `connect_ms`.
+    The WSGI server uses the listener in place of a socket. A connection
+    above the limit is closed before a byte is read; other connections become
+    readable after `connect_ms`.
     """
 
     _socket: Any
     _state: ServerState
-    _ready: LightQueue = attrs.field(factory=LightQueue)
-    _links: dict[Any, Link] = attrs.field(factory=dict)
+    _readable_sockets: LightQueue = attrs.field(factory=LightQueue)
+    _open_connections: dict[Any, ServerConnection] = attrs.field(factory=dict)
 
     @property
     def family(self) -> int:
-        """The address family, which the WSGI server asks for."""
+        """Address family of the socket, as the WSGI server requires."""
         return self._socket.family
 
     def getsockname(self) -> tuple[str, int]:
-        """Give the address that it listens on."""
+        """Return the address of the listening socket."""
         return self._socket.getsockname()
 
     def accept(self) -> tuple[Any, Any]:
-        """Wait for the next connection that may be read."""
-        return self._ready.get()
+        """Wait for the next readable connection."""
+        return self._readable_sockets.get()
 
     def close(self) -> None:
         """Close the listening socket."""
         self._socket.close()
 
-    def pump(self) -> None:
-        """Take connections off the listening socket until it is closed."""
-        for connection, address in self._accepted():
-            wait_until_thawed(self._state)
-            if self._count_in():
-                self._links[address] = Link(socket=connection)
-                spawn(self._hand_on, connection, address)
+    def accept_connections(self) -> None:
+        """Accept connections until the listening socket is closed."""
+        for client_socket, address in self._accept_sockets():
+            wait_while_frozen(self._state)
+            if self._admit_connection():
+                self._open_connections[address] = ServerConnection(
+                    socket=client_socket
+                )
+                spawn(self._enqueue, client_socket, address)
             else:
-                connection.close()
+                client_socket.close()
 
-    def link(self, address: Any) -> Link:
-        """Give the link of an open connection."""
-        return self._links[address]
+    def connection(self, address: Any) -> ServerConnection:
+        """Return the open connection of a peer address."""
+        return self._open_connections[address]
 
-    def forget(self, address: Any) -> None:
-        """Take note that a connection is closed."""
-        self._links.pop(address)
+    def remove_connection(self, address: Any) -> None:
+        """Remove a closed connection."""
+        self._open_connections.pop(address)
         self._state.connections -= 1
 
-    def silence(self) -> None:
-        """Lose the bytes of all connections open now, both ways."""
-        for link in self._links.values():
-            link.silent = True
+    def drop_traffic(self) -> None:
+        """Drop all bytes of the currently open connections."""
+        for connection in self._open_connections.values():
+            connection.is_unresponsive = True
 
-    def _count_in(self) -> bool:
+    def _admit_connection(self) -> bool:
         state = self._state
         if state.connections >= state.settings.connections:
             state.connections_refused += 1
@@ -108,41 +112,41 @@
         state.connections_peak = max(state.connections_peak, state.connections)
         return True
 
-    def _accepted(self) -> Iterator[tuple[Any, Any]]:
+    def _accept_sockets(self) -> Iterator[tuple[Any, Any]]:
         with contextlib.suppress(OSError):
             yield from iter(self._socket.accept, None)
 
-    def _hand_on(self, connection: Any, address: Any) -> None:
+    def _enqueue(self, client_socket: Any, address: Any) -> None:
         sleep(self._state.settings.connect_ms / _MS_PER_SECOND)
-        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._ready.put((connection, address))
+        client_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        self._readable_sockets.put((client_socket, address))
 
 
-class LinkProtocol(wsgi.HttpProtocol):
-    """HTTP on one connection, which the application may hold or cut."""
+class ConnectionProtocol(wsgi.HttpProtocol):
+    """HTTP protocol of one connection with injected connection faults."""
 
     def handle_one_request(self) -> None:
-        """Serve one request, then close the connection if it was cut."""
+        """Handle one request and close the connection if a fault requires."""
         super().handle_one_request()
-        if self._link.cut:
+        if self._connection.closes_after_reply:
             self.close_connection = True
 
     def get_environ(self) -> dict[str, Any]:
-        """Give the WSGI environment together with the link."""
-        return {**super().get_environ(), LINK_KEY: self._link}
+        """Return the WSGI environment with the connection added."""
+        return {**super().get_environ(), CONNECTION_KEY: self._connection}
 
     def finish(self) -> None:
-        """Give the place of the connection back."""
-        self.server.socket.forget(self.client_address)
+        """Remove the connection from the listener."""
+        self.server.socket.remove_connection(self.client_address)
         super().finish()
 
     @property
-    def _link(self) -> Link:
-        return self.server.socket.link(self.client_address)
+    def _connection(self) -> ServerConnection:
+        return self.server.socket.connection(self.client_address)
 
 
 def open_listener(state: ServerState) -> Listener:
-    """Listen on the address of the settings."""
+    """Open a listener on the configured address."""
     host, _, port = state.settings.listen.rpartition(':')
     listening = listen((host, int(port)), backlog=1024)
     return Listener(socket=listening, state=state)
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_control.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_control.py
@@ -1,4 +1,4 @@
-"""The control face of the stand-in, for tests and experiments."""
+"""Control interface of the stand-in for tests and experiments."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, Final, TypeAlias
@@ -6,10 +6,14 @@
 import attrs
 
 from fennelfork_bench.backend_server._codec import parse_message
+from fennelfork_bench.backend_server._commands import (
+    DrainCommand,
+    SnapshotCommand,
+)
 from fennelfork_bench.backend_server._connection import Listener
-from fennelfork_bench.backend_server._faults import FaultOrder
+from fennelfork_bench.backend_server._faults import FaultCommand
 from fennelfork_bench.backend_server._log_page import log_counts, log_page
-from fennelfork_bench.backend_server._orders import DrainOrder, SnapshotOrder
+from fennelfork_bench.backend_server._reported_status import actual_health
 from fennelfork_bench.backend_server._response import (
     Response,
     StartResponse,
@@ -19,14 +23,13 @@
     send_response,
 )
 from fennelfork_bench.backend_server._state import ServerState
-from fennelfork_bench.backend_server._views import true_health
 
 _Route: TypeAlias = Callable[['ControlApp', bytes], Response]
 
 
 @attrs.frozen(kw_only=True)
 class ControlApp:
-    """WSGI application that switches faults, drains and shows the log."""
+    """WSGI application that sets faults and draining and returns the log."""
 
     state: ServerState
     listener: Listener
@@ -36,53 +39,53 @@
         environ: dict[str, Any],
         start_response: StartResponse,
     ) -> Iterable[bytes]:
-        """Serve one call."""
+        """Handle one HTTP request."""
         return send_response(self.respond(environ), start_response)
 
     def respond(self, environ: dict[str, Any]) -> Response:
-        """Give the response to one call."""
+        """Return the response to one HTTP request."""
         name = f'{environ["REQUEST_METHOD"]} {environ["PATH_INFO"]}'
         route = _ROUTES.get(name)
         if route is None:
-            return bad_request_response(f'unknown call {name}')
+            return bad_request_response(f'unknown endpoint: {name}')
         try:
             return route(self, read_body(environ))
         except ValueError as error:
             return bad_request_response(str(error))
 
 
-def _order_faults(app: ControlApp, body: bytes) -> Response:
-    order = parse_message(body, FaultOrder)
-    app.state.faults.replace(order.rules)
-    app.state.health_fault = order.health
-    app.state.frozen_until_ms = app.state.clock.now_ms() + order.freeze_ms
-    if order.silence:
-        app.listener.silence()
-    return json_response(order)
+def _set_faults(app: ControlApp, body: bytes) -> Response:
+    command = parse_message(body, FaultCommand)
+    app.state.faults.replace_rules(command.rules)
+    app.state.health_fault = command.health
+    app.state.frozen_until_ms = app.state.clock.now_ms() + command.freeze_ms
+    if command.silence:
+        app.listener.drop_traffic()
+    return json_response(command)
 
 
-def _order_snapshot(app: ControlApp, body: bytes) -> Response:
-    app.state.holdings.apply(parse_message(body, SnapshotOrder))
-    return json_response(true_health(app.state))
+def _set_snapshot(app: ControlApp, body: bytes) -> Response:
+    app.state.snapshots.apply_command(parse_message(body, SnapshotCommand))
+    return json_response(actual_health(app.state))
 
 
-def _order_drain(app: ControlApp, body: bytes) -> Response:
-    app.state.draining = parse_message(body or b'{}', DrainOrder).draining
-    return json_response(true_health(app.state))
+def _set_draining(app: ControlApp, body: bytes) -> Response:
+    app.state.draining = parse_message(body or b'{}', DrainCommand).draining
+    return json_response(actual_health(app.state))
 
 
-def _show_counts(app: ControlApp, body: bytes) -> Response:
+def _get_counts(app: ControlApp, body: bytes) -> Response:
     return json_response(log_counts(app.state))
 
 
-def _show_log(app: ControlApp, body: bytes) -> Response:
+def _get_log(app: ControlApp, body: bytes) -> Response:
     return json_response(log_page(app.state))
 
 
 _ROUTES: Final[dict[str, _Route]] = {
-    'POST /control/faults': _order_faults,
-    'POST /control/snapshot': _order_snapshot,
-    'POST /control/drain': _order_drain,
-    'GET /control/log': _show_log,
-    'GET /control/counts': _show_counts,
+    'POST /control/faults': _set_faults,
+    'POST /control/snapshot': _set_snapshot,
+    'POST /control/drain': _set_draining,
+    'GET /control/log': _get_log,
+    'GET /control/counts': _get_counts,
 }
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_delivery.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_delivery.py
@@ -1,4 +1,4 @@
-"""Sends the reply of a request, spoiled by the faults that met it."""
+"""Applies injected faults to the reply to a request."""
 
 from collections.abc import Iterable
 from typing import Final, TypeAlias
@@ -21,51 +21,53 @@
 
 @attrs.frozen(kw_only=True)
 class Delivery:
-    """What goes out on the connection.
+    """A rendered reply and the part of the reply that is sent.
 
     Attributes:
-        body: the bytes of the reply.
-        sent: how many of them are sent; below their number, the connection
-            closes after them.
-        lost: whether nothing is sent and the connection closes.
-        muted: whether nothing is sent and the connection stays open.
+        body: complete body of the reply.
+        sent_bytes: number of bytes of the body that are sent; the connection
+            closes after an incomplete body.
+        is_dropped: whether the connection closes without a reply.
+        is_withheld: whether the connection stays open without a reply.
     """
 
     body: bytes
-    sent: int
-    lost: bool = False
-    muted: bool = False
+    sent_bytes: int
+    is_dropped: bool = False
+    is_withheld: bool = False
 
 
 @attrs.define(kw_only=True)
-class Spoiler:
-    """Spoils replies; remembers the last one, to cross it with another."""
+class ReplyFaults:
+    """Applies faults to replies; keeps the last reply for CROSS faults."""
 
     _last: Reply | None = None
 
-    def deliver(self, reply: Reply, faults: Iterable[FaultRule]) -> Delivery:
-        """Turn a reply into what goes out, late if a fault says so."""
+    def prepare_delivery(
+        self, reply: Reply, faults: Iterable[FaultRule]
+    ) -> Delivery:
+        """Apply faults to a reply, with a delay for a LATE fault."""
         late = find_fault(faults, FaultKind.LATE)
         if late:
             eventlet.sleep(late.delay_ms / _MS_PER_SECOND)
         kinds = {rule.kind for rule in faults}
-        body = render_message(self.spoil(reply, kinds))
+        body = render_message(self.corrupt(reply, kinds))
         return Delivery(
             body=body,
-            sent=len(body) // 2 if FaultKind.CUT in kinds else len(body),
-            lost=FaultKind.LOSE_REPLY in kinds,
-            muted=FaultKind.MUTE in kinds,
+            sent_bytes=len(body) // 2 if FaultKind.CUT in kinds else len(body),
+            is_dropped=FaultKind.LOSE_REPLY in kinds,
+            is_withheld=FaultKind.MUTE in kinds,
         )
 
-    def spoil(self, reply: Reply, kinds: set[FaultKind]) -> Reply:
-        """Give what is sent in place of a reply."""
-        spoiled = self._spoiled(reply, kinds)
+    def corrupt(self, reply: Reply, kinds: set[FaultKind]) -> Reply:
+        """Return the reply that is sent in place of the correct reply."""
+        corrupted = self._corrupted(reply, kinds)
         self._last = reply
-        return spoiled
+        return corrupted
 
-    def _spoiled(self, reply: Reply, kinds: set[FaultKind]) -> Reply:
+    def _corrupted(self, reply: Reply, kinds: set[FaultKind]) -> Reply:
         if FaultKind.CROSS in kinds:
-            return self._other_than(reply)
+            return self._different_reply(reply)
         if isinstance(reply, ExecuteReply):
             return reply
         if FaultKind.TRUNCATE in kinds:
@@ -76,13 +78,13 @@
             return attrs.evolve(reply, records=doubled, count=len(doubled))
         return reply
 
-    def _other_than(self, reply: Reply) -> Reply:
+    def _different_reply(self, reply: Reply) -> Reply:
         last = self._last
-        if last and _identity(last) != _identity(reply):
+        if last and _request_identity(last) != _request_identity(reply):
             return last
         return attrs.evolve(reply, request_id=f'crossed-{reply.request_id}')
 
 
-def _identity(reply: Reply) -> tuple[str, str]:
-    """Name the request of a reply."""
+def _request_identity(reply: Reply) -> tuple[str, str]:
+    """Return the identity of the request that a reply belongs to."""
     return reply.request_id, reply.sub_query
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_engine.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_engine.py
@@ -1,4 +1,4 @@
-"""Runs searches and executions in the slots of a stand-in."""
+"""Runs searches and executions in the slots of a stand-in server."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -22,17 +22,17 @@
     SearchRequest,
 )
 from fennelfork_bench.backend_server._records import select_records
-from fennelfork_bench.backend_server._slots import Ending, Work
+from fennelfork_bench.backend_server._slots import RunningRequest, RunOutcome
 from fennelfork_bench.backend_server._state import ServerState
 
 _MS_PER_SECOND: Final = 1000
-_SHED_RETRY_MS: Final = 5
-_THAW_STEP_MS: Final = 10
+_SHED_RETRY_AFTER_MS: Final = 5
+_FREEZE_POLL_MS: Final = 10
 
 
 @attrs.frozen(kw_only=True)
 class Attempt:
-    """One arrival of a request, with the faults that meet it."""
+    """One attempt of a request on this server, with its injected faults."""
 
     subject: Subject
     deadline_ms: float
@@ -44,10 +44,10 @@
     request: SearchRequest,
     faults: Iterable[FaultRule],
 ) -> Result[SearchReply, Failure]:
-    """Answer a search from the snapshot it names.
+    """Run a search on the requested snapshot.
 
     Raises:
-        ValueError: if the range of the request is empty.
+        ValueError: if the key range of the request is empty.
     """
     wanted = key_range(request.lo, request.hi)
     attempt = Attempt(
@@ -83,14 +83,14 @@
     request: ExecuteRequest,
     faults: Iterable[FaultRule],
 ) -> Result[ExecuteReply, Failure]:
-    """Run a non-idempotent request; the outcome tells how often it ran."""
+    """Run a non-idempotent request; the outcome contains the run count."""
     attempt = Attempt(
         subject=execute_subject(request),
-        deadline_ms=request.left_ms(state.clock.now_ms()),
+        deadline_ms=request.remaining_ms(state.clock.now_ms()),
         faults=faults,
     )
     wanted = key_range(request.key, request.key + 1)
-    refusal = _refuse_range(state, state.holdings.newest, wanted)
+    refusal = _refuse_range(state, state.snapshots.newest_version, wanted)
     failure = refusal or _admit_and_run(state, attempt)
     if failure:
         return _refused(state, attempt.subject, failure)
@@ -107,7 +107,7 @@
 
 
 def cancel(state: ServerState, request: CancelRequest) -> CancelReply:
-    """End a running request and free its slot."""
+    """Cancel a running request and release its slot."""
     return CancelReply(
         request_id=request.request_id,
         sub_query=request.sub_query,
@@ -115,14 +115,14 @@
     )
 
 
-def wait_until_thawed(state: ServerState) -> None:
-    """Stand still while the server is frozen; an order may thaw it early."""
+def wait_while_frozen(state: ServerState) -> None:
+    """Wait until the freeze of the server ends or is cleared."""
     while state.frozen_until_ms > state.clock.now_ms():
-        eventlet.sleep(_THAW_STEP_MS / _MS_PER_SECOND)
+        eventlet.sleep(_FREEZE_POLL_MS / _MS_PER_SECOND)
 
 
 def search_subject(request: SearchRequest) -> Subject:
-    """Name a search in the log."""
+    """Return the log subject of a search."""
     return Subject(
         call=Call.SEARCH,
         request_id=request.request_id,
@@ -134,7 +134,7 @@
 
 
 def execute_subject(request: ExecuteRequest) -> Subject:
-    """Name an execution in the log."""
+    """Return the log subject of an execution."""
     return Subject(
         call=Call.EXECUTE,
         request_id=request.request_id,
@@ -149,7 +149,7 @@
     snapshot: int,
     wanted: KeyRange,
 ) -> Failure | None:
-    if not state.holdings.has(snapshot):
+    if not state.snapshots.holds(snapshot):
         return not_run(FailureCode.SNAPSHOT_GONE, f'no snapshot {snapshot}')
     return _refuse_range(state, snapshot, wanted)
 
@@ -159,7 +159,7 @@
     snapshot: int,
     wanted: KeyRange,
 ) -> Failure | None:
-    if state.holdings.covers(snapshot, wanted):
+    if state.snapshots.covers(snapshot, wanted):
         return None
     return not_run(
         FailureCode.NOT_HELD,
@@ -173,23 +173,25 @@
     if attempt.deadline_ms <= 0:
         return not_run(FailureCode.DEADLINE, 'the deadline has passed')
     subject = attempt.subject
-    work = state.slots.take(subject.request_id, subject.sub_query)
-    if work is None:
-        return not_run(FailureCode.SHED, 'all slots are busy', _SHED_RETRY_MS)
+    running = state.slots.acquire(subject.request_id, subject.sub_query)
+    if running is None:
+        return not_run(
+            FailureCode.SHED, 'all slots are busy', _SHED_RETRY_AFTER_MS
+        )
     state.log.add(EventKind.STARTED, subject)
-    return _spend_time(state, attempt, work)
+    return _run_in_slot(state, attempt, running)
 
 
-def _spend_time(
+def _run_in_slot(
     state: ServerState,
     attempt: Attempt,
-    work: Work,
+    running: RunningRequest,
 ) -> Failure | None:
     service_ms = state.times.draw_ms(state.clock.now_ms(), attempt.faults)
-    ending = work.wait(min(service_ms, attempt.deadline_ms))
-    state.slots.free(work)
-    wait_until_thawed(state)
-    if ending is Ending.CANCELLED:
+    outcome = running.wait(min(service_ms, attempt.deadline_ms))
+    state.slots.release(running)
+    wait_while_frozen(state)
+    if outcome is RunOutcome.CANCELLED:
         state.log.add(EventKind.CANCELLED, attempt.subject)
         return may_have_run(FailureCode.CANCELLED, 'cancelled while it ran')
     if service_ms > attempt.deadline_ms:
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_faults.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the stand-in that a test switches on."""
+"""Faults that tests inject into the stand-in."""
 
 import enum
 import random
@@ -11,13 +11,14 @@
 
 @enum.unique
 class FaultKind(enum.Enum):
-    """What goes wrong with one request.
-
-    STRAGGLE runs `factor` times as long; LOSE_REPLY runs, then closes the
-    connection; LATE holds the reply back for `delay_ms` after the run; CROSS
-    answers with the reply to another request; TRUNCATE leaves out records but
-    not their count; DOUBLE sends one record twice; CUT closes in the middle of
-    the body; MUTE runs and never answers on that connection again.
+    """Kind of a fault that affects one request.
+
+    STRAGGLE multiplies the service time by `factor`; LOSE_REPLY runs the
+    request, then closes the connection; LATE delays the reply by `delay_ms`
+    after the run; CROSS sends the reply to another request; TRUNCATE omits
+    records but keeps their count; DOUBLE sends one record twice; CUT closes
+    the connection in the middle of the body; MUTE runs the request and sends
+    nothing more on the connection.
     """
 
     STRAGGLE = 'straggle'
@@ -32,15 +33,15 @@
 
 @attrs.frozen(kw_only=True)
 class FaultRule:
-    """Which requests a fault meets.
+    """Selects the requests that a fault affects.
 
     Attributes:
-        kind: what goes wrong.
-        share: probability that it meets a request.
-        limit: after how many requests it stops; none goes on for ever.
-        call: only this call; none for every call.
-        delay_ms: for LATE, how long the reply is held back.
-        factor: for STRAGGLE, how many times longer it runs.
+        kind: kind of the fault.
+        share: probability that the fault affects a matching request.
+        limit: maximum number of affected requests; none for no limit.
+        call: endpoint that the fault affects; none for all endpoints.
+        delay_ms: delay of the reply for LATE.
+        factor: multiplier of the service time for STRAGGLE.
     """
 
     kind: FaultKind
@@ -53,12 +54,12 @@
 
 @attrs.frozen(kw_only=True)
 class HealthFault:
-    """How the health and load endpoints mislead.
+    """Errors in the responses of the health and load endpoints.
 
     Attributes:
-        lag_ms: how old their answers may be.
-        state: the state they tell instead of the true one.
-        busy: the count of busy slots they tell instead of the true one.
+        lag_ms: maximum age of the responses.
+        state: reported state; none for the actual state.
+        busy: reported number of busy slots; none for the actual number.
     """
 
     lag_ms: float = 0
@@ -67,14 +68,14 @@
 
 
 @attrs.frozen(kw_only=True)
-class FaultOrder:
-    """The faults from now on; what it does not name is switched off.
+class FaultCommand:
+    """Command that replaces all active faults.
 
     Attributes:
-        rules: faults that meet single requests.
-        freeze_ms: the whole server stands still for this long, once.
-        silence: connections open now never carry a byte again.
-        health: how health and load mislead.
+        rules: faults that affect individual requests.
+        freeze_ms: duration of a single freeze of the whole server.
+        silence: whether the currently open connections drop all bytes.
+        health: errors in the health and load responses.
     """
 
     rules: tuple[FaultRule, ...] = ()
@@ -85,35 +86,35 @@
 
 @attrs.define(kw_only=True)
 class FaultPlan:
-    """The faults in force, which draws those that meet a request."""
+    """Active fault rules and the number of requests that each affected."""
 
     _randomness: random.Random
     _rules: tuple[FaultRule, ...] = ()
-    _met: dict[FaultRule, int] = attrs.field(factory=dict)
+    _match_counts: dict[FaultRule, int] = attrs.field(factory=dict)
 
-    def replace(self, rules: tuple[FaultRule, ...]) -> None:
-        """Put other rules in force and start their counts anew."""
+    def replace_rules(self, rules: tuple[FaultRule, ...]) -> None:
+        """Replace the active rules and reset their counts."""
         self._rules = rules
-        self._met = {}
+        self._match_counts = {}
 
-    def draw(self, call: Call) -> tuple[FaultRule, ...]:
-        """Draw the faults that meet the next request of a call."""
-        return tuple(rule for rule in self._rules if self._meets(rule, call))
+    def draw_faults(self, call: Call) -> tuple[FaultRule, ...]:
+        """Draw the faults that affect the next request to an endpoint."""
+        return tuple(rule for rule in self._rules if self._matches(rule, call))
 
-    def _meets(self, rule: FaultRule, call: Call) -> bool:
+    def _matches(self, rule: FaultRule, call: Call) -> bool:
         if rule.call not in {None, call}:
             return False
-        count = self._met.get(rule, 0)
+        count = self._match_counts.get(rule, 0)
         if rule.limit is not None and count >= rule.limit:
             return False
         if self._randomness.random() >= rule.share:
             return False
-        self._met[rule] = count + 1
+        self._match_counts[rule] = count + 1
         return True
 
 
 def fault_plan(randomness: random.Random) -> FaultPlan:
-    """Build a plan without faults."""
+    """Build a fault plan without rules."""
     return FaultPlan(randomness=randomness)
 
 
@@ -121,5 +122,5 @@
     faults: Iterable[FaultRule],
     kind: FaultKind,
 ) -> FaultRule | None:
-    """Give the first fault of a kind, or none."""
+    """Return the first fault of a kind, or none."""
     return next((rule for rule in faults if rule.kind is kind), None)
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_history.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_history.py
@@ -1,4 +1,4 @@
-"""Reads the log of a stand-in as events of a history."""
+"""Converts the log of a stand-in to events of a history."""
 
 from collections.abc import Callable, Iterator, Mapping
 from typing import Any, Final
@@ -14,24 +14,24 @@
     WorkRefused,
 )
 
-_Line = Mapping[str, Any]
-_Make = Callable[[dict[str, Any], _Line], ServerEvent]
-_Makers = dict[EventKind, _Make]
+_LogLine = Mapping[str, Any]
+_EventFactory = Callable[[dict[str, Any], _LogLine], ServerEvent]
+_EventFactories = dict[EventKind, _EventFactory]
 
 
 def server_events(page: Mapping[str, Any]) -> Iterator[ServerEvent]:
-    """Give the events of a log page that the checkers know.
+    """Yield the events of a log page that the checkers use.
 
     Args:
-        page: the answer of `GET /control/log`.
+        page: response of `GET /control/log`.
     """
     for line in page['events']:
-        make = _MAKERS.get(EventKind(line['kind']))
-        if make is not None:
-            yield make(_work(page['name'], line), line)
+        factory = _EVENT_FACTORIES.get(EventKind(line['kind']))
+        if factory is not None:
+            yield factory(_common_fields(page['name'], line), line)
 
 
-def _work(server: str, line: _Line) -> dict[str, Any]:
+def _common_fields(server: str, line: _LogLine) -> dict[str, Any]:
     return {
         'at_ms': line['at_ms'],
         'server': server,
@@ -40,37 +40,37 @@
     }
 
 
-def _received(work: dict[str, Any], line: _Line) -> ServerEvent:
-    return WorkReceived(**work)
+def _received(common: dict[str, Any], line: _LogLine) -> ServerEvent:
+    return WorkReceived(**common)
 
 
-def _started(work: dict[str, Any], line: _Line) -> ServerEvent:
+def _started(common: dict[str, Any], line: _LogLine) -> ServerEvent:
     if Call(line['call']) is Call.EXECUTE:
-        return ExecuteRan(**work, key=line['key'], action=line['action'])
+        return ExecuteRan(**common, key=line['key'], action=line['action'])
     return QueryRan(
-        **work,
+        **common,
         snapshot=line['snapshot'],
         lo=line['lo'],
         hi=line['hi'],
     )
 
 
-def _refused(work: dict[str, Any], line: _Line) -> ServerEvent:
-    return WorkRefused(**work, code=line['detail'])
+def _refused(common: dict[str, Any], line: _LogLine) -> ServerEvent:
+    return WorkRefused(**common, code=line['detail'])
 
 
-def _spoiled(work: dict[str, Any], line: _Line) -> ServerEvent:
-    return ReplySpoiled(**work, kind=line['detail'])
+def _fault_injected(common: dict[str, Any], line: _LogLine) -> ServerEvent:
+    return ReplySpoiled(**common, kind=line['detail'])
 
 
-def _cancelled(work: dict[str, Any], line: _Line) -> ServerEvent:
-    return WorkCancelled(**work)
+def _cancelled(common: dict[str, Any], line: _LogLine) -> ServerEvent:
+    return WorkCancelled(**common)
 
 
-_MAKERS: Final[_Makers] = {
+_EVENT_FACTORIES: Final[_EventFactories] = {
     EventKind.RECEIVED: _received,
     EventKind.STARTED: _started,
     EventKind.REFUSED: _refused,
-    EventKind.FAULT: _spoiled,
+    EventKind.FAULT: _fault_injected,
     EventKind.CANCELLED: _cancelled,
 }
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_log.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_log.py
@@ -1,4 +1,4 @@
-"""The bounded log of what a stand-in received, ran and answered."""
+"""Bounded log of the requests that a stand-in received and ran."""
 
 import enum
 from collections import Counter, deque
@@ -10,7 +10,7 @@
 
 @enum.unique
 class Call(enum.Enum):
-    """The calls that the log tells apart."""
+    """Endpoint that a logged request was sent to."""
 
     SEARCH = 'search'
     EXECUTE = 'execute'
@@ -19,7 +19,7 @@
 
 @enum.unique
 class EventKind(enum.Enum):
-    """What happened to a request."""
+    """Kind of a logged event."""
 
     RECEIVED = 'received'
     REFUSED = 'refused'
@@ -33,14 +33,17 @@
 
 @attrs.frozen(kw_only=True)
 class Subject:
-    """The request that an event is about.
+    """The request that an event belongs to.
 
     Attributes:
-        snapshot: the index version that a search reads.
+        call: endpoint that the request was sent to.
+        request_id: identifier of the request.
+        sub_query: identifier of the sub-query within the request.
+        snapshot: snapshot that a search reads.
         lo: lowest key of a search.
         hi: one above the highest key of a search.
-        key: the key of an execution.
-        action: what an execution does.
+        key: key of an execution.
+        action: action of an execution.
     """
 
     call: Call
@@ -58,10 +61,10 @@
     """One event of the log.
 
     Attributes:
-        at_ms: civil time, comparable between processes of one machine.
-        kind: what happened.
-        subject: to which request.
-        detail: the code of a refusal or the kind of a fault.
+        at_ms: wall-clock time, comparable between processes of one machine.
+        kind: kind of the event.
+        subject: request that the event belongs to.
+        detail: code of a refusal or kind of a fault.
     """
 
     at_ms: float
@@ -72,7 +75,7 @@
 
 @attrs.define(kw_only=True)
 class EventLog:
-    """The latest events, oldest first; older ones are only counted."""
+    """The latest events, oldest first, and the counts of all events."""
 
     _clock: Clock
     _events: deque[Event]
@@ -81,21 +84,21 @@
 
     @property
     def events(self) -> tuple[Event, ...]:
-        """The events still held."""
+        """The retained events."""
         return tuple(self._events)
 
     @property
     def counts(self) -> Counter[str]:
-        """How many events of each kind, and of each kind and detail, were."""
+        """Number of events by kind, and by kind and detail."""
         return self._counts
 
     @property
     def dropped(self) -> int:
-        """How many events are no longer held."""
+        """Number of events that were dropped because of the limit."""
         return self._total - len(self._events)
 
     def add(self, kind: EventKind, subject: Subject, detail: str = '') -> None:
-        """Append an event that happens now."""
+        """Append an event with the current time."""
         self._total += 1
         self._counts[kind.value] += 1
         if detail:
@@ -111,5 +114,5 @@
 
 
 def event_log(clock: Clock, limit: int) -> EventLog:
-    """Build an empty log that holds at most `limit` events."""
+    """Build an empty log that retains at most `limit` events."""
     return EventLog(clock=clock, events=deque(maxlen=limit))
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_log_page.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_log_page.py
@@ -1,4 +1,4 @@
-"""The log of a stand-in as its control face sends it."""
+"""Messages of the control interface that contain the log of a stand-in."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 
 @attrs.frozen(kw_only=True)
 class LogLine:
-    """An event as the control face sends it."""
+    """Message with one event of the log."""
 
     at_ms: float
     kind: str
@@ -25,7 +25,7 @@
 
 @attrs.frozen(kw_only=True)
 class LogCounts:
-    """The counts of a log without its events, and of refused connections."""
+    """Message with the event counts and the refused connections."""
 
     name: str
     counts: dict[str, int]
@@ -33,7 +33,7 @@
 
 @attrs.frozen(kw_only=True)
 class LogPage:
-    """The log as the control face sends it."""
+    """Message with the events and counts of a log."""
 
     name: str
     connections: int
@@ -45,7 +45,7 @@
 
 
 def log_counts(state: ServerState) -> LogCounts:
-    """Give the counts of a server's log as a message."""
+    """Build the message with the event counts of a server."""
     refused = {'connections_refused': state.connections_refused}
     return LogCounts(
         name=state.settings.name,
@@ -54,7 +54,7 @@
 
 
 def log_page(state: ServerState) -> LogPage:
-    """Give the log of a server as a message."""
+    """Build the message with the log of a server."""
     log = state.log
     return LogPage(
         name=state.settings.name,
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_messages.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_messages.py
@@ -1,4 +1,4 @@
-"""Requests and replies of the backend protocol, as typed messages."""
+"""Messages of the backend protocol."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen(kw_only=True)
 class SearchRequest:
-    """The part of a query that goes to one server."""
+    """Sub-query that is sent to one server."""
 
     request_id: str
     sub_query: str
@@ -20,7 +20,7 @@
 
 @attrs.frozen(kw_only=True)
 class SearchReply:
-    """The records of a range at a snapshot."""
+    """Matching records of a key range at a snapshot."""
 
     request_id: str
     sub_query: str
@@ -33,25 +33,25 @@
 
 @attrs.frozen(kw_only=True)
 class MultiSearchRequest:
-    """Several searches in one call."""
+    """Several searches in one HTTP request."""
 
     searches: tuple[SearchRequest, ...]
 
 
 @attrs.frozen(kw_only=True)
 class MultiSearchReply:
-    """The replies to several searches, in the order of the searches."""
+    """Replies to several searches, in the order of the searches."""
 
     replies: 'tuple[SearchReply | Problem, ...]'
 
 
 @attrs.frozen(kw_only=True)
 class ExecuteRequest:
-    """A request that must run at most once.
+    """Request that must run at most once.
 
     Attributes:
-        not_after_ms: reading of the server's own clock, as told by its health
-            endpoint, from which on the request must not start.
+        not_after_ms: time of the server's clock, as reported by its health
+            endpoint, from which the request must not start.
     """
 
     request_id: str
@@ -61,8 +61,8 @@
     deadline_ms: float
     not_after_ms: float | None = None
 
-    def left_ms(self, now_ms: float) -> float:
-        """Give what is left of the deadline, zero if it came too late."""
+    def remaining_ms(self, now_ms: float) -> float:
+        """Return the remaining time, zero after `not_after_ms`."""
         if self.not_after_ms is not None and now_ms >= self.not_after_ms:
             return 0
         return self.deadline_ms
@@ -70,7 +70,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteReply:
-    """What a non-idempotent request did."""
+    """Outcome of a non-idempotent request."""
 
     request_id: str
     sub_query: str
@@ -80,7 +80,7 @@
 
 @attrs.frozen(kw_only=True)
 class CancelRequest:
-    """Names the request that nobody waits for any more."""
+    """Request to cancel a running request."""
 
     request_id: str
     sub_query: str
@@ -88,7 +88,7 @@
 
 @attrs.frozen(kw_only=True)
 class CancelReply:
-    """Whether a running request was ended."""
+    """Reply whether a running request was cancelled."""
 
     request_id: str
     sub_query: str
@@ -97,7 +97,7 @@
 
 @attrs.frozen(kw_only=True)
 class HeldSnapshot:
-    """The ranges that a server holds at one snapshot."""
+    """Key ranges that a server holds at one snapshot."""
 
     version: int
     ranges: tuple[tuple[int, int], ...]
@@ -105,7 +105,7 @@
 
 @attrs.frozen(kw_only=True)
 class Health:
-    """What a server says of itself; `now_ms` is a reading of its clock."""
+    """Reported health of a server; `now_ms` is the time of its clock."""
 
     state: str
     snapshots: tuple[HeldSnapshot, ...]
@@ -117,7 +117,7 @@
 
 @attrs.frozen(kw_only=True)
 class Load:
-    """How busy a server says it is."""
+    """Reported load of a server."""
 
     slots: int
     busy: int
@@ -126,7 +126,7 @@
 
 @attrs.frozen(kw_only=True)
 class Problem:
-    """An error body after RFC 9457, with what is known of the run."""
+    """Problem document (RFC 9457) with the verdict on the request."""
 
     title: str
     status: int
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_multi.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_multi.py
@@ -1,4 +1,4 @@
-"""Several searches in one call, each with a slot and a verdict of its own."""
+"""Runs the searches of a multi-search, each in its own slot."""
 
 from typing import Final
 
@@ -6,7 +6,7 @@
 from eventlet import GreenPile
 from returns.pipeline import is_successful
 
-from fennelfork_bench.backend_server._delivery import Spoiler
+from fennelfork_bench.backend_server._delivery import ReplyFaults
 from fennelfork_bench.backend_server._engine import search, search_subject
 from fennelfork_bench.backend_server._log import EventKind
 from fennelfork_bench.backend_server._messages import (
@@ -19,48 +19,50 @@
 from fennelfork_bench.backend_server._response import failure_problem
 from fennelfork_bench.backend_server._state import ServerState
 
-_MOST_SEARCHES: Final = 256
+_MAX_SEARCHES: Final = 256
 
 
-def search_all(
+def run_searches(
     state: ServerState,
-    spoiler: Spoiler,
+    reply_faults: ReplyFaults,
     request: MultiSearchRequest,
 ) -> MultiSearchReply:
-    """Answer every search of a call once all of them have ended.
+    """Run all searches of a multi-search and wait until all have ended.
 
-    Faults spoil the replies one by one; those that touch the connection do
-    not apply.
+    Faults affect each reply separately; faults of the connection are
+    ignored.
 
     Raises:
-        ValueError: if there are too many searches.
+        ValueError: if the request contains too many searches.
     """
-    if len(request.searches) > _MOST_SEARCHES:
-        raise ValueError(f'more than {_MOST_SEARCHES} searches')
-    pile = GreenPile(_MOST_SEARCHES)
-    part = _Part(state=state, spoiler=spoiler)
-    for one in request.searches:
-        pile.spawn(part.reply, one)
+    if len(request.searches) > _MAX_SEARCHES:
+        raise ValueError(
+            f'the request contains more than {_MAX_SEARCHES} searches'
+        )
+    pile = GreenPile(_MAX_SEARCHES)
+    runner = _SearchRunner(state=state, reply_faults=reply_faults)
+    for search_request in request.searches:
+        pile.spawn(runner.run_search, search_request)
     return MultiSearchReply(replies=tuple(pile))
 
 
 @attrs.frozen(kw_only=True)
-class _Part:
-    """Answers the searches of one call, each by itself."""
+class _SearchRunner:
+    """Runs each search of a multi-search independently."""
 
     _state: ServerState
-    _spoiler: Spoiler
+    _reply_faults: ReplyFaults
 
-    def reply(self, request: SearchRequest) -> SearchReply | Problem:
-        """Answer one search."""
+    def run_search(self, request: SearchRequest) -> SearchReply | Problem:
+        """Run one search and return its reply or problem."""
         state = self._state
         subject = search_subject(request)
         state.log.add(EventKind.RECEIVED, subject)
-        faults = state.faults.draw(subject.call)
+        faults = state.faults.draw_faults(subject.call)
         outcome = search(state, request, faults)
         if not is_successful(outcome):
-            held = state.holdings.held
+            held = state.snapshots.held_snapshots
             return failure_problem(subject, outcome.failure(), held)
         state.log.add(EventKind.REPLIED, subject)
         kinds = {rule.kind for rule in faults}
-        return self._spoiler.spoil(outcome.unwrap(), kinds)
+        return self._reply_faults.corrupt(outcome.unwrap(), kinds)
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_records.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_records.py
@@ -1,4 +1,4 @@
-"""Records of the stand-in, computed from front seed, key and snapshot."""
+"""Records of the stand-in, derived from front seed, key and snapshot."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -22,11 +22,11 @@
 
 @attrs.frozen(kw_only=True)
 class Query:
-    """Which records of a range are asked for.
+    """Filter for the records of a key range.
 
     Attributes:
-        text: only records whose text contains it.
-        keys: only records of these keys.
+        text: substring of the text of matching records; none matches all.
+        keys: keys of matching records; none matches all.
     """
 
     text: str | None = None
@@ -34,10 +34,10 @@
 
 
 def record_at(front_seed: int, key: int, snapshot: int) -> Record:
-    """Compute the record of a key as it was at a snapshot.
+    """Compute the record of a key at a snapshot.
 
-    Its text names key and snapshot, so that an answer mixed from two
-    snapshots shows.
+    The text contains the key and the snapshot, so that checks detect an
+    answer mixed from two snapshots.
     """
     digest = xxhash.xxh32_intdigest(f'{front_seed}:{key}:{snapshot}'.encode())
     kind = _KINDS[digest % len(_KINDS)]
@@ -51,10 +51,10 @@
     held: KeyRange,
     query: Query,
 ) -> tuple[Record, ...]:
-    """Compute the records of a range that a query matches, by key."""
+    """Compute the records of a key range that match a query, by key."""
     records = [
         record_at(front_seed, key, snapshot)
-        for key in _wanted_keys(held, query)
+        for key in _matching_keys(held, query)
     ]
     return tuple(
         record
@@ -63,7 +63,7 @@
     )
 
 
-def _wanted_keys(held: KeyRange, query: Query) -> Iterable[int]:
+def _matching_keys(held: KeyRange, query: Query) -> Iterable[int]:
     if query.keys is None:
         return range(held.lo, held.hi)
     return sorted({key for key in query.keys if held.contains(key)})
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_views.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_reported_status.py
@@ -1,4 +1,4 @@
-"""What the health and load endpoints say: old, false or true."""
+"""Responses of the health and load endpoints, with injected errors."""
 
 from typing import Final
 
@@ -7,12 +7,12 @@
 from fennelfork_bench.backend_server._messages import Health, Load
 from fennelfork_bench.backend_server._state import ServerState
 
-_MULTI: Final = ('multi_search',)
+_MULTI_SEARCH_CAPABILITIES: Final = ('multi_search',)
 
 
 @attrs.define(kw_only=True)
-class Views:
-    """Health and load of a server, as old as its fault allows."""
+class ReportedStatus:
+    """Reported health and load of a server, changed by the health fault."""
 
     _state: ServerState
     _health: Health
@@ -20,25 +20,25 @@
     _read_ms: float
 
     def health(self) -> Health:
-        """Give the health endpoint's answer."""
+        """Return the response of the health endpoint."""
         self._refresh()
         fault = self._state.health_fault
-        told = self._health
+        reported = self._health
         return attrs.evolve(
-            told,
-            state=fault.state or told.state,
-            busy=told.busy if fault.busy is None else fault.busy,
+            reported,
+            state=fault.state or reported.state,
+            busy=reported.busy if fault.busy is None else fault.busy,
             now_ms=self._state.clock.now_ms(),
         )
 
     def load(self) -> Load:
-        """Give the load endpoint's answer."""
+        """Return the response of the load endpoint."""
         self._refresh()
         fault = self._state.health_fault
-        told = self._load
+        reported = self._load
         return attrs.evolve(
-            told,
-            busy=told.busy if fault.busy is None else fault.busy,
+            reported,
+            busy=reported.busy if fault.busy is None else fault.busy,
         )
 
     def _refresh(self) -> None:
@@ -46,34 +46,36 @@
         if now_ms - self._read_ms < self._state.health_fault.lag_ms:
             return
         self._read_ms = now_ms
-        self._health = true_health(self._state)
-        self._load = true_load(self._state)
+        self._health = actual_health(self._state)
+        self._load = actual_load(self._state)
 
 
-def views(state: ServerState) -> Views:
-    """Build the views of a server that starts now."""
-    return Views(
+def reported_status(state: ServerState) -> ReportedStatus:
+    """Build the reported status of a new server."""
+    return ReportedStatus(
         state=state,
-        health=true_health(state),
-        load=true_load(state),
+        health=actual_health(state),
+        load=actual_load(state),
         read_ms=state.clock.now_ms(),
     )
 
 
-def true_health(state: ServerState) -> Health:
-    """Give the true health of a server."""
+def actual_health(state: ServerState) -> Health:
+    """Return the actual health of a server."""
     return Health(
         state=_state_name(state),
-        snapshots=state.holdings.held,
+        snapshots=state.snapshots.held_snapshots,
         slots=state.slots.size,
         busy=state.slots.busy,
         now_ms=state.clock.now_ms(),
-        capabilities=_MULTI if state.settings.multi_search else (),
+        capabilities=_MULTI_SEARCH_CAPABILITIES
+        if state.settings.multi_search
+        else (),
     )
 
 
-def true_load(state: ServerState) -> Load:
-    """Give the true load of a server."""
+def actual_load(state: ServerState) -> Load:
+    """Return the actual load of a server."""
     return Load(
         slots=state.slots.size,
         busy=state.slots.busy,
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_response.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_response.py
@@ -15,7 +15,7 @@
 StartResponse: TypeAlias = Callable[[str, _Headers], Any]
 
 _CLIENT_CLOSED: Final = 499
-_MAX_BODY: Final = 1_048_576
+_MAX_BODY_BYTES: Final = 1_048_576
 _STATUSES: Final = {
     FailureCode.SHED: http.HTTPStatus.SERVICE_UNAVAILABLE,
     FailureCode.DRAINING: http.HTTPStatus.SERVICE_UNAVAILABLE,
@@ -31,18 +31,20 @@
     """One HTTP response.
 
     Attributes:
-        body: the whole body, whose length the headers tell.
-        sent: how many of its bytes are sent; none sends them all.
+        body: complete body, whose length the headers contain.
+        status: HTTP status code.
+        content_type: media type of the body.
+        sent_bytes: number of bytes of the body that are sent; none for all.
     """
 
     body: bytes
     status: int = http.HTTPStatus.OK
     content_type: str = 'application/json'
-    sent: int | None = None
+    sent_bytes: int | None = None
 
 
 def json_response(message: object) -> Response:
-    """Build the response that carries a message."""
+    """Build the response that contains a message."""
     return Response(body=render_message(message))
 
 
@@ -51,7 +53,7 @@
     failure: Failure,
     snapshots: tuple[HeldSnapshot, ...],
 ) -> Response:
-    """Build the response to a request that failed."""
+    """Build the response to a failed request."""
     return _problem_response(failure_problem(subject, failure, snapshots))
 
 
@@ -60,8 +62,8 @@
     failure: Failure,
     snapshots: tuple[HeldSnapshot, ...],
 ) -> Problem:
-    """Build the error body of a request that failed."""
-    gone = failure.code is FailureCode.SNAPSHOT_GONE
+    """Build the problem document of a failed request."""
+    is_snapshot_gone = failure.code is FailureCode.SNAPSHOT_GONE
     return Problem(
         title=failure.code.value.replace('_', ' '),
         status=_STATUSES[failure.code],
@@ -71,12 +73,12 @@
         request_id=subject.request_id,
         sub_query=subject.sub_query,
         retry_after_ms=failure.retry_after_ms,
-        snapshots=snapshots if gone else (),
+        snapshots=snapshots if is_snapshot_gone else (),
     )
 
 
 def bad_request_response(detail: str) -> Response:
-    """Build the response to a request that could not be read."""
+    """Build the response to an invalid request."""
     return _problem_response(
         Problem(
             title='bad request',
@@ -92,11 +94,13 @@
     """Read the body of a request.
 
     Raises:
-        ValueError: if it is too long.
+        ValueError: if the body is too long.
     """
     length = int(environ.get('CONTENT_LENGTH') or 0)
-    if length > _MAX_BODY:
-        raise ValueError(f'a body of {length} bytes is too long')
+    if length > _MAX_BODY_BYTES:
+        raise ValueError(
+            f'the body has {length} bytes, more than {_MAX_BODY_BYTES}'
+        )
     return environ['wsgi.input'].read(length)
 
 
@@ -104,7 +108,7 @@
     response: Response,
     start_response: StartResponse,
 ) -> Iterable[bytes]:
-    """Send a response the WSGI way."""
+    """Start a WSGI response and return its body."""
     start_response(
         f'{int(response.status)} {_phrase(response.status)}',
         [
@@ -112,7 +116,7 @@
             ('Content-Length', str(len(response.body))),
         ],
     )
-    return [response.body[: response.sent]]
+    return [response.body[: response.sent_bytes]]
 
 
 def _problem_response(problem: Problem) -> Response:
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_server.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_server.py
@@ -1,4 +1,4 @@
-"""Starts stand-in servers inside this process."""
+"""Starts stand-in servers in the current process."""
 
 from typing import Any, Final
 
@@ -8,15 +8,15 @@
 from fennelfork import system_clock
 from fennelfork_bench.backend_server._app import BackendApp
 from fennelfork_bench.backend_server._connection import (
-    LinkProtocol,
+    ConnectionProtocol,
     Listener,
     open_listener,
 )
 from fennelfork_bench.backend_server._control import ControlApp
-from fennelfork_bench.backend_server._delivery import Spoiler
+from fennelfork_bench.backend_server._delivery import ReplyFaults
+from fennelfork_bench.backend_server._reported_status import reported_status
 from fennelfork_bench.backend_server._settings import ServerSettings
 from fennelfork_bench.backend_server._state import server_state
-from fennelfork_bench.backend_server._views import views
 
 _SOCKET_TIMEOUT_S: Final = 600
 _MAX_CONNECTIONS: Final = 1024
@@ -24,12 +24,13 @@
 
 @attrs.frozen(kw_only=True)
 class Address:
-    """Where a server listens.
+    """Addresses of a server.
 
     Attributes:
-        name: the name of its settings.
-        address: its calls, `ip:port`.
-        control: its control face, `ip:port`, which no fault touches.
+        name: name of the server.
+        address: address of the backend protocol, `ip:port`.
+        control: address of the control interface, `ip:port`, which no fault
+            affects.
     """
 
     name: str
@@ -38,24 +39,24 @@
 
 
 def start_server(settings: ServerSettings) -> Address:
-    """Start one server in green threads of this process.
+    """Start one server in green threads of the current process.
 
     Raises:
-        ValueError: if the settings name no valid range.
-        OSError: if the address can't be listened on.
+        ValueError: if the settings contain an invalid key range.
+        OSError: if the address cannot be bound.
     """
     state = server_state(settings, system_clock())
     listener = open_listener(state)
     control = ControlApp(state=state, listener=listener)
     app = BackendApp(
         state=state,
-        views=views(state),
-        spoiler=Spoiler(),
+        reported_status=reported_status(state),
+        reply_faults=ReplyFaults(),
         control=control,
     )
     control_socket = listen(('127.0.0.1', 0))
-    spawn(listener.pump)
-    spawn(_serve, listener, app, LinkProtocol)
+    spawn(listener.accept_connections)
+    spawn(_serve, listener, app, ConnectionProtocol)
     spawn(_serve, control_socket, control, wsgi.HttpProtocol)
     return Address(
         name=settings.name,
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_service_time.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_service_time.py
@@ -1,4 +1,4 @@
-"""How long the stand-in takes for one request."""
+"""Simulated service times of the stand-in."""
 
 import random
 from collections.abc import Iterable
@@ -15,14 +15,14 @@
 
 @attrs.frozen(kw_only=True)
 class ServiceTimes:
-    """Draws service times after the settings of a server."""
+    """Draws service times from the distribution in the settings."""
 
     _settings: ServerSettings
     _randomness: random.Random
     _started_ms: float
 
     def is_cold(self, now_ms: float) -> bool:
-        """Tell whether the server still warms up."""
+        """Return whether the server is still warming up."""
         return now_ms - self._started_ms < self._settings.cold_ms
 
     def draw_ms(self, now_ms: float, faults: Iterable[FaultRule]) -> float:
@@ -44,7 +44,7 @@
     settings: ServerSettings,
     started_ms: float,
 ) -> ServiceTimes:
-    """Build the service times of a server that starts now."""
+    """Build the service times of a new server."""
     return ServiceTimes(
         settings=settings,
         randomness=random.Random(settings.seed),
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_settings.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_settings.py
@@ -1,4 +1,4 @@
-"""What one stand-in backend server is told at its start."""
+"""Settings of a stand-in backend server."""
 
 import attrs
 
@@ -10,27 +10,29 @@
     """Settings of one stand-in backend server.
 
     Attributes:
-        listen: address of the calls, `ip:port`; port 0 lets the system choose.
+        listen: address of the backend protocol, `ip:port`; port 0 selects a
+            free port.
         name: name of the server in its log.
-        lo: lowest key it holds at its first snapshot.
-        hi: one above the highest key it holds at its first snapshot.
+        lo: lowest key of the initial snapshot.
+        hi: one above the highest key of the initial snapshot.
         keys: size of the key space of the front.
-        snapshot: version of the first snapshot.
-        front_seed: seed of the records, the same on all servers of a front.
-        slots: how many requests run at once; more are shed.
-        connections: how many connections may be open; more are closed.
-        connect_ms: time before a new connection is read.
+        snapshot: version of the initial snapshot.
+        front_seed: seed of the records, equal on all servers of a front.
+        slots: maximum number of running requests; further ones are shed.
+        connections: maximum number of open connections; further ones are
+            closed.
+        connect_ms: delay before a new connection is read.
         mean_ms: mean service time.
         shape: shape of the gamma distribution of service times.
-        straggle: share of requests that take `straggle_factor` times as long.
-        straggle_factor: how much longer a straggler takes.
-        cold_ms: how long after its start the server is cold.
-        cold_factor: how much longer requests take while it is cold.
-        link_ms: delay of the network, one way, added to both ways.
-        multi_search: whether it takes several searches in one call.
-        health_lag_ms: how old the health and load answers may be.
-        seed: seed of service times and of faults.
-        log_limit: how many events the log keeps.
+        straggle: share of requests that straggle.
+        straggle_factor: multiplier of the service time of stragglers.
+        cold_ms: duration of the warm-up after the start.
+        cold_factor: multiplier of the service time during the warm-up.
+        link_ms: one-way network delay, added in both directions.
+        multi_search: whether the server supports multi-search.
+        health_lag_ms: maximum age of the health and load responses.
+        seed: seed of service times and faults.
+        log_limit: maximum number of retained log events.
     """
 
     listen: str = '127.0.0.1:0'
@@ -56,13 +58,13 @@
     log_limit: int = 50_000
 
 
-def first_range(settings: ServerSettings) -> KeyRange:
-    """Give the range that the server holds at its first snapshot.
+def initial_range(settings: ServerSettings) -> KeyRange:
+    """Return the key range that the server holds at its initial snapshot.
 
     Raises:
-        ValueError: if it is empty or reaches outside the key space.
+        ValueError: if the range is empty or exceeds the key space.
     """
     held = key_range(settings.lo, settings.hi)
     if settings.hi > settings.keys:
-        raise ValueError(f'{settings.hi} is above {settings.keys} keys')
+        raise ValueError(f'hi is {settings.hi}, above the {settings.keys} keys')
     return held
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_slots.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_slots.py
@@ -1,4 +1,4 @@
-"""Slots of a stand-in and the requests that occupy them."""
+"""Slots of a stand-in and the requests that run in them."""
 
 import enum
 from typing import Final
@@ -11,76 +11,79 @@
 
 
 @enum.unique
-class Ending(enum.Enum):
-    """How the service time of a request ended."""
+class RunOutcome(enum.Enum):
+    """Whether a request ran for its full service time."""
 
     FINISHED = 'finished'
     CANCELLED = 'cancelled'
 
 
 @attrs.frozen(kw_only=True, eq=False)
-class Work:
-    """One request in a slot."""
+class RunningRequest:
+    """A request that occupies a slot."""
 
     request_id: str
     sub_query: str
     _cancelled: Event = attrs.field(factory=Event)
 
     def cancel(self) -> None:
-        """End the request before its time; a second call does nothing."""
+        """Cancel the request; has no effect on a cancelled request."""
         if not self._cancelled.ready():
             self._cancelled.send()
 
-    def wait(self, for_ms: float) -> Ending:
-        """Spend service time in the slot.
+    def wait(self, for_ms: float) -> RunOutcome:
+        """Wait for the service time or for a cancellation.
 
         Args:
-            for_ms: how long, unless cancelled before.
+            for_ms: service time.
 
         Returns:
-            Whether the time was spent in full.
+            Outcome of the run.
         """
         with Timeout(max(0, for_ms) / _MS_PER_SECOND, exception=False):
             self._cancelled.wait()
         if self._cancelled.ready():
-            return Ending.CANCELLED
-        return Ending.FINISHED
+            return RunOutcome.CANCELLED
+        return RunOutcome.FINISHED
 
 
 @attrs.define(kw_only=True)
 class Slots:
-    """A fixed number of slots, each taken by one request."""
+    """A fixed number of slots, each for one running request."""
 
     size: int
-    _taken: list[Work] = attrs.field(factory=list)
+    _running: list[RunningRequest] = attrs.field(factory=list)
 
     @property
     def busy(self) -> int:
-        """How many slots are taken."""
-        return len(self._taken)
+        """Number of occupied slots."""
+        return len(self._running)
 
-    def take(self, request_id: str, sub_query: str) -> Work | None:
-        """Take a slot, or none if all are busy."""
+    def acquire(self, request_id: str, sub_query: str) -> RunningRequest | None:
+        """Occupy a slot; return none if all slots are busy."""
         if self.busy >= self.size:
             return None
-        work = Work(request_id=request_id, sub_query=sub_query)
-        self._taken.append(work)
-        return work
+        request = RunningRequest(request_id=request_id, sub_query=sub_query)
+        self._running.append(request)
+        return request
 
-    def free(self, work: Work) -> None:
-        """Give a slot back; a second call does nothing."""
-        if work in self._taken:
-            self._taken.remove(work)
+    def release(self, request: RunningRequest) -> None:
+        """Release the slot of a request, if it still occupies one."""
+        if request in self._running:
+            self._running.remove(request)
 
     def cancel(self, request_id: str, sub_query: str) -> bool:
-        """End the oldest run of a request and free its slot.
+        """Cancel the oldest run of a request and release its slot.
 
         Returns:
-            Whether one was running.
+            Whether the request was running.
         """
-        for work in self._taken:
-            if (work.request_id, work.sub_query) == (request_id, sub_query):
-                work.cancel()
-                self.free(work)
+        for request in self._running:
+            if (request.request_id, request.sub_query) == (
+                request_id,
+                sub_query,
+            ):
+                request.cancel()
+                self.release(request)
                 return True
         return False
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_snapshots.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_snapshots.py
@@ -1,26 +1,26 @@
-"""The snapshots that a stand-in holds, and their ranges."""
+"""Snapshots that a stand-in holds, and their key ranges."""
 
 import attrs
 
 from fennelfork.gather import KeyRange, key_range, missing_ranges
+from fennelfork_bench.backend_server._commands import SnapshotCommand
 from fennelfork_bench.backend_server._messages import HeldSnapshot
-from fennelfork_bench.backend_server._orders import SnapshotOrder
 
 
 @attrs.define(kw_only=True)
-class Holdings:
-    """Which ranges the server holds at which snapshot."""
+class SnapshotStore:
+    """Key ranges that the server holds, by snapshot."""
 
     _ranges: dict[int, tuple[KeyRange, ...]]
 
     @property
-    def newest(self) -> int:
-        """The newest snapshot held."""
+    def newest_version(self) -> int:
+        """Version of the newest snapshot."""
         return max(self._ranges)
 
     @property
-    def held(self) -> tuple[HeldSnapshot, ...]:
-        """All snapshots held, oldest first, as messages."""
+    def held_snapshots(self) -> tuple[HeldSnapshot, ...]:
+        """Messages with all snapshots, oldest first."""
         return tuple(
             HeldSnapshot(
                 version=version,
@@ -29,29 +29,29 @@
             for version, ranges in sorted(self._ranges.items())
         )
 
-    def has(self, version: int) -> bool:
-        """Tell whether the snapshot is held."""
+    def holds(self, version: int) -> bool:
+        """Return whether the server holds a snapshot."""
         return version in self._ranges
 
     def covers(self, version: int, wanted: KeyRange) -> bool:
-        """Tell whether the whole range is held at a snapshot."""
+        """Return whether the server holds a complete range at a snapshot."""
         return not missing_ranges(wanted, self._ranges.get(version, ()))
 
-    def apply(self, order: SnapshotOrder) -> None:
-        """Take up a snapshot and let go of those not to be kept.
+    def apply_command(self, command: SnapshotCommand) -> None:
+        """Add a snapshot and discard the snapshots that are not kept.
 
         Raises:
-            ValueError: if a range of the order is empty.
+            ValueError: if a range of the command is empty.
         """
-        ranges = tuple(key_range(lo, hi) for lo, hi in order.ranges)
+        ranges = tuple(key_range(lo, hi) for lo, hi in command.ranges)
         kept = {
             version: held
             for version, held in self._ranges.items()
-            if order.keep is None or version in order.keep
+            if command.keep is None or version in command.keep
         }
-        self._ranges = {**kept, order.version: ranges}
+        self._ranges = {**kept, command.version: ranges}
 
 
-def first_holdings(version: int, held: KeyRange) -> Holdings:
-    """Build holdings of one range at one snapshot."""
-    return Holdings(ranges={version: (held,)})
+def initial_snapshots(version: int, held: KeyRange) -> SnapshotStore:
+    """Build a store with one range at one snapshot."""
+    return SnapshotStore(ranges={version: (held,)})
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_state.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_state.py
@@ -1,4 +1,4 @@
-"""The blackboard of one stand-in server: what its parts read and write."""
+"""Shared mutable state of one stand-in server."""
 
 import random
 
@@ -17,10 +17,13 @@
 )
 from fennelfork_bench.backend_server._settings import (
     ServerSettings,
-    first_range,
+    initial_range,
 )
 from fennelfork_bench.backend_server._slots import Slots
-from fennelfork_bench.backend_server._snapshots import Holdings, first_holdings
+from fennelfork_bench.backend_server._snapshots import (
+    SnapshotStore,
+    initial_snapshots,
+)
 
 
 @attrs.define(kw_only=True)
@@ -28,25 +31,26 @@
     """All state of one stand-in server.
 
     Attributes:
-        settings: what it was told at its start.
-        clock: its time.
-        holdings: snapshots and ranges it holds.
-        slots: what runs.
-        log: what happened.
-        faults: faults of single requests.
+        settings: settings of the server.
+        clock: monotonic clock of the server.
+        snapshots: snapshots and key ranges that the server holds.
+        slots: slots and running requests.
+        log: log of events.
+        faults: faults that affect individual requests.
         times: service times.
-        health_fault: how health and load mislead.
-        draining: whether it refuses new work.
-        frozen_until_ms: when it stops standing still.
-        connections: how many connections are open.
-        connections_peak: how many were open at once at most.
-        connections_refused: how many were closed for the limit.
-        executed: how often each action of a key ran.
+        health_fault: errors in the health and load responses.
+        draining: whether the server refuses new requests.
+        frozen_until_ms: end of the current freeze.
+        connections: number of open connections.
+        connections_peak: highest number of simultaneously open connections.
+        connections_refused: number of connections closed because of the
+            limit.
+        executed: number of executions by key and action.
     """
 
     settings: ServerSettings
     clock: Clock
-    holdings: Holdings
+    snapshots: SnapshotStore
     slots: Slots
     log: EventLog
     faults: FaultPlan
@@ -61,15 +65,15 @@
 
 
 def server_state(settings: ServerSettings, clock: Clock) -> ServerState:
-    """Build the state of a server that starts now.
+    """Build the state of a new server.
 
     Raises:
-        ValueError: if the settings name no valid range.
+        ValueError: if the settings contain an invalid key range.
     """
     return ServerState(
         settings=settings,
         clock=clock,
-        holdings=first_holdings(settings.snapshot, first_range(settings)),
+        snapshots=initial_snapshots(settings.snapshot, initial_range(settings)),
         slots=Slots(size=settings.slots),
         log=event_log(wall_clock(), settings.log_limit),
         faults=fault_plan(random.Random(f'faults {settings.seed}')),
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/__init__.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers of histories, one a promise."""
+"""Checkers of histories, one for each guarantee."""
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_all.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_all.py
@@ -1,10 +1,10 @@
-"""All checkers over one history."""
+"""Runs all checkers on one history."""
 
 import itertools
 
 from fennelfork_bench.checks._answer import check_own_answer
 from fennelfork_bench.checks._base import Limits, Truth, Violation
-from fennelfork_bench.checks._config import check_in_force
+from fennelfork_bench.checks._config import check_active_configuration
 from fennelfork_bench.checks._coverage import check_coverage
 from fennelfork_bench.checks._drain import check_drain
 from fennelfork_bench.checks._once import check_at_most_once
@@ -20,15 +20,15 @@
     truth: Truth,
     limits: Limits,
 ) -> tuple[Violation, ...]:
-    """Check every promise.
+    """Check every guarantee.
 
     Args:
-        history: the events of one run, from its start to its end.
-        truth: what the index held.
-        limits: how long the promises that name a time may take.
+        history: all events of one test run.
+        truth: expected contents of the index.
+        limits: time limits of the guarantees that have one.
 
     Returns:
-        Each broken promise with the events that show it; empty if none.
+        Violations with the events that prove them; empty if there are none.
     """
     found = (
         check_snapshot(history, truth),
@@ -38,7 +38,7 @@
         check_at_most_once(history),
         check_drain(history, limits),
         check_graceful_stop(history),
-        check_in_force(history, limits),
+        check_active_configuration(history, limits),
         check_patches(history),
     )
     return tuple(itertools.chain.from_iterable(found))
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_answer.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_answer.py
@@ -1,13 +1,13 @@
-"""A caller gets the whole answer to its own request, and nothing else."""
+"""Checks that each caller receives exactly the answer to its own request."""
 
 from collections.abc import Iterator
 
 from fennelfork_bench.checks._base import (
-    Promise,
+    CallerAttempt,
+    Guarantee,
     Truth,
-    Try,
     Violation,
-    tries_of,
+    caller_attempts,
 )
 from fennelfork_bench.history._caller import (
     Ended,
@@ -21,88 +21,90 @@
 from fennelfork_bench.history._history import History
 from fennelfork_bench.history._server import ExecuteRan
 
-# Request id, key and action of what the backend servers ran.
+# Request id, key and action of each execution on a backend server.
 _Runs = set[tuple[str, int, str]]
 
 
 def check_own_answer(history: History, truth: Truth) -> tuple[Violation, ...]:
-    """Find tries left alone, ended twice, or given another's answer."""
-    tries = tries_of(history)
+    """Find attempts without exactly one end or with a wrong answer."""
+    attempts = caller_attempts(history)
     runs = {
         (run.request_id, run.key, run.action) for run in history.of(ExecuteRan)
     }
     return (
-        *_orphans(history, tries),
+        *_unknown_answers(history, attempts),
         *(
             _violation(attempt, detail)
-            for attempt in tries
-            for detail in _faults(attempt, runs, truth)
+            for attempt in attempts
+            for detail in _problems(attempt, runs, truth)
         ),
     )
 
 
-def _orphans(
+def _unknown_answers(
     history: History,
-    tries: tuple[Try, ...],
+    attempts: tuple[CallerAttempt, ...],
 ) -> Iterator[Violation]:
-    known = {attempt.asked.attempt for attempt in tries}
+    known = {attempt.asked.attempt for attempt in attempts}
     for end in history.of(Ended):
         if end.attempt not in known:
             yield Violation(
-                promise=Promise.OWN_ANSWER,
-                detail='an answer that nobody asked for',
+                promise=Guarantee.OWN_ANSWER,
+                detail='an answer without a request',
                 events=(end,),
             )
 
 
-def _faults(attempt: Try, runs: _Runs, truth: Truth) -> Iterator[str]:
+def _problems(
+    attempt: CallerAttempt, runs: _Runs, truth: Truth
+) -> Iterator[str]:
     if len(attempt.ends) != 1:
-        yield f'{len(attempt.ends)} ends of one try'
+        yield f'{len(attempt.ends)} ends of one attempt, expected 1'
     for end in attempt.ends:
-        yield from _addressed(attempt, end)
+        yield from _addressing_problems(attempt, end)
         if isinstance(attempt.asked, QueryAsked):
-            yield from _query_faults(attempt.asked, end, truth)
+            yield from _query_problems(attempt.asked, end, truth)
         if isinstance(attempt.asked, ExecuteAsked):
-            yield from _execute_faults(attempt.asked, end, runs)
+            yield from _execute_problems(attempt.asked, end, runs)
 
 
-def _addressed(attempt: Try, end: Ended) -> Iterator[str]:
+def _addressing_problems(attempt: CallerAttempt, end: Ended) -> Iterator[str]:
     if isinstance(end, Malformed):
-        yield f'a malformed reply: {end.detail}'
+        yield f'a malformed response: {end.detail}'
     if not isinstance(end, QueryAnswered | ExecuteAnswered | Refused):
         return
     if end.reply_to != attempt.asked.request_id:
-        yield f'a reply to {end.reply_to}'
+        yield f'a response to the request {end.reply_to!r}'
 
 
-def _query_faults(
+def _query_problems(
     asked: QueryAsked,
     end: Ended,
     truth: Truth,
 ) -> Iterator[str]:
     if isinstance(end, ExecuteAnswered):
-        yield 'a query got the answer of an execution'
+        yield 'a query received the answer of an execution'
     if not isinstance(end, QueryAnswered):
         return
     keys = [record.key for record in end.records]
     if len(keys) != len(set(keys)):
-        yield 'a record stands twice in the answer'
-    strange = set(keys).difference(truth.stamps(end.snapshot, asked.query))
-    if strange:
-        yield f'records that do not match the query: {sorted(strange)}'
+        yield 'the answer contains a duplicate record'
+    unexpected = set(keys).difference(truth.stamps(end.snapshot, asked.query))
+    if unexpected:
+        yield f'records that do not match the query: {sorted(unexpected)}'
     if asked.whole and not end.complete:
-        yield 'partial though the caller takes only the whole'
+        yield 'a partial answer to a caller that requires a complete one'
     if end.fraction < asked.floor:
-        yield f'fraction {end.fraction} below the floor {asked.floor}'
+        yield f'fraction {end.fraction} below the minimum {asked.floor}'
 
 
-def _execute_faults(
+def _execute_problems(
     asked: ExecuteAsked,
     end: Ended,
     runs: _Runs,
 ) -> Iterator[str]:
     if isinstance(end, QueryAnswered):
-        yield 'an execution got the answer of a query'
+        yield 'an execution received the answer of a query'
     if not isinstance(end, ExecuteAnswered):
         return
     if end.key != asked.key:
@@ -111,9 +113,9 @@
         yield 'an outcome of an execution that no server ran'
 
 
-def _violation(attempt: Try, detail: str) -> Violation:
+def _violation(attempt: CallerAttempt, detail: str) -> Violation:
     return Violation(
-        promise=Promise.OWN_ANSWER,
+        promise=Guarantee.OWN_ANSWER,
         detail=detail,
         events=(attempt.asked, *attempt.ends),
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_base.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_base.py
@@ -1,4 +1,4 @@
-"""What the checkers of a history share: promises, violations, the truth."""
+"""Shared types of the checkers: guarantees, violations, index contents."""
 
 import enum
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -16,8 +16,8 @@
 
 
 @enum.unique
-class Promise(enum.Enum):
-    """The points that must always hold, in the order of the brief."""
+class Guarantee(enum.Enum):
+    """Guarantees that must hold in every history."""
 
     ONE_SNAPSHOT = 'one_snapshot'
     TRUE_COVERAGE = 'true_coverage'
@@ -31,22 +31,22 @@
 
 @attrs.frozen(kw_only=True)
 class Violation:
-    """A broken promise and the events that show it."""
+    """A violated guarantee and the events that prove the violation."""
 
-    promise: Promise
+    promise: Guarantee
     detail: str
     events: tuple[Event, ...]
 
 
 @attrs.frozen(kw_only=True)
 class Truth:
-    """What the index holds, known apart from every process under test.
+    """Expected contents of the index, independent of the tested processes.
 
     Attributes:
-        keys: the key space of the front is [0, keys).
-        snapshots: the versions that ever existed.
-        stamps: gives the digests, by key, of the records that match a query
-            (canonical JSON) at one snapshot.
+        keys: size of the key space of the front, which is [0, keys).
+        snapshots: all versions of the index that existed.
+        stamps: function that returns the digests, by key, of the records
+            that match a query (canonical JSON) at one snapshot.
     """
 
     keys: int
@@ -56,11 +56,13 @@
 
 @attrs.frozen(kw_only=True)
 class Limits:
-    """How long the promises that name a time may take.
+    """Time limits of the guarantees that have one.
 
     Attributes:
-        drain_ms: from the word to a server till its last new work.
-        config_ms: from the acceptance of a version till every daemon has it.
+        drain_ms: maximum time from a drain request to the last new request
+            that the server receives.
+        config_ms: maximum time from the acceptance of a configuration
+            version to its use by every daemon.
     """
 
     drain_ms: float = 3000
@@ -68,8 +70,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Try:
-    """One try of a request: what was asked and every end it had."""
+class CallerAttempt:
+    """One attempt of a caller: the request and all recorded ends."""
 
     asked: Asked
     ends: tuple[Ended, ...]
@@ -77,26 +79,26 @@
 
 @attrs.frozen(kw_only=True)
 class QueryReply:
-    """A query and one answer that its caller got."""
+    """A query and one answer that its caller received."""
 
     asked: QueryAsked
     answer: QueryAnswered
 
 
-def tries_of(history: History) -> tuple[Try, ...]:
-    """Pair each asked request with its ends, in the order of asking."""
+def caller_attempts(history: History) -> tuple[CallerAttempt, ...]:
+    """Pair each sent request with its ends, in the order of sending."""
     ends: dict[str, list[Ended]] = {}
     for end in history.of(Ended):
         ends.setdefault(end.attempt, []).append(end)
     return tuple(
-        Try(asked=asked, ends=tuple(ends.get(asked.attempt, ())))
+        CallerAttempt(asked=asked, ends=tuple(ends.get(asked.attempt, ())))
         for asked in history.of(Asked)
     )
 
 
-def replies_of(history: History) -> Iterator[QueryReply]:
-    """Give every answer to a query with the query that was asked."""
-    for attempt in tries_of(history):
+def query_replies(history: History) -> Iterator[QueryReply]:
+    """Yield each answer to a query together with the query."""
+    for attempt in caller_attempts(history):
         asked = attempt.asked
         if not isinstance(asked, QueryAsked):
             continue
@@ -105,17 +107,17 @@
                 yield QueryReply(asked=asked, answer=end)
 
 
-def reply_violations(
-    promise: Promise,
+def check_replies(
+    promise: Guarantee,
     history: History,
-    faults: Callable[[QueryReply], Iterable[str]],
+    find_problems: Callable[[QueryReply], Iterable[str]],
 ) -> tuple[Violation, ...]:
-    """Check each answer of a history by itself.
+    """Check each answer of a history separately.
 
     Args:
-        promise: what a faulty answer breaks.
-        history: of the whole run.
-        faults: says in a few words each what is wrong with an answer.
+        promise: guarantee that a wrong answer violates.
+        history: all events of one test run.
+        find_problems: function that describes each problem of an answer.
     """
     return tuple(
         Violation(
@@ -123,6 +125,6 @@
             detail=detail,
             events=(reply.asked, reply.answer),
         )
-        for reply in replies_of(history)
-        for detail in faults(reply)
+        for reply in query_replies(history)
+        for detail in find_problems(reply)
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_config.py
@@ -1,13 +1,13 @@
-"""An accepted configuration is in force everywhere and never reverts."""
+"""Checks that accepted configurations reach every daemon and stay active."""
 
 from collections.abc import Iterator, Sequence
 
 from fennelfork_bench.checks._base import (
+    CallerAttempt,
+    Guarantee,
     Limits,
-    Promise,
-    Try,
     Violation,
-    tries_of,
+    caller_attempts,
 )
 from fennelfork_bench.history._caller import (
     Ended,
@@ -25,62 +25,70 @@
 from fennelfork_bench.history._operator import PatchAccepted
 
 
-def check_in_force(history: History, limits: Limits) -> tuple[Violation, ...]:
-    """Find daemons that lag behind, revert or disagree on a version."""
+def check_active_configuration(
+    history: History, limits: Limits
+) -> tuple[Violation, ...]:
+    """Find daemons that lag behind, revert or disagree about a version."""
     return (
-        *_late(history, limits),
-        *_reverted(history),
-        *_reverted_answers(history),
-        *_disagreeing(history),
+        *_find_late(history, limits),
+        *_find_reverted(history),
+        *_find_outdated_answers(history),
+        *_find_conflicting_documents(history),
     )
 
 
-def _late(history: History, limits: Limits) -> Iterator[Violation]:
+def _find_late(history: History, limits: Limits) -> Iterator[Violation]:
     accepted = history.of(PatchAccepted)
-    awake = [
+    starts = [
         event
         for event in history.of(DaemonEvent)
         if isinstance(event, Started | Resumed)
     ]
     for seen in history.of(VersionSeen):
-        awake_ms = _awake_since_ms(awake, seen)
+        running_since_ms = _running_since_ms(starts, seen)
         yield from (
-            _violation(f'{seen.daemon} is still at {seen.version}', (old, seen))
-            for old in accepted
-            if seen.version < old.version
-            and seen.at_ms > max(old.at_ms, awake_ms) + limits.config_ms
+            _violation(
+                f'{seen.daemon} is still at version {seen.version}',
+                (accepted_patch, seen),
+            )
+            for accepted_patch in accepted
+            if seen.version < accepted_patch.version
+            and seen.at_ms
+            > max(accepted_patch.at_ms, running_since_ms) + limits.config_ms
         )
 
 
-def _awake_since_ms(awake: Sequence[DaemonEvent], seen: VersionSeen) -> float:
-    """Tell since when the daemon could take a new version.
+def _running_since_ms(
+    starts: Sequence[DaemonEvent], seen: VersionSeen
+) -> float:
+    """Return the time from which the daemon could fetch new versions.
 
-    A daemon that was paused, or not yet there, has its time from then on.
+    The time limit of a daemon starts at its latest start or resumption.
     """
     return max(
         (
             event.at_ms
-            for event in awake
+            for event in starts
             if event.daemon == seen.daemon and event.at_ms <= seen.at_ms
         ),
         default=0,
     )
 
 
-def _reverted(history: History) -> Iterator[Violation]:
+def _find_reverted(history: History) -> Iterator[Violation]:
     newest: dict[str, VersionSeen] = {}
     for seen in history.of(VersionSeen):
         before = newest.setdefault(seen.daemon, seen)
         if seen.version < before.version:
-            detail = f'{seen.daemon} went back to {seen.version}'
+            detail = f'{seen.daemon} reverted to version {seen.version}'
             yield _violation(detail, (before, seen))
         else:
             newest[seen.daemon] = seen
 
 
-def _reverted_answers(history: History) -> Iterator[Violation]:
+def _find_outdated_answers(history: History) -> Iterator[Violation]:
     seen = history.of(VersionSeen)
-    for attempt in tries_of(history):
+    for attempt in caller_attempts(history):
         newest = _newest_before(seen, attempt)
         if newest is None:
             continue
@@ -92,15 +100,18 @@
 
 def _newest_before(
     seen: tuple[VersionSeen, ...],
-    attempt: Try,
+    attempt: CallerAttempt,
 ) -> VersionSeen | None:
     asked = attempt.asked
     before = (
-        one
-        for one in seen
-        if one.daemon == asked.daemon and one.at_ms < asked.at_ms
+        version_seen
+        for version_seen in seen
+        if version_seen.daemon == asked.daemon
+        and version_seen.at_ms < asked.at_ms
+    )
+    return max(
+        before, key=lambda version_seen: version_seen.version, default=None
     )
-    return max(before, key=lambda one: one.version, default=None)
 
 
 def _is_older(end: Ended, newest: VersionSeen) -> bool:
@@ -109,18 +120,18 @@
     return False
 
 
-def _disagreeing(history: History) -> Iterator[Violation]:
+def _find_conflicting_documents(history: History) -> Iterator[Violation]:
     first: dict[int, VersionSeen] = {}
     for seen in history.of(VersionSeen):
         other = first.setdefault(seen.version, seen)
         if other.digest != seen.digest:
-            detail = f'two documents are called version {seen.version}'
+            detail = f'two documents have the version {seen.version}'
             yield _violation(detail, (other, seen))
 
 
 def _violation(detail: str, events: tuple[Event, ...]) -> Violation:
     return Violation(
-        promise=Promise.CONFIGURATION,
+        promise=Guarantee.CONFIGURATION,
         detail=detail,
         events=events,
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_coverage.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_coverage.py
@@ -1,53 +1,53 @@
-"""An answer states its coverage truly."""
+"""Checks that each answer reports its coverage correctly."""
 
 from collections.abc import Iterator
 from typing import Final
 
 from fennelfork_bench.checks._base import (
-    Promise,
+    Guarantee,
     QueryReply,
     Truth,
     Violation,
-    reply_violations,
+    check_replies,
 )
 from fennelfork_bench.history._caller import QueryAnswered
 from fennelfork_bench.history._history import History
 
-# The stated fraction may be rounded by less than half a key.
-_HALF: Final = 0.5
+# Allows for the rounding of the reported fraction.
+_ROUNDING_TOLERANCE_KEYS: Final = 0.5
 
 
 def check_coverage(history: History, truth: Truth) -> tuple[Violation, ...]:
-    """Find answers that lack, or hold, what they say they do not."""
-    return reply_violations(
-        Promise.TRUE_COVERAGE,
+    """Find answers whose records contradict the reported coverage."""
+    return check_replies(
+        Guarantee.TRUE_COVERAGE,
         history,
-        lambda reply: _faults(reply, truth),
+        lambda reply: _problems(reply, truth),
     )
 
 
-def _faults(reply: QueryReply, truth: Truth) -> Iterator[str]:
+def _problems(reply: QueryReply, truth: Truth) -> Iterator[str]:
     answer = reply.answer
-    yield from _stated_faults(answer, truth)
-    there = {record.key for record in answer.records}
-    claimed = sorted(key for key in there if _is_missing(key, answer))
+    yield from _summary_problems(answer, truth)
+    returned_keys = {record.key for record in answer.records}
+    claimed = sorted(key for key in returned_keys if _is_missing(key, answer))
     if claimed:
-        yield f'holds records in ranges stated as missing: {claimed}'
-    lacking = [
+        yield f'contains records in ranges reported as missing: {claimed}'
+    omitted = [
         key
         for key in truth.stamps(answer.snapshot, reply.asked.query)
-        if key not in there and not _is_missing(key, answer)
+        if key not in returned_keys and not _is_missing(key, answer)
     ]
-    if lacking:
-        yield f'lacks records in ranges stated as covered: {lacking}'
+    if omitted:
+        yield f'lacks records in ranges reported as covered: {omitted}'
 
 
-def _stated_faults(answer: QueryAnswered, truth: Truth) -> Iterator[str]:
+def _summary_problems(answer: QueryAnswered, truth: Truth) -> Iterator[str]:
     if answer.complete == bool(answer.missing):
         yield f'complete={answer.complete} with missing {answer.missing}'
-    gone = sum(part.width for part in answer.missing)
-    covered = truth.keys - gone
-    if abs(answer.fraction * truth.keys - covered) > _HALF:
+    missing_width = sum(part.width for part in answer.missing)
+    covered = truth.keys - missing_width
+    if abs(answer.fraction * truth.keys - covered) > _ROUNDING_TOLERANCE_KEYS:
         yield f'fraction {answer.fraction} with {covered} keys covered'
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_drain.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_drain.py
@@ -1,19 +1,19 @@
-"""A leaving backend server gets no new work after a few seconds."""
+"""Checks that a draining backend server receives no new requests."""
 
-from fennelfork_bench.checks._base import Limits, Promise, Violation
+from fennelfork_bench.checks._base import Guarantee, Limits, Violation
 from fennelfork_bench.history._history import History
 from fennelfork_bench.history._server import DrainAsked, WorkReceived
 
 
 def check_drain(history: History, limits: Limits) -> tuple[Violation, ...]:
-    """Find work that reached a server long after it was told to drain.
+    """Find requests that reached a server too long after a drain request.
 
-    Work that the server refused counts too: it should not have been sent.
+    Requests that the server refused count too.
     """
     return tuple(
         Violation(
-            promise=Promise.DRAIN,
-            detail=f'work {work.at_ms - drain.at_ms:.0f} ms after the drain',
+            promise=Guarantee.DRAIN,
+            detail=f'request {work.at_ms - drain.at_ms:.0f} ms after the drain',
             events=(drain, work),
         )
         for drain in history.of(DrainAsked)
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_patches.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_patches.py
@@ -1,8 +1,8 @@
-"""Accepted patches are kept, refused ones change nothing."""
+"""Checks that accepted patches are kept and refused patches have no effect."""
 
 from collections.abc import Iterator
 
-from fennelfork_bench.checks._base import Promise, Violation
+from fennelfork_bench.checks._base import Guarantee, Violation
 from fennelfork_bench.history._event import Event
 from fennelfork_bench.history._history import History
 from fennelfork_bench.history._operator import (
@@ -14,19 +14,19 @@
 
 
 def check_patches(history: History) -> tuple[Violation, ...]:
-    """Find lost, doubled and wrongly refused patches."""
+    """Find lost, duplicated and wrongly refused patches."""
     return (
-        *_shared_versions(history),
-        *_repeated(history),
+        *_find_shared_versions(history),
+        *_find_repeated(history),
         *(
             violation
             for read in history.of(DocumentRead)
-            for violation in _document_faults(history, read)
+            for violation in _document_problems(history, read)
         ),
     )
 
 
-def _shared_versions(history: History) -> Iterator[Violation]:
+def _find_shared_versions(history: History) -> Iterator[Violation]:
     first: dict[int, PatchAccepted] = {}
     for accepted in history.of(PatchAccepted):
         other = first.setdefault(accepted.version, accepted)
@@ -35,7 +35,7 @@
             yield _violation(detail, (other, accepted))
 
 
-def _repeated(history: History) -> Iterator[Violation]:
+def _find_repeated(history: History) -> Iterator[Violation]:
     first: dict[str, PatchAccepted] = {}
     for accepted in history.of(PatchAccepted):
         other = first.setdefault(accepted.patch_id, accepted)
@@ -44,7 +44,7 @@
             yield _violation(detail, (other, accepted))
 
 
-def _document_faults(
+def _document_problems(
     history: History,
     read: DocumentRead,
 ) -> Iterator[Violation]:
@@ -54,7 +54,7 @@
     kept = {patch.patch_id for patch in read.patches}
     for refused in history.of(PatchRefused):
         if refused.patch_id in kept:
-            yield _violation('a refused patch is in force', (refused, read))
+            yield _violation('a refused patch is active', (refused, read))
     if len(kept) != len(read.patches):
         yield _violation('a patch was applied twice', (read,))
 
@@ -74,7 +74,7 @@
 
 def _violation(detail: str, events: tuple[Event, ...]) -> Violation:
     return Violation(
-        promise=Promise.CONFIGURATION,
+        promise=Guarantee.CONFIGURATION,
         detail=detail,
         events=events,
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_refusal.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_refusal.py
@@ -1,9 +1,14 @@
-"""A refusal that says that a request was not run is true."""
+"""Checks that requests refused as not run did not run."""
 
 from collections.abc import Iterator
 
 from fennelfork import Verdict
-from fennelfork_bench.checks._base import Promise, Try, Violation, tries_of
+from fennelfork_bench.checks._base import (
+    CallerAttempt,
+    Guarantee,
+    Violation,
+    caller_attempts,
+)
 from fennelfork_bench.history._caller import ConnectRefused, Refused
 from fennelfork_bench.history._event import Event
 from fennelfork_bench.history._history import History
@@ -11,20 +16,20 @@
 
 
 def check_refusal(history: History) -> tuple[Violation, ...]:
-    """Find requests refused as not run in every try, which a server ran.
+    """Find requests that ran although every attempt was refused as not run.
 
-    Tries of one request id share its runs. So a run contradicts a refusal
-    only when no other try of that id may account for it.
+    A run cannot be assigned to one of several attempts of a request, so a
+    refusal is wrong only if no other attempt may have caused the run.
     """
-    tries: dict[str, list[Try]] = {}
-    for attempt in tries_of(history):
+    tries: dict[str, list[CallerAttempt]] = {}
+    for attempt in caller_attempts(history):
         tries.setdefault(attempt.asked.request_id, []).append(attempt)
     runs = _runs_by_request(history)
     return tuple(_violations(tries, runs))
 
 
 def _violations(
-    tries: dict[str, list[Try]],
+    tries: dict[str, list[CallerAttempt]],
     runs: dict[str, list[Event]],
 ) -> Iterator[Violation]:
     for request_id, attempts in tries.items():
@@ -32,13 +37,13 @@
         if ran and all(_says_not_run(attempt) for attempt in attempts):
             ends = [end for attempt in attempts for end in attempt.ends]
             yield Violation(
-                promise=Promise.TRUE_REFUSAL,
-                detail=f'{request_id} was refused as not run, and ran',
+                promise=Guarantee.TRUE_REFUSAL,
+                detail=f'{request_id} was refused as not run but ran',
                 events=(*ran, *ends),
             )
 
 
-def _says_not_run(attempt: Try) -> bool:
+def _says_not_run(attempt: CallerAttempt) -> bool:
     return bool(attempt.ends) and all(
         isinstance(end, ConnectRefused)
         or (isinstance(end, Refused) and end.verdict is Verdict.NOT_RUN)
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_stop.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_stop.py
@@ -1,9 +1,14 @@
-"""A planned stop is graceful: it cuts no request in progress."""
+"""Checks that a planned stop of a daemon interrupts no request in flight."""
 
 from collections.abc import Iterator
 from typing import Final
 
-from fennelfork_bench.checks._base import Promise, Try, Violation, tries_of
+from fennelfork_bench.checks._base import (
+    CallerAttempt,
+    Guarantee,
+    Violation,
+    caller_attempts,
+)
 from fennelfork_bench.history._caller import (
     ConnectionCut,
     ConnectRefused,
@@ -19,24 +24,24 @@
 from fennelfork_bench.history._event import Event
 from fennelfork_bench.history._history import History
 
-# What a daemon says of a request that it gives up because it stops.
-_GIVEN_UP: Final = frozenset(('draining', 'cancelled'))
+# Failure codes of requests that a daemon abandons because it stops.
+_ABANDONED_CODES: Final = frozenset(('draining', 'cancelled'))
 
 
 def check_graceful_stop(history: History) -> tuple[Violation, ...]:
-    """Find stops that ended badly or cut a request."""
-    tries = tries_of(history)
+    """Find stops with a failed exit or with interrupted requests."""
+    attempts = caller_attempts(history)
     return tuple(
         violation
         for stop in history.of(StopAsked)
         for violation in (
-            *_exit_faults(history, stop),
-            *_cut_requests(tries, stop),
+            *_exit_problems(history, stop),
+            *_find_cut_requests(attempts, stop),
         )
     )
 
 
-def _exit_faults(history: History, stop: StopAsked) -> Iterator[Violation]:
+def _exit_problems(history: History, stop: StopAsked) -> Iterator[Violation]:
     ends = [
         end
         for end in history.of(DaemonEvent)
@@ -52,30 +57,30 @@
             yield _violation(detail, (stop, end))
 
 
-def _cut_requests(
-    tries: tuple[Try, ...],
+def _find_cut_requests(
+    attempts: tuple[CallerAttempt, ...],
     stop: StopAsked,
 ) -> Iterator[Violation]:
-    for attempt in tries:
+    for attempt in attempts:
         cuts = [end for end in attempt.ends if _is_cut(attempt, end, stop)]
         for end in cuts:
-            detail = f'a request was cut: {type(end).__name__}'
+            detail = f'a request was interrupted: {type(end).__name__}'
             yield _violation(detail, (stop, attempt.asked, end))
 
 
-def _is_cut(attempt: Try, end: Ended, stop: StopAsked) -> bool:
+def _is_cut(attempt: CallerAttempt, end: Ended, stop: StopAsked) -> bool:
     asked = attempt.asked
     if asked.daemon != stop.daemon or end.at_ms < stop.at_ms:
         return False
     if isinstance(end, ConnectionCut | ConnectRefused):
         return asked.at_ms <= asked.entry_until_ms
-    given_up = isinstance(end, Refused) and end.code in _GIVEN_UP
-    return given_up and asked.at_ms < stop.at_ms
+    is_abandoned = isinstance(end, Refused) and end.code in _ABANDONED_CODES
+    return is_abandoned and asked.at_ms < stop.at_ms
 
 
 def _violation(detail: str, events: tuple[Event, ...]) -> Violation:
     return Violation(
-        promise=Promise.GRACEFUL_STOP,
+        promise=Guarantee.GRACEFUL_STOP,
         detail=detail,
         events=events,
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/history/__init__.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/history/__init__.py
@@ -1,1 +1,1 @@
-"""Histories: what callers, servers and operators saw."""
+"""Histories of events that callers, servers and operators record."""
--- a/packages/fennelfork-bench/src/fennelfork_bench/history/_caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/history/_caller.py
@@ -1,4 +1,4 @@
-"""Events that callers write: what they asked and what they got."""
+"""Events that callers record: requests and the results of requests."""
 
 import attrs
 
@@ -9,11 +9,11 @@
 
 @attrs.frozen(kw_only=True)
 class RecordSeen:
-    """One record of an answer.
+    """Key and digest of one record in an answer.
 
     Attributes:
-        key: the key of the record.
-        stamp: digest of the whole record, which differs between snapshots.
+        key: key of the record.
+        stamp: digest of the complete record, different in each snapshot.
     """
 
     key: int
@@ -25,11 +25,13 @@
     """A caller is about to send a request.
 
     Attributes:
-        attempt: names this one try; a retry has another.
-        request_id: names the request; a retry has the same.
-        caller: who asks.
-        daemon: which daemon the request goes to.
-        entry_until_ms: end of the time in which the caller may use its entry.
+        attempt: identifier of this attempt; a retry has a new identifier.
+        request_id: identifier of the request, shared by all of its retries.
+        caller: name of the caller.
+        daemon: name of the daemon that receives the request.
+        entry_until_ms: time at which the caller's entry for the daemon
+            expires.
+        front: name of the front that the request addresses.
     """
 
     attempt: str
@@ -42,11 +44,12 @@
 
 @attrs.frozen(kw_only=True)
 class QueryAsked(Asked):
-    """A query, with its body as canonical JSON.
+    """A caller is about to send a query.
 
     Attributes:
-        whole: whether the caller takes nothing but full coverage.
-        floor: the least fraction of the keys that the caller takes.
+        query: body of the query as canonical JSON.
+        whole: whether the caller accepts only complete answers.
+        floor: minimum fraction of the keys that the caller accepts.
     """
 
     query: str
@@ -56,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteAsked(Asked):
-    """A request that is not idempotent."""
+    """A caller is about to send a non-idempotent request."""
 
     key: int
     action: str
@@ -64,19 +67,19 @@
 
 @attrs.frozen(kw_only=True)
 class Ended(Event):
-    """How one try ended."""
+    """An attempt of a caller ended."""
 
     attempt: str
 
 
 @attrs.frozen(kw_only=True)
 class QueryAnswered(Ended):
-    """An answer to a query.
+    """The caller received an answer to a query.
 
     Attributes:
-        reply_to: the request id that the answer names.
-        missing: the ranges that the answer says it lacks.
-        config_version: the configuration that the daemon says it used.
+        reply_to: request id that the answer contains.
+        missing: key ranges that the answer reports as missing.
+        config_version: configuration version that the daemon reports.
     """
 
     reply_to: str
@@ -90,7 +93,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteAnswered(Ended):
-    """An answer to a request that is not idempotent."""
+    """The caller received an answer to a non-idempotent request."""
 
     reply_to: str
     key: int
@@ -100,7 +103,7 @@
 
 @attrs.frozen(kw_only=True)
 class Refused(Ended):
-    """A problem document in place of an answer."""
+    """The caller received a problem document instead of an answer."""
 
     reply_to: str
     code: str
@@ -109,26 +112,26 @@
 
 @attrs.frozen(kw_only=True)
 class Malformed(Ended):
-    """A whole reply that is neither an answer nor a problem document."""
+    """A complete response is neither an answer nor a problem document."""
 
     detail: str
 
 
 @attrs.frozen(kw_only=True)
 class ConnectionCut(Ended):
-    """The connection was open and ended without a whole reply."""
+    """An open connection closed before a complete response arrived."""
 
     detail: str
 
 
 @attrs.frozen(kw_only=True)
 class ConnectRefused(Ended):
-    """No connection could be opened; no byte was sent."""
+    """The connection could not be opened, so no byte was sent."""
 
     detail: str
 
 
-# The concrete classes of this module, for reading and writing.
+# Union of the concrete classes of this module, for serialisation.
 AnyCallerEvent = (
     QueryAsked
     | ExecuteAsked
--- a/packages/fennelfork-bench/src/fennelfork_bench/history/_daemon.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/history/_daemon.py
@@ -1,4 +1,4 @@
-"""Events of daemons, and of the faults that a run injects."""
+"""Events of daemons and of injected faults."""
 
 import attrs
 
@@ -7,10 +7,10 @@
 
 @attrs.frozen(kw_only=True)
 class DaemonEvent(Event):
-    """Something that happened to one run of one daemon.
+    """Base class of the events of one incarnation of a daemon.
 
     Attributes:
-        daemon: name of the run; a daemon started again has another.
+        daemon: name of the incarnation, different after each restart.
     """
 
     daemon: str
@@ -18,12 +18,12 @@
 
 @attrs.frozen(kw_only=True)
 class Started(DaemonEvent):
-    """The daemon said that it is ready."""
+    """The daemon reported that it is ready."""
 
 
 @attrs.frozen(kw_only=True)
 class VersionSeen(DaemonEvent):
-    """The daemon said which configuration is in force in it."""
+    """The daemon reported its active configuration version."""
 
     version: int
     digest: str
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class Paused(DaemonEvent):
-    """The daemon was stopped by SIGSTOP."""
+    """The daemon was suspended by SIGSTOP."""
 
 
 @attrs.frozen(kw_only=True)
@@ -41,7 +41,7 @@
 
 @attrs.frozen(kw_only=True)
 class Killed(DaemonEvent):
-    """The daemon was ended by SIGKILL."""
+    """The daemon was terminated by SIGKILL."""
 
 
 @attrs.frozen(kw_only=True)
@@ -51,19 +51,19 @@
 
 @attrs.frozen(kw_only=True)
 class Exited(DaemonEvent):
-    """The process of the daemon ended by itself."""
+    """The process of the daemon exited by itself."""
 
     status: int
 
 
 @attrs.frozen(kw_only=True)
 class FaultChanged(Event):
-    """A fault begins or ends.
+    """A fault was injected or cleared.
 
     Attributes:
-        fault: which fault.
-        target: the process it strikes.
-        active: true from the beginning, false at the end.
+        fault: name of the fault.
+        target: name of the process that the fault affects.
+        active: whether the fault was injected rather than cleared.
     """
 
     fault: str
@@ -71,7 +71,7 @@
     active: bool
 
 
-# The concrete classes of this module, for reading and writing.
+# Union of the concrete classes of this module, for serialisation.
 AnyDaemonEvent = (
     Started
     | VersionSeen
--- a/packages/fennelfork-bench/src/fennelfork_bench/history/_event.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/history/_event.py
@@ -1,14 +1,14 @@
-"""What every event of a history has in common."""
+"""Base class of the events of a history."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class Event:
-    """Something that one process saw.
+    """An event that one process recorded.
 
     Attributes:
-        at_ms: civil time of the machine, which all its processes share.
+        at_ms: wall-clock time, comparable between processes of one machine.
     """
 
     at_ms: float
--- a/packages/fennelfork-bench/src/fennelfork_bench/history/_history.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/history/_history.py
@@ -1,4 +1,4 @@
-"""Histories of concurrent runs: events in the order of one clock."""
+"""Histories of concurrent processes: events ordered by wall-clock time."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -32,12 +32,12 @@
 
 @attrs.frozen(kw_only=True)
 class History:
-    """Every event of one run, oldest first."""
+    """All events of one test run, oldest first."""
 
     events: tuple[Event, ...]
 
     def of(self, kind: type[EventT]) -> tuple[EventT, ...]:
-        """Select the events of one class and its subclasses."""
+        """Return the events of a class and its subclasses."""
         return tuple(event for event in self.events if isinstance(event, kind))
 
 
@@ -45,25 +45,26 @@
 class Recorder:
     """Collects the events of one process in memory.
 
-    Greenlets and threads may share it: an append is one operation.
+    Greenlets and threads may share a recorder, because appending to a list
+    is atomic.
     """
 
     clock: Clock
     events: list[Event] = attrs.field(factory=list)
 
     def now_ms(self) -> float:
-        """Read the clock that stamps the events."""
+        """Return the current time of the clock that timestamps events."""
         return self.clock.now_ms()
 
     def note(self, event: Event) -> None:
-        """Add an event that carries its own time."""
+        """Append an event that already has a timestamp."""
         self.events.append(event)
 
 
 def gather(*sources: Iterable[Event]) -> History:
     """Merge the events of several processes into one history.
 
-    Events of equal time keep the order in which they are given.
+    Events with equal timestamps keep the order of the arguments.
     """
     merged = [event for source in sources for event in source]
     merged.sort(key=lambda event: event.at_ms)
@@ -71,32 +72,32 @@
 
 
 def write_history(path: Path, history: History) -> None:
-    """Write a history as JSON Lines, one event a line."""
-    with path.open('w', encoding='utf-8') as lines:
+    """Write a history to a JSON Lines file, one event per line."""
+    with path.open('w', encoding='utf-8') as history_file:
         for event in history.events:
-            lines.write(event_line(event))
-            lines.write('\n')
+            history_file.write(render_event(event))
+            history_file.write('\n')
 
 
 def read_history(path: Path) -> History:
-    """Read what `write_history` wrote.
+    """Read a history from a file written by `write_history`.
 
     Raises:
-        ValueError: if a line is not JSON.
-        cattrs.BaseValidationError: if a line is no known event.
+        ValueError: if a line is not valid JSON.
+        cattrs.BaseValidationError: if a line is not a known event.
     """
-    with path.open(encoding='utf-8') as lines:
-        return gather(_read_events(lines))
+    with path.open(encoding='utf-8') as history_file:
+        return gather(_read_events(history_file))
 
 
-def event_line(event: Event) -> str:
-    """Write one event as one line of JSON."""
+def render_event(event: Event) -> str:
+    """Render an event as one line of JSON."""
     return json.dumps(
         _CONVERTER.unstructure(event, unstructure_as=_AnyEvent),
         sort_keys=True,
     )
 
 
-def _read_events(lines: Iterable[str]) -> Iterator[Event]:
-    for line in lines:
+def _read_events(history_file: Iterable[str]) -> Iterator[Event]:
+    for line in history_file:
         yield _CONVERTER.structure(json.loads(line), _AnyEvent)
--- a/packages/fennelfork-bench/src/fennelfork_bench/history/_operator.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/history/_operator.py
@@ -1,4 +1,4 @@
-"""Events of operators: their patches and what came of them."""
+"""Events of operators: patches and the results of patches."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen(kw_only=True)
 class PatchEvent(Event):
-    """Something about one patch of one operator."""
+    """Base class of the events of one patch."""
 
     operator: str
     patch_id: str
@@ -15,35 +15,35 @@
 
 @attrs.frozen(kw_only=True)
 class PatchProposed(PatchEvent):
-    """An operator sends a patch against a version."""
+    """An operator sends a patch based on a configuration version."""
 
     base: int
 
 
 @attrs.frozen(kw_only=True)
 class PatchAccepted(PatchEvent):
-    """The patch is in force as this version."""
+    """The patch was accepted as a new configuration version."""
 
     version: int
 
 
 @attrs.frozen(kw_only=True)
 class PatchRefused(PatchEvent):
-    """The patch was refused and changed nothing."""
+    """The patch was refused without any change to the configuration."""
 
     code: str
 
 
 @attrs.frozen(kw_only=True)
 class PatchUnknown(PatchEvent):
-    """The operator was told, or must assume, that nobody knows."""
+    """The operator does not know whether the patch was accepted."""
 
     detail: str
 
 
 @attrs.frozen(kw_only=True)
 class PatchSeen:
-    """One entry of the history inside the configuration document."""
+    """One entry of the patch history in the configuration document."""
 
     patch_id: str
     version: int
@@ -51,13 +51,13 @@
 
 @attrs.frozen(kw_only=True)
 class DocumentRead(Event):
-    """The configuration document, read from the platform itself."""
+    """The configuration document was read directly from the platform."""
 
     version: int
     patches: tuple[PatchSeen, ...]
 
 
-# The concrete classes of this module, for reading and writing.
+# Union of the concrete classes of this module, for serialisation.
 AnyOperatorEvent = (
     PatchProposed | PatchAccepted | PatchRefused | PatchUnknown | DocumentRead
 )
--- a/packages/fennelfork-bench/src/fennelfork_bench/history/_server.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/history/_server.py
@@ -1,4 +1,4 @@
-"""Events of backend servers: what reached them and what they ran."""
+"""Events of backend servers: requests that arrive and run."""
 
 import attrs
 
@@ -7,19 +7,19 @@
 
 @attrs.frozen(kw_only=True)
 class ServerEvent(Event):
-    """Something that happened on one backend server."""
+    """Base class of the events of one backend server."""
 
     server: str
 
 
 @attrs.frozen(kw_only=True)
 class DrainAsked(ServerEvent):
-    """The server was told to leave."""
+    """The server was asked to drain."""
 
 
 @attrs.frozen(kw_only=True)
 class Work(ServerEvent):
-    """Something about one request that reached the server."""
+    """Base class of the events of one request on a server."""
 
     request_id: str
     sub_query: str
@@ -27,12 +27,12 @@
 
 @attrs.frozen(kw_only=True)
 class WorkReceived(Work):
-    """A request arrived, whatever came of it."""
+    """A request arrived, regardless of its result."""
 
 
 @attrs.frozen(kw_only=True)
 class QueryRan(Work):
-    """The server began to run its part of a query."""
+    """The server started to run a sub-query."""
 
     snapshot: int
     lo: int
@@ -41,7 +41,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteRan(Work):
-    """The server began to run a request that is not idempotent."""
+    """The server started to run a non-idempotent request."""
 
     key: int
     action: str
@@ -49,24 +49,24 @@
 
 @attrs.frozen(kw_only=True)
 class WorkRefused(Work):
-    """The server answered with a problem, before it ran or after."""
+    """The server responded with a problem document, before or after a run."""
 
     code: str
 
 
 @attrs.frozen(kw_only=True)
 class ReplySpoiled(Work):
-    """A fault met the reply: late, lost, crossed, cut or the like."""
+    """An injected fault affected the response to the request."""
 
     kind: str
 
 
 @attrs.frozen(kw_only=True)
 class WorkCancelled(Work):
-    """The server ended a running request as it was asked to."""
+    """The server cancelled a running request on demand."""
 
 
-# The concrete classes of this module, for reading and writing.
+# Union of the concrete classes of this module, for serialisation.
 AnyServerEvent = (
     DrainAsked
     | WorkReceived
--- a/packages/fennelfork-bench/tests/test_check_tamper.py
+++ b/packages/fennelfork-bench/tests/test_check_tamper.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from fennelfork_bench.checks._all import check_history
-from fennelfork_bench.checks._base import Limits, Promise
+from fennelfork_bench.checks._base import Guarantee, Limits
 from fennelfork_bench.history._caller import Ended, Refused
 from fennelfork_bench.history._event import Event
 from fennelfork_bench.history._history import gather
@@ -50,16 +50,16 @@
     return attrs.evolve(event, reply_to='another')
 
 
-_CHANGES: dict[Callable[[Event], Event], tuple[str, Promise]] = {
-    _lose_record: ('whole', Promise.TRUE_COVERAGE),
-    _mix_snapshots: ('whole', Promise.ONE_SNAPSHOT),
-    _hide_gap: ('partial', Promise.TRUE_COVERAGE),
-    _cross: ('issued', Promise.OWN_ANSWER),
+_CHANGES: dict[Callable[[Event], Event], tuple[str, Guarantee]] = {
+    _lose_record: ('whole', Guarantee.TRUE_COVERAGE),
+    _mix_snapshots: ('whole', Guarantee.ONE_SNAPSHOT),
+    _hide_gap: ('partial', Guarantee.TRUE_COVERAGE),
+    _cross: ('issued', Guarantee.OWN_ANSWER),
 }
 _ADDED = {
-    'refused': (query_ran(), Promise.TRUE_REFUSAL),
-    'not issued': (execute_ran(), Promise.TRUE_REFUSAL),
-    'issued': (execute_ran(server='raft-b'), Promise.AT_MOST_ONCE),
+    'refused': (query_ran(), Guarantee.TRUE_REFUSAL),
+    'not issued': (execute_ran(), Guarantee.TRUE_REFUSAL),
+    'issued': (execute_ran(server='raft-b'), Guarantee.AT_MOST_ONCE),
 }
 
 _sessions = st.lists(st.sampled_from(list(_GOOD)), min_size=1, max_size=12)
@@ -83,7 +83,7 @@
     ]
 
 
-def _found(sessions: list[list[Event]]) -> set[Promise]:
+def _found(sessions: list[list[Event]]) -> set[Guarantee]:
     broken = check_history(gather(*sessions), truth(), Limits())
     return {violation.promise for violation in broken}
 
@@ -121,5 +121,5 @@
         sessions = _events(kinds)
         end = sessions[-1].pop()
         assert isinstance(end, Ended | Refused)
-        assert Promise.OWN_ANSWER in _found(sessions)
-        assert Promise.OWN_ANSWER in _found([*sessions, [end, end]])
+        assert Guarantee.OWN_ANSWER in _found(sessions)
+        assert Guarantee.OWN_ANSWER in _found([*sessions, [end, end]])
--- a/packages/fennelfork-bench/tests/test_checks_all.py
+++ b/packages/fennelfork-bench/tests/test_checks_all.py
@@ -14,32 +14,32 @@
 )
 
 from fennelfork_bench.checks._all import check_history
-from fennelfork_bench.checks._base import Limits, Promise
+from fennelfork_bench.checks._base import Guarantee, Limits
 from fennelfork_bench.history._daemon import StopAsked, VersionSeen
 from fennelfork_bench.history._operator import DocumentRead, PatchSeen
 from fennelfork_bench.history._server import DrainAsked
 
 _PATCH = PatchSeen(patch_id='a', version=2)
 _BROKEN = (
-    (Promise.ONE_SNAPSHOT, (query_asked(), query_answered(snapshot=3))),
-    (Promise.TRUE_COVERAGE, (query_asked(), query_answered(fraction=0.5))),
-    (Promise.OWN_ANSWER, (query_asked(), partial_answer())),
-    (Promise.TRUE_REFUSAL, (query_asked(), query_ran(), refused())),
-    (Promise.AT_MOST_ONCE, (execute_ran(), execute_ran())),
+    (Guarantee.ONE_SNAPSHOT, (query_asked(), query_answered(snapshot=3))),
+    (Guarantee.TRUE_COVERAGE, (query_asked(), query_answered(fraction=0.5))),
+    (Guarantee.OWN_ANSWER, (query_asked(), partial_answer())),
+    (Guarantee.TRUE_REFUSAL, (query_asked(), query_ran(), refused())),
+    (Guarantee.AT_MOST_ONCE, (execute_ran(), execute_ran())),
     (
-        Promise.DRAIN,
+        Guarantee.DRAIN,
         (DrainAsked(at_ms=1, server='raft-a'), received(at_ms=9000)),
     ),
-    (Promise.GRACEFUL_STOP, (StopAsked(at_ms=1, daemon='vm-1'),)),
+    (Guarantee.GRACEFUL_STOP, (StopAsked(at_ms=1, daemon='vm-1'),)),
     (
-        Promise.CONFIGURATION,
+        Guarantee.CONFIGURATION,
         (
             VersionSeen(at_ms=1, daemon='vm-1', version=2, digest='d'),
             VersionSeen(at_ms=2, daemon='vm-1', version=1, digest='c'),
         ),
     ),
     (
-        Promise.CONFIGURATION,
+        Guarantee.CONFIGURATION,
         (DocumentRead(at_ms=1, version=2, patches=(_PATCH, _PATCH)),),
     ),
 )
--- a/packages/fennelfork-bench/tests/test_checks_config.py
+++ b/packages/fennelfork-bench/tests/test_checks_config.py
@@ -10,7 +10,7 @@
 )
 
 from fennelfork_bench.checks._base import Limits
-from fennelfork_bench.checks._config import check_in_force
+from fennelfork_bench.checks._config import check_active_configuration
 from fennelfork_bench.history._daemon import Resumed, Started, VersionSeen
 from fennelfork_bench.history._operator import PatchAccepted
 
@@ -43,7 +43,7 @@
     )
     def test_bad(self, events) -> None:
         """A late, older or second document of a version is caught."""
-        assert check_in_force(history(*events), _LIMITS)
+        assert check_active_configuration(history(*events), _LIMITS)
 
     @pytest.mark.parametrize(
         'events',
@@ -58,10 +58,12 @@
     )
     def test_near_miss(self, events) -> None:
         """Versions in time, other daemons and woken ones are good."""
-        assert not check_in_force(history(*events), _LIMITS)
+        assert not check_active_configuration(history(*events), _LIMITS)
 
     def test_resumed_too_long_ago(self) -> None:
         """A daemon that woke long ago has no excuse."""
         woke = Resumed(at_ms=5000, daemon='vm-1')
         late = _seen(12001, 1)
-        assert check_in_force(history(_ACCEPTED, woke, late), _LIMITS)
+        assert check_active_configuration(
+            history(_ACCEPTED, woke, late), _LIMITS
+        )
