--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_all.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_all.py
@@ -17,7 +17,7 @@
 
 def check_history(
     history: History,
-    truth: Truth,
+    index: Truth,
     limits: Limits,
 ) -> tuple[Violation, ...]:
     """Check every guarantee.
@@ -31,9 +31,9 @@
         Violations with the events that prove them; empty if there are none.
     """
     found = (
-        check_snapshot(history, truth),
-        check_coverage(history, truth),
-        check_own_answer(history, truth),
+        check_snapshot(history, index),
+        check_coverage(history, index),
+        check_own_answer(history, index),
         check_refusal(history),
         check_at_most_once(history),
         check_drain(history, limits),
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_answer.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_answer.py
@@ -25,7 +25,7 @@
 _Runs = set[tuple[str, int, str]]
 
 
-def check_own_answer(history: History, truth: Truth) -> tuple[Violation, ...]:
+def check_own_answer(history: History, index: Truth) -> tuple[Violation, ...]:
     """Find attempts without exactly one end or with a wrong answer."""
     attempts = caller_attempts(history)
     runs = {
@@ -36,7 +36,7 @@
         *(
             _violation(attempt, detail)
             for attempt in attempts
-            for detail in _problems(attempt, runs, truth)
+            for detail in _problems(attempt, runs, index)
         ),
     )
 
@@ -56,14 +56,14 @@
 
 
 def _problems(
-    attempt: CallerAttempt, runs: _Runs, truth: Truth
+    attempt: CallerAttempt, runs: _Runs, index: Truth
 ) -> Iterator[str]:
     if len(attempt.ends) != 1:
         yield f'{len(attempt.ends)} ends of one attempt, expected 1'
     for end in attempt.ends:
         yield from _addressing_problems(attempt, end)
         if isinstance(attempt.asked, QueryAsked):
-            yield from _query_problems(attempt.asked, end, truth)
+            yield from _query_problems(attempt.asked, end, index)
         if isinstance(attempt.asked, ExecuteAsked):
             yield from _execute_problems(attempt.asked, end, runs)
 
@@ -80,7 +80,7 @@
 def _query_problems(
     asked: QueryAsked,
     end: Ended,
-    truth: Truth,
+    index: Truth,
 ) -> Iterator[str]:
     if isinstance(end, ExecuteAnswered):
         yield 'a query received the answer of an execution'
@@ -89,7 +89,7 @@
     keys = [record.key for record in end.records]
     if len(keys) != len(set(keys)):
         yield 'the answer contains a duplicate record'
-    unexpected = set(keys).difference(truth.stamps(end.snapshot, asked.query))
+    unexpected = set(keys).difference(index.stamps(end.snapshot, asked.query))
     if unexpected:
         yield f'records that do not match the query: {sorted(unexpected)}'
     if asked.whole and not end.complete:
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_coverage.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_coverage.py
@@ -17,37 +17,37 @@
 _ROUNDING_TOLERANCE_KEYS: Final = 0.5
 
 
-def check_coverage(history: History, truth: Truth) -> tuple[Violation, ...]:
+def check_coverage(history: History, index: Truth) -> tuple[Violation, ...]:
     """Find answers whose records contradict the reported coverage."""
     return check_replies(
         Guarantee.TRUE_COVERAGE,
         history,
-        lambda reply: _problems(reply, truth),
+        lambda reply: _problems(reply, index),
     )
 
 
-def _problems(reply: QueryReply, truth: Truth) -> Iterator[str]:
+def _problems(reply: QueryReply, index: Truth) -> Iterator[str]:
     answer = reply.answer
-    yield from _summary_problems(answer, truth)
+    yield from _summary_problems(answer, index)
     returned_keys = {record.key for record in answer.records}
     claimed = sorted(key for key in returned_keys if _is_missing(key, answer))
     if claimed:
         yield f'contains records in ranges reported as missing: {claimed}'
     omitted = [
         key
-        for key in truth.stamps(answer.snapshot, reply.asked.query)
+        for key in index.stamps(answer.snapshot, reply.asked.query)
         if key not in returned_keys and not _is_missing(key, answer)
     ]
     if omitted:
         yield f'lacks records in ranges reported as covered: {omitted}'
 
 
-def _summary_problems(answer: QueryAnswered, truth: Truth) -> Iterator[str]:
+def _summary_problems(answer: QueryAnswered, index: Truth) -> Iterator[str]:
     if answer.complete == bool(answer.missing):
         yield f'complete={answer.complete} with missing {answer.missing}'
     missing_width = sum(part.width for part in answer.missing)
-    covered = truth.keys - missing_width
-    if abs(answer.fraction * truth.keys - covered) > _ROUNDING_TOLERANCE_KEYS:
+    covered = index.keys - missing_width
+    if abs(answer.fraction * index.keys - covered) > _ROUNDING_TOLERANCE_KEYS:
         yield f'fraction {answer.fraction} with {covered} keys covered'
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_snapshot.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_snapshot.py
@@ -15,21 +15,21 @@
 _MATCH_ALL_QUERY: Final = '{}'
 
 
-def check_snapshot(history: History, truth: Truth) -> tuple[Violation, ...]:
+def check_snapshot(history: History, index: Truth) -> tuple[Violation, ...]:
     """Find answers with records of a snapshot other than the reported one."""
     return check_replies(
         Guarantee.ONE_SNAPSHOT,
         history,
-        lambda reply: _problems(reply, truth),
+        lambda reply: _problems(reply, index),
     )
 
 
-def _problems(reply: QueryReply, truth: Truth) -> Iterator[str]:
+def _problems(reply: QueryReply, index: Truth) -> Iterator[str]:
     answer = reply.answer
-    if answer.snapshot not in truth.snapshots:
+    if answer.snapshot not in index.snapshots:
         yield f'snapshot {answer.snapshot} never existed'
         return
-    stamps = truth.stamps(answer.snapshot, _MATCH_ALL_QUERY)
+    stamps = index.stamps(answer.snapshot, _MATCH_ALL_QUERY)
     mismatched = [
         record.key
         for record in answer.records
--- a/packages/fennelfork-bench/tests/bench_builders_backend.py
+++ b/packages/fennelfork-bench/tests/bench_builders_backend.py
@@ -1,4 +1,4 @@
-"""Builders of stand-in processes and of the requests sent to them."""
+"""Builders of stand-in processes and of requests to the stand-ins."""
 
 import contextlib
 import json
@@ -18,8 +18,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Answer:
-    """Status and JSON body of an HTTP answer."""
+class HttpResponse:
+    """Status and JSON body of an HTTP response."""
 
     status: int
     body: Any
@@ -27,69 +27,71 @@
 
 @attrs.frozen(kw_only=True)
 class Backend:
-    """A stand-in process and the ways to talk to it."""
+    """Client of a stand-in process."""
 
     address: str
     control: str
-    calls: urllib3.PoolManager = attrs.field(
+    pool: urllib3.PoolManager = attrs.field(
         factory=lambda: urllib3.PoolManager(maxsize=8, retries=False),
     )
 
-    def post(self, path: str, timeout: float = _WAIT_S, **body: Any) -> Answer:
-        """Send a POST of a call."""
-        return self._ask('POST', self.address, path, body, timeout)
+    def post(
+        self, path: str, timeout: float = _WAIT_S, **body: Any
+    ) -> HttpResponse:
+        """Send a POST request to the backend protocol."""
+        return self._send_request('POST', self.address, path, body, timeout)
 
-    def get(self, path: str) -> Answer:
-        """Send a GET of a call."""
-        return self._ask('GET', self.address, path, None, _WAIT_S)
+    def get(self, path: str) -> HttpResponse:
+        """Send a GET request to the backend protocol."""
+        return self._send_request('GET', self.address, path, None, _WAIT_S)
 
-    def order(self, name: str, **body: Any) -> Answer:
-        """Send a POST to the control face."""
-        return self._ask(
+    def send_command(self, name: str, **body: Any) -> HttpResponse:
+        """Send a command to the control interface."""
+        return self._send_request(
             'POST', self.control, f'/control/{name}', body, _WAIT_S
         )
 
-    def faults(self, *rules: dict[str, Any], **others: Any) -> None:
-        """Put faults in force, those given and no others."""
-        answer = self.order('faults', rules=rules, **others)
-        assert answer.status == 200, answer
+    def set_faults(self, *rules: dict[str, Any], **others: Any) -> None:
+        """Replace the active faults."""
+        response = self.send_command('faults', rules=rules, **others)
+        assert response.status == 200, response
 
-    def page(self) -> dict[str, Any]:
-        """Read the log with its counts."""
+    def read_log_page(self) -> dict[str, Any]:
+        """Read the log with the event counts."""
         path = '/control/log'
-        return self._ask('GET', self.control, path, None, _WAIT_S).body
+        return self._send_request('GET', self.control, path, None, _WAIT_S).body
 
-    def log(self) -> list[dict[str, Any]]:
+    def read_events(self) -> list[dict[str, Any]]:
         """Read the events of the log."""
-        return self.page()['events']
+        return self.read_log_page()['events']
 
-    def kinds(self, request_id: str) -> list[str]:
-        """Read which events a request met, in their order."""
+    def event_kinds(self, request_id: str) -> list[str]:
+        """Read the kinds of the events of a request, in order."""
         return [
             event['kind']
-            for event in self.log()
+            for event in self.read_events()
             if event['request_id'] == request_id
         ]
 
     def wait_for(self, request_id: str, kind: str) -> None:
-        """Wait until a request met an event."""
-        wait_until(lambda: kind in self.kinds(request_id))
+        """Wait until a request has an event of a kind."""
+        wait_until(lambda: kind in self.event_kinds(request_id))
 
-    def _ask(
+    def _send_request(
         self, method: str, address: str, path: str, body: Any, timeout: float
-    ) -> Answer:
-        response = self.calls.request(
+    ) -> HttpResponse:
+        response = self.pool.request(
             method,
             f'http://{address}{path}',
             body=None if body is None else json.dumps(body),
             timeout=timeout,
         )
-        return Answer(status=response.status, body=response.json())
+        return HttpResponse(status=response.status, body=response.json())
 
 
 @contextlib.contextmanager
 def backend(**settings: Any) -> Iterator[Backend]:
-    """Run a stand-in process for the time of a test."""
+    """Run a stand-in process during a test."""
     options = [
         f'--{name.replace("_", "-")}={value}'
         for name, value in {'connect_ms': 0, 'mean_ms': 1, **settings}.items()
@@ -100,16 +102,16 @@
 
 @contextlib.contextmanager
 def backends(*settings: dict[str, Any]) -> Iterator[dict[str, Backend]]:
-    """Run one process with several stand-ins, given by name."""
+    """Run one process with several stand-ins and yield them by name."""
     with tempfile.NamedTemporaryFile('w', suffix='.json') as servers:
         json.dump(settings, servers)
         servers.flush()
         with _process([f'--servers={servers.name}']) as ready:
             yield {
-                one['name']: Backend(
-                    address=one['address'], control=one['control']
+                server['name']: Backend(
+                    address=server['address'], control=server['control']
                 )
-                for one in ready['servers']
+                for server in ready['servers']
             }
 
 
@@ -124,7 +126,7 @@
 
 
 def search_body(request_id: str = 'r1', **fields: Any) -> dict[str, Any]:
-    """Build the body of a search of all 1000 keys."""
+    """Build the body of a search for all 1000 keys."""
     return {
         'request_id': request_id,
         'sub_query': 's0',
@@ -150,16 +152,18 @@
 
 
 def wait_until(holds: Callable[[], bool]) -> None:
-    """Wait until a condition holds, within a generous cap."""
+    """Wait until a condition holds, with a timeout."""
     deadline = time.monotonic() + _WAIT_S
     while not holds():
-        assert time.monotonic() < deadline, 'waited in vain'
+        assert time.monotonic() < deadline, (
+            f'the condition does not hold after {_WAIT_S} s'
+        )
         time.sleep(_STEP_S)
 
 
 @contextlib.contextmanager
-def in_thread(call: Callable[[], Any]) -> Iterator[list[Any]]:
-    """Run a call beside the test; its return value is in the list at the end."""
+def run_in_thread(call: Callable[[], Any]) -> Iterator[list[Any]]:
+    """Run a function in a thread; yield a list that receives its result."""
     outputs: list[Any] = []
     thread = threading.Thread(target=lambda: outputs.append(call()))
     thread.start()
--- a/packages/fennelfork-bench/tests/bench_builders_faults.py
+++ b/packages/fennelfork-bench/tests/bench_builders_faults.py
@@ -1,4 +1,4 @@
-"""Builders of runs of a small fleet under faults."""
+"""Builders of fault injection rounds on a small fleet."""
 
 import time
 
@@ -22,32 +22,32 @@
 
 
 def running_trial(rig: Rig, load: Load = _LOAD) -> Trial:
-    """Start a small fleet under load and let its latencies be learned."""
+    """Start a small fleet under load and wait for latency baselines."""
     running = small_trial(rig, 1, load)
     time.sleep(_WARM_S)
     return running
 
 
 def run_under(rig: Rig, *faults: Fault, load: Load = _LOAD) -> Round:
-    """Run a small fleet under load and faults and check the history."""
+    """Run a small fleet under load with faults and check the history."""
     return strike_together(running_trial(rig, load), faults)
 
 
-def broken(done: Round) -> list[str]:
-    """Say which promises a run broke, in a few words each."""
+def broken(completed: Round) -> list[str]:
+    """Describe the violations of a completed round."""
     return [
         f'{violation.promise.value}: {violation.detail}'
-        for violation in done.violations
+        for violation in completed.violations
     ]
 
 
-def answers(done: Round) -> int:
-    """Count the answers that callers got."""
-    history = done.history
+def answers(completed: Round) -> int:
+    """Count the answers that callers received."""
+    history = completed.history
     executions = history.of(ExecuteAnswered)
     return len(history.of(QueryAnswered)) + len(executions)
 
 
-def cuts(done: Round) -> list[str]:
-    """Say how connections of callers ended without a reply."""
-    return [cut.detail for cut in done.history.of(ConnectionCut)]
+def cuts(completed: Round) -> list[str]:
+    """Describe how caller connections closed without a response."""
+    return [cut.detail for cut in completed.history.of(ConnectionCut)]
--- a/packages/fennelfork-bench/tests/bench_builders_proof.py
+++ b/packages/fennelfork-bench/tests/bench_builders_proof.py
@@ -26,12 +26,12 @@
 
 
 def stamp(snapshot: int, key: int) -> str:
-    """Give the digest of a record at a snapshot."""
+    """Return the digest of a record at a snapshot."""
     return f'{key}@{snapshot}'
 
 
-def truth() -> Truth:
-    """Build an index of ten keys and the snapshots 1 and 2."""
+def expected_index() -> Truth:
+    """Build an expected index of ten keys and the snapshots 1 and 2."""
     return Truth(keys=KEYS, snapshots=frozenset((1, 2)), stamps=_stamps)
 
 
@@ -41,7 +41,7 @@
 
 
 def records(*keys: int, snapshot: int = 1) -> tuple[RecordSeen, ...]:
-    """Build the true records of some keys."""
+    """Build the correct records of the given keys."""
     return tuple(
         RecordSeen(key=key, stamp=stamp(snapshot, key)) for key in keys
     )
@@ -65,7 +65,7 @@
 
 
 def query_answered(**changes: object) -> QueryAnswered:
-    """Build the whole and true answer to `query_asked`."""
+    """Build the complete and correct answer to `query_asked`."""
     answer = QueryAnswered(
         at_ms=150,
         attempt='try-1',
@@ -81,7 +81,7 @@
 
 
 def partial_answer(**changes: object) -> QueryAnswered:
-    """Build a true answer that lacks the upper half of the keys."""
+    """Build a correct partial answer without the upper half of the keys."""
     answer = query_answered(
         records=records(0, 1, 2, 3, 4),
         complete=False,
@@ -159,7 +159,7 @@
 
 
 def refused(**changes: object) -> Refused:
-    """Build a refusal that says that nothing ran."""
+    """Build a refusal with the verdict that nothing ran."""
     refusal = Refused(
         at_ms=150,
         attempt='try-1',
@@ -171,15 +171,15 @@
 
 
 def history(*events: Event) -> History:
-    """Build a history of these events."""
+    """Build a history of the given events."""
     return gather(events)
 
 
 def answered(*ends: Ended) -> History:
-    """Build a history of `query_asked` and these ends."""
+    """Build a history of `query_asked` and the given ends."""
     return gather((query_asked(),), ends)
 
 
-def details(violations: tuple[Violation, ...]) -> str:
-    """Join what the violations say, for a look at the words."""
+def join_details(violations: tuple[Violation, ...]) -> str:
+    """Join the details of violations into one string."""
     return '; '.join(violation.detail for violation in violations)
--- a/packages/fennelfork-bench/tests/test_backend_server_faults.py
+++ b/packages/fennelfork-bench/tests/test_backend_server_faults.py
@@ -1,4 +1,4 @@
-"""Faults and limits of the whole stand-in: each is seen on the wire."""
+"""Tests the effects of server faults and limits of the stand-in."""
 
 import json
 import socket
@@ -7,10 +7,10 @@
 import pytest
 import urllib3
 from bench_builders_backend import (
-    Answer,
     Backend,
+    HttpResponse,
     backend,
-    in_thread,
+    run_in_thread,
     search_body,
     wait_until,
 )
@@ -27,41 +27,43 @@
     return connection
 
 
-def _search_on(connection: HTTPConnection, request_id: str) -> Answer:
+def _search_on(connection: HTTPConnection, request_id: str) -> HttpResponse:
     connection.request(
         'POST', '/v1/search', json.dumps(search_body(request_id))
     )
     response = connection.getresponse()
-    return Answer(status=response.status, body=json.loads(response.read()))
+    return HttpResponse(
+        status=response.status, body=json.loads(response.read())
+    )
 
 
 class TestSilence:
-    """Connections whose bytes are lost for good."""
+    """Connections that drop all bytes."""
 
-    def test_open_connections_go_silent_and_new_ones_work(self) -> None:
-        """Requests on an old connection neither arrive nor are answered."""
+    def test_open_connections_drop_bytes_and_new_ones_work(self) -> None:
+        """Requests on an old connection do not reach the server."""
         with backend() as server:
             old = _connect(server)
             assert _search_on(old, 'before').status == 200
-            server.faults(silence=True)
+            server.set_faults(silence=True)
             old.sock.settimeout(_SHORT_S)
             with pytest.raises(TimeoutError):
                 _search_on(old, 'lost')
             new = _connect(server)
             assert _search_on(new, 'after').status == 200
-            assert not server.kinds('lost')
+            assert not server.event_kinds('lost')
             old.close()
             new.close()
 
-    def test_silence_swallows_the_reply_in_progress(self) -> None:
-        """A request that runs when silence falls ran without an answer."""
+    def test_silence_drops_the_reply_in_progress(self) -> None:
+        """A request that is running at the fault runs without a response."""
         with backend(mean_ms=400, shape=100) as server:
             old = _connect(server)
             old.sock.settimeout(2)
-            with in_thread(lambda: _reply_of(old)) as outcome:
+            with run_in_thread(lambda: _reply_of(old)) as outcome:
                 server.wait_for('r1', 'started')
-                server.faults(silence=True)
-            steps = server.kinds('r1')
+                server.set_faults(silence=True)
+            steps = server.event_kinds('r1')
         assert outcome == ['timed out']
         assert 'ran' in steps
         assert 'replied' not in steps
@@ -75,24 +77,24 @@
 
 
 class TestFreeze:
-    """A server that stands still."""
+    """A frozen server."""
 
-    def test_nothing_is_answered_until_the_thaw(self) -> None:
-        """The frozen server answers no call, not even health."""
+    def test_no_response_until_the_freeze_is_cleared(self) -> None:
+        """A frozen server does not respond until the freeze is cleared."""
         with backend() as server:
-            server.faults(freeze_ms=60_000)
+            server.set_faults(freeze_ms=60_000)
             with pytest.raises(urllib3.exceptions.ReadTimeoutError):
                 server.post('/v1/search', timeout=_SHORT_S, **search_body())
-            assert not server.kinds('r1')
-            server.faults(freeze_ms=0)
+            assert not server.event_kinds('r1')
+            server.set_faults(freeze_ms=0)
             assert server.post('/v1/search', **search_body()).status == 200
 
 
 class TestConnections:
-    """The connection limit and the cost of a new connection."""
+    """The connection limit and the delays of connections."""
 
     def test_closes_the_connection_above_the_limit(self) -> None:
-        """The excess one is closed at once, the others go on."""
+        """The excess connection is closed; the others keep working."""
         with backend(connections=2) as server:
             first, second = _connect(server), _connect(server)
             assert _search_on(first, 'r1').status == 200
@@ -100,29 +102,29 @@
             assert _read_all(_connect(server).sock) == b''
             assert _search_on(first, 'r3').status == 200
             first.close()
-            wait_until(lambda: server.page()['connections'] == 1)
+            wait_until(lambda: server.read_log_page()['connections'] == 1)
             third = _connect(server)
             assert _search_on(third, 'r4').status == 200
-            page = server.page()
+            page = server.read_log_page()
         assert page['connections_peak'] == 2
         assert page['connections_refused'] == 1
 
-    def test_a_new_connection_is_not_read_at_once(self) -> None:
-        """Until its cost is paid, no byte of it arrives."""
+    def test_new_connection_is_read_after_a_delay(self) -> None:
+        """No byte of a new connection is read before `connect_ms`."""
         with backend(connect_ms=60_000) as server:
             connection = _connect(server)
             connection.sock.settimeout(_SHORT_S)
             with pytest.raises(TimeoutError):
                 _search_on(connection, 'r1')
-            assert not server.kinds('r1')
+            assert not server.event_kinds('r1')
             connection.close()
 
-    def test_the_link_delays_requests(self) -> None:
-        """A request on a long link does not arrive at once."""
+    def test_network_delay_of_requests(self) -> None:
+        """A request arrives only after the network delay."""
         with backend(link_ms=60_000) as server:
             with pytest.raises(urllib3.exceptions.ReadTimeoutError):
                 server.post('/v1/search', timeout=_SHORT_S, **search_body())
-            assert not server.kinds('r1')
+            assert not server.event_kinds('r1')
 
 
 def _read_all(connection: socket.socket) -> bytes:
@@ -133,10 +135,10 @@
 
 
 class TestHealth:
-    """Health and load, true, old and false."""
+    """Actual, outdated and wrong health and load."""
 
-    def test_tells_snapshots_and_slots(self) -> None:
-        """A server without faults tells the truth."""
+    def test_reports_snapshots_and_slots(self) -> None:
+        """A server without faults reports its actual health."""
         with backend(lo=200, hi=700, slots=3, snapshot=6) as server:
             health = server.get('/v1/health').body
             later = server.get('/v1/health').body
@@ -149,28 +151,28 @@
             'capabilities': [],
         }
 
-    def test_lies(self) -> None:
-        """A draining, idle server can call itself serving and busy."""
+    def test_wrong_values(self) -> None:
+        """A draining, idle server can report that it is serving and busy."""
         with backend() as server:
-            server.order('drain')
-            server.faults(health={'state': 'serving', 'busy': 5})
+            server.send_command('drain')
+            server.set_faults(health={'state': 'serving', 'busy': 5})
             health, load = server.get('/v1/health'), server.get('/v1/load')
             refused = server.post('/v1/search', **search_body())
         assert (health.body['state'], health.body['busy']) == ('serving', 5)
         assert load.body['busy'] == 5
         assert refused.body['code'] == 'draining'
 
-    def test_lags(self) -> None:
-        """Within the lag it tells what was, although calls see what is."""
+    def test_outdated_values(self) -> None:
+        """Within the lag, health is outdated but requests see the drain."""
         with backend(health_lag_ms=60_000) as server:
-            server.order('drain')
+            server.send_command('drain')
             health = server.get('/v1/health')
             refused = server.post('/v1/search', **search_body())
         assert health.body['state'] == 'serving'
         assert refused.body['code'] == 'draining'
 
     def test_cold_start(self) -> None:
-        """A server that warms up says so and runs longer."""
+        """A server that is warming up reports it and runs longer."""
         options = {'cold_ms': 60_000, 'cold_factor': 1e6, 'shape': 100}
         with backend(**options) as server:
             health = server.get('/v1/health')
@@ -180,25 +182,27 @@
 
 
 class TestDrain:
-    """A server that is about to leave."""
+    """A draining server."""
 
-    def test_refuses_new_work_and_finishes_what_runs(self) -> None:
-        """No request in progress is cut."""
+    def test_refuses_new_requests_and_finishes_running_ones(self) -> None:
+        """A drain does not interrupt a running request."""
         with backend(mean_ms=400, shape=100) as server:
             body = search_body('running')
-            with in_thread(lambda: server.post('/v1/search', **body)) as ended:
+            with run_in_thread(
+                lambda: server.post('/v1/search', **body)
+            ) as responses:
                 server.wait_for('running', 'started')
-                server.order('drain')
+                server.send_command('drain')
                 refused = server.post('/v1/search', **search_body('new'))
-        assert ended[0].status == 200
+        assert responses[0].status == 200
         assert (refused.status, refused.body['code']) == (503, 'draining')
         assert refused.body['verdict'] == 'not_run'
 
-    def test_takes_work_again(self) -> None:
-        """A drain can be taken back."""
+    def test_accepts_requests_after_the_drain_ends(self) -> None:
+        """A drain can be reverted."""
         with backend() as server:
-            server.order('drain')
-            server.order('drain', draining=False)
+            server.send_command('drain')
+            server.send_command('drain', draining=False)
             found = server.post('/v1/search', **search_body())
         assert found.status == 200
 
@@ -206,10 +210,12 @@
 class TestSnapshots:
     """Index changes and repartitioning."""
 
-    def test_keeps_only_the_named_versions(self) -> None:
-        """A search of a version let go is refused with those held."""
+    def test_keeps_only_the_listed_versions(self) -> None:
+        """A search of a discarded version is refused with the held ones."""
         with backend(hi=500) as server:
-            server.order('snapshot', version=2, ranges=[[0, 400]], keep=[])
+            server.send_command(
+                'snapshot', version=2, ranges=[[0, 400]], keep=[]
+            )
             gone = server.post('/v1/search', **search_body(hi=400))
             found = server.post('/v1/search', **search_body(hi=400, snapshot=2))
         assert (gone.status, gone.body['code']) == (409, 'snapshot_gone')
@@ -220,9 +226,11 @@
         assert text.endswith('v2')
 
     def test_ranges_move_with_the_version(self) -> None:
-        """The old version keeps its ranges while it is held."""
+        """Each held version keeps its own ranges."""
         with backend(hi=500) as server:
-            server.order('snapshot', version=2, ranges=[[0, 100], [600, 700]])
+            server.send_command(
+                'snapshot', version=2, ranges=[[0, 100], [600, 700]]
+            )
             old = server.post('/v1/search', **search_body(hi=500))
             lost = server.post('/v1/search', **search_body(hi=500, snapshot=2))
             moved = server.post(
@@ -233,9 +241,9 @@
         assert moved.body['count'] == 100
 
     def test_refuses_an_empty_range(self) -> None:
-        """An order that names no keys is a bad request and changes nothing."""
+        """A command with an empty range is rejected without any effect."""
         with backend() as server:
-            answer = server.order('snapshot', version=2, ranges=[[5, 5]])
+            answer = server.send_command('snapshot', version=2, ranges=[[5, 5]])
             health = server.get('/v1/health')
         assert answer.status == 400
         assert [held['version'] for held in health.body['snapshots']] == [1]
--- a/packages/fennelfork-bench/tests/test_backend_server_history.py
+++ b/packages/fennelfork-bench/tests/test_backend_server_history.py
@@ -1,4 +1,4 @@
-"""Reading the log of a stand-in as events of a history."""
+"""Tests the conversion of a stand-in's log to events of a history."""
 
 import pytest
 from bench_builders_backend import backend, execute_body, search_body
@@ -14,15 +14,15 @@
 
 @pytest.mark.process
 class TestServerEvents:
-    """Events of the real log."""
+    """Events of the log of a stand-in process."""
 
     def test_reads_runs_and_refusals(self) -> None:
-        """Each arrival, run and refusal becomes one event, the rest none."""
+        """Each arrival, run and refusal becomes one event; others none."""
         with backend(name='raft-a') as server:
             server.post('/v1/search', **search_body('r1', lo=5, hi=9))
             server.post('/v1/execute', **execute_body('r2'))
             server.post('/v1/search', **search_body('r3', snapshot=8))
-            events = list(server_events(server.page()))
+            events = list(server_events(server.read_log_page()))
         arrived = [each for each in events if isinstance(each, WorkReceived)]
         assert [each.request_id for each in arrived] == ['r1', 'r2', 'r3']
         ran, executed, refused = (
--- a/packages/fennelfork-bench/tests/test_checks_all.py
+++ b/packages/fennelfork-bench/tests/test_checks_all.py
@@ -1,8 +1,9 @@
-"""All checkers are asked."""
+"""Tests that a history is checked by all checkers."""
 
 import pytest
 from bench_builders_proof import (
     execute_ran,
+    expected_index,
     history,
     partial_answer,
     query_answered,
@@ -10,7 +11,6 @@
     query_ran,
     received,
     refused,
-    truth,
 )
 
 from fennelfork_bench.checks._all import check_history
@@ -46,15 +46,15 @@
 
 
 class TestCheckHistory:
-    """One call asks every checker."""
+    """Checking a history with every checker."""
 
     @pytest.mark.parametrize(('promise', 'events'), _BROKEN)
     def test_each_promise(self, promise, events) -> None:
-        """A history that breaks one promise is named by that promise."""
-        found = check_history(history(*events), truth(), Limits())
+        """A violation of one guarantee is reported for this guarantee."""
+        found = check_history(history(*events), expected_index(), Limits())
         assert {broken.promise for broken in found} == {promise}
 
-    def test_good(self) -> None:
-        """A history that breaks none gives nothing."""
-        whole = history(query_asked(), query_ran(), query_answered())
-        assert not check_history(whole, truth(), Limits())
+    def test_valid(self) -> None:
+        """A valid history has no violations."""
+        complete_history = history(query_asked(), query_ran(), query_answered())
+        assert not check_history(complete_history, expected_index(), Limits())
--- a/packages/fennelfork-bench/tests/test_checks_answer.py
+++ b/packages/fennelfork-bench/tests/test_checks_answer.py
@@ -1,19 +1,19 @@
-"""The checker of the promise of one's own, whole answer."""
+"""Tests the check that callers receive the answers to their own requests."""
 
 import pytest
 from bench_builders_proof import (
     answered,
-    details,
     execute_answered,
     execute_asked,
     execute_ran,
+    expected_index,
     history,
+    join_details,
     partial_answer,
     query_answered,
     query_asked,
     records,
     refused,
-    truth,
 )
 
 from fennelfork_bench.checks._answer import check_own_answer
@@ -24,48 +24,50 @@
 
 
 class TestQueries:
-    """A query gets its own whole answer, once."""
+    """Answers to queries."""
 
     @pytest.mark.parametrize(
-        ('events', 'said'),
+        ('events', 'expected_detail'),
         [
             ((query_asked(),), '0 ends'),
             ((query_asked(), query_answered(), refused()), '2 ends'),
-            ((query_answered(),), 'nobody asked'),
+            ((query_answered(),), 'without a request'),
             ((query_asked(), query_answered(reply_to='req-2')), 'req-2'),
             ((query_asked(), refused(reply_to='req-2')), 'req-2'),
             ((query_asked(), execute_answered()), 'of an execution'),
             ((query_asked(), _MALFORMED), 'malformed'),
-            ((query_asked(), partial_answer()), 'takes only the whole'),
-            ((_NARROW, query_answered(records=records(1, 1))), 'twice'),
+            ((query_asked(), partial_answer()), 'requires a complete one'),
+            ((_NARROW, query_answered(records=records(1, 1))), 'duplicate'),
             ((_NARROW, query_answered(records=records(1, 2))), '[2]'),
             (
                 (query_asked(whole=False, floor=0.6), partial_answer()),
-                'below the floor',
+                'below the minimum',
             ),
         ],
     )
-    def test_bad(self, events, said) -> None:
-        """Lost, doubled, crossed and cut answers are caught."""
-        found = check_own_answer(history(*events), truth())
-        assert said in details(found)
+    def test_violations(self, events, expected_detail) -> None:
+        """Lost, duplicate, mismatched and truncated answers are detected."""
+        found = check_own_answer(history(*events), expected_index())
+        assert expected_detail in join_details(found)
 
-    def test_near_miss(self) -> None:
-        """A whole answer, a refusal and a wanted partial are good."""
+    def test_valid(self) -> None:
+        """A complete, a refused and an accepted partial answer are valid."""
         partial = history(
             query_asked(whole=False, floor=0.5),
             partial_answer(),
         )
-        assert not check_own_answer(partial, truth())
-        assert not check_own_answer(answered(query_answered()), truth())
-        assert not check_own_answer(answered(refused()), truth())
+        assert not check_own_answer(partial, expected_index())
+        assert not check_own_answer(
+            answered(query_answered()), expected_index()
+        )
+        assert not check_own_answer(answered(refused()), expected_index())
 
 
 class TestExecutions:
-    """An execution gets its own outcome."""
+    """Answers to executions."""
 
     @pytest.mark.parametrize(
-        ('events', 'said'),
+        ('events', 'expected_detail'),
         [
             ((execute_answered(key=4), execute_ran()), 'key 4'),
             ((execute_answered(),), 'no server ran'),
@@ -74,12 +76,16 @@
             ((query_answered(), execute_ran()), 'of a query'),
         ],
     )
-    def test_bad(self, events, said) -> None:
-        """Outcomes of other executions, or of none, are caught."""
-        whole = history(execute_asked(), *events)
-        assert said in details(check_own_answer(whole, truth()))
+    def test_violations(self, events, expected_detail) -> None:
+        """Outcomes of other executions, or of none, are detected."""
+        complete_history = history(execute_asked(), *events)
+        assert expected_detail in join_details(
+            check_own_answer(complete_history, expected_index())
+        )
 
-    def test_near_miss(self) -> None:
-        """An outcome of an execution that ran is good."""
-        whole = history(execute_asked(), execute_ran(), execute_answered())
-        assert not check_own_answer(whole, truth())
+    def test_valid(self) -> None:
+        """The outcome of an execution that ran is valid."""
+        complete_history = history(
+            execute_asked(), execute_ran(), execute_answered()
+        )
+        assert not check_own_answer(complete_history, expected_index())
--- a/packages/fennelfork-bench/tests/test_checks_config.py
+++ b/packages/fennelfork-bench/tests/test_checks_config.py
@@ -1,4 +1,4 @@
-"""The checker of the promise that a configuration is in force."""
+"""Tests the check that accepted configurations become and stay active."""
 
 import pytest
 from bench_builders_proof import (
@@ -28,8 +28,8 @@
     return VersionSeen(at_ms=at_ms, version=version, **fields)
 
 
-class TestCheckInForce:
-    """Daemons that lag, revert or disagree are found."""
+class TestCheckActiveConfiguration:
+    """Detection of daemons that lag, revert or disagree."""
 
     @pytest.mark.parametrize(
         'events',
@@ -41,8 +41,8 @@
             (_seen(10, 2), execute_asked(), execute_answered()),
         ],
     )
-    def test_bad(self, events) -> None:
-        """A late, older or second document of a version is caught."""
+    def test_violations(self, events) -> None:
+        """Late, reverted and conflicting versions are detected."""
         assert check_active_configuration(history(*events), _LIMITS)
 
     @pytest.mark.parametrize(
@@ -56,14 +56,14 @@
             (_seen(10, 2, daemon='vm-2'), query_asked(), query_answered()),
         ],
     )
-    def test_near_miss(self, events) -> None:
-        """Versions in time, other daemons and woken ones are good."""
+    def test_valid(self, events) -> None:
+        """Timely versions, other daemons and resumed daemons are valid."""
         assert not check_active_configuration(history(*events), _LIMITS)
 
-    def test_resumed_too_long_ago(self) -> None:
-        """A daemon that woke long ago has no excuse."""
-        woke = Resumed(at_ms=5000, daemon='vm-1')
+    def test_late_after_resumption(self) -> None:
+        """A daemon that lags long after its resumption is detected."""
+        resumed = Resumed(at_ms=5000, daemon='vm-1')
         late = _seen(12001, 1)
         assert check_active_configuration(
-            history(_ACCEPTED, woke, late), _LIMITS
+            history(_ACCEPTED, resumed, late), _LIMITS
         )
--- a/packages/fennelfork-bench/tests/test_checks_drain.py
+++ b/packages/fennelfork-bench/tests/test_checks_drain.py
@@ -1,4 +1,4 @@
-"""The checker of the promise that a leaving server gets no new work."""
+"""Tests the check that draining servers receive no new requests."""
 
 from bench_builders_proof import history, query_ran, received
 
@@ -11,21 +11,21 @@
 
 
 class TestCheckDrain:
-    """Work that comes long after the drain is found."""
+    """Detection of requests long after a drain."""
 
-    def test_bad(self) -> None:
-        """Work that arrives too late is caught, whatever came of it."""
+    def test_violations(self) -> None:
+        """A request that arrives too late is detected."""
         late = received(at_ms=4001)
         found = check_drain(history(_DRAIN, late), _LIMITS)
         assert [broken.events for broken in found] == [(_DRAIN, late)]
 
-    def test_near_miss(self) -> None:
-        """Early work, other servers and runs of old work are good."""
-        whole = history(
+    def test_valid(self) -> None:
+        """Early requests, other servers and late runs are valid."""
+        complete_history = history(
             _DRAIN,
             received(at_ms=500),
             received(at_ms=4000),
             received(at_ms=4001, server='raft-b'),
             query_ran(at_ms=4001),
         )
-        assert not check_drain(whole, _LIMITS)
+        assert not check_drain(complete_history, _LIMITS)
--- a/packages/fennelfork-bench/tests/test_checks_patches.py
+++ b/packages/fennelfork-bench/tests/test_checks_patches.py
@@ -1,4 +1,4 @@
-"""The checker of the promise that accepted patches stay."""
+"""Tests the check that accepted patches are kept."""
 
 import pytest
 from bench_builders_proof import history
@@ -48,7 +48,7 @@
 
 
 class TestCheckPatches:
-    """Patches that are lost, doubled or wrongly refused are found."""
+    """Detection of lost, duplicated and wrongly refused patches."""
 
     @pytest.mark.parametrize(
         'events',
@@ -62,8 +62,8 @@
             (_read(3, ('a', 2), ('a', 3)),),
         ],
     )
-    def test_bad(self, events) -> None:
-        """Each contradiction of the document is caught."""
+    def test_violations(self, events) -> None:
+        """Each contradiction with the document is detected."""
         assert check_patches(history(*events))
 
     @pytest.mark.parametrize(
@@ -76,6 +76,6 @@
             (_UNKNOWN, _read(1)),
         ],
     )
-    def test_near_miss(self, events) -> None:
-        """A lost race, a repeat, a trimmed list and doubt are good."""
+    def test_valid(self, events) -> None:
+        """Conflicts, resent patches, short histories and doubt are valid."""
         assert not check_patches(history(*events))
--- a/packages/fennelfork-bench/tests/test_checks_refusal.py
+++ b/packages/fennelfork-bench/tests/test_checks_refusal.py
@@ -1,4 +1,4 @@
-"""The checker of the promise that a refusal is true."""
+"""Tests the check that requests refused as not run did not run."""
 
 import pytest
 from bench_builders_proof import (
@@ -16,12 +16,12 @@
 
 _RETRY = execute_asked(attempt='try-2', at_ms=200)
 _CUT = ConnectionCut(at_ms=150, attempt='try-1', detail='reset')
-_UNSENT = ConnectRefused(at_ms=150, attempt='try-1', detail='refused')
+_CONNECT_REFUSED = ConnectRefused(at_ms=150, attempt='try-1', detail='refused')
 _RETRY_REFUSED = refused(attempt='try-2', at_ms=210)
 
 
 class TestCheckRefusal:
-    """Refusals that a run contradicts are found."""
+    """Detection of refusals that a run contradicts."""
 
     @pytest.mark.parametrize(
         'events',
@@ -29,11 +29,17 @@
             (query_asked(), query_ran(), refused()),
             (execute_asked(), execute_ran(), refused()),
             (execute_asked(), refused(), execute_ran(at_ms=900)),
-            (execute_asked(), _UNSENT, _RETRY, _RETRY_REFUSED, execute_ran()),
+            (
+                execute_asked(),
+                _CONNECT_REFUSED,
+                _RETRY,
+                _RETRY_REFUSED,
+                execute_ran(),
+            ),
         ],
     )
-    def test_bad(self, events) -> None:
-        """A run before or after the refusal is caught."""
+    def test_violations(self, events) -> None:
+        """A run before or after the refusal is detected."""
         assert check_refusal(history(*events))
 
     @pytest.mark.parametrize(
@@ -49,6 +55,6 @@
             (execute_asked(), _CUT, _RETRY, _RETRY_REFUSED, execute_ran()),
         ],
     )
-    def test_near_miss(self, events) -> None:
-        """An honest doubt, another request, or another try are good."""
+    def test_valid(self, events) -> None:
+        """Uncertain verdicts, other requests and other attempts are valid."""
         assert not check_refusal(history(*events))
--- a/packages/fennelfork-bench/tests/test_history.py
+++ b/packages/fennelfork-bench/tests/test_history.py
@@ -1,4 +1,4 @@
-"""Histories are written, read and merged without loss."""
+"""Tests that histories are written, read and merged without loss."""
 
 from pathlib import Path
 
@@ -23,11 +23,11 @@
 
 
 class TestFile:
-    """JSON Lines hold every field of every event."""
+    """Serialisation of histories as JSON Lines."""
 
     def test_round_trip(self, tmp_path: Path) -> None:
-        """What is written is read back equal."""
-        whole = gather(
+        """A history that is written and read back is equal."""
+        complete_history = gather(
             (
                 query_asked(),
                 partial_answer(),
@@ -43,11 +43,11 @@
             )
         )
         path = tmp_path / 'history.jsonl'
-        write_history(path, whole)
-        assert read_history(path) == whole
+        write_history(path, complete_history)
+        assert read_history(path) == complete_history
 
     def test_unknown_field(self, tmp_path: Path) -> None:
-        """A line with a field of no event is refused, not ignored."""
+        """A line with an unknown field is rejected, not ignored."""
         path = tmp_path / 'history.jsonl'
         path.write_text('{"event": "Started", "at_ms": 1, "extra": 2}\n')
         with pytest.raises(BaseValidationError):
@@ -55,10 +55,10 @@
 
 
 class TestGather:
-    """Events of several processes become one history."""
+    """Merging the events of several processes into one history."""
 
     def test_order(self) -> None:
-        """Events stand by their time, equal ones as given."""
+        """Events are sorted by time; equal times keep the given order."""
         first = query_asked(at_ms=1)
         second = query_asked(at_ms=2, attempt='a')
         third = query_asked(at_ms=2, attempt='b')
@@ -66,6 +66,6 @@
         assert merged.events == (first, second, third)
 
     def test_of_subclasses(self) -> None:
-        """A class selects the events of its subclasses too."""
+        """Selecting a class includes the events of its subclasses."""
         merged = gather((query_asked(), execute_asked(), refused()))
         assert merged.of(Asked) == (query_asked(), execute_asked())
