--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_delivery.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_delivery.py
@@ -41,7 +41,7 @@
 class ReplyFaults:
     """Applies faults to replies; keeps the last reply for CROSS faults."""
 
-    _last: Reply | None = None
+    _last_reply: Reply | None = None
 
     def prepare_delivery(
         self, reply: Reply, faults: Iterable[FaultRule]
@@ -61,11 +61,11 @@
 
     def corrupt(self, reply: Reply, kinds: set[FaultKind]) -> Reply:
         """Return the reply that is sent in place of the correct reply."""
-        corrupted = self._corrupted(reply, kinds)
-        self._last = reply
+        corrupted = self._apply_faults(reply, kinds)
+        self._last_reply = reply
         return corrupted
 
-    def _corrupted(self, reply: Reply, kinds: set[FaultKind]) -> Reply:
+    def _apply_faults(self, reply: Reply, kinds: set[FaultKind]) -> Reply:
         if FaultKind.CROSS in kinds:
             return self._different_reply(reply)
         if isinstance(reply, ExecuteReply):
@@ -79,7 +79,7 @@
         return reply
 
     def _different_reply(self, reply: Reply) -> Reply:
-        last = self._last
+        last = self._last_reply
         if last and _request_identity(last) != _request_identity(reply):
             return last
         return attrs.evolve(reply, request_id=f'crossed-{reply.request_id}')
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_refusal.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_refusal.py
@@ -21,18 +21,20 @@
     A run cannot be assigned to one of several attempts of a request, so a
     refusal is wrong only if no other attempt may have caused the run.
     """
-    tries: dict[str, list[CallerAttempt]] = {}
+    attempts_by_request: dict[str, list[CallerAttempt]] = {}
     for attempt in caller_attempts(history):
-        tries.setdefault(attempt.asked.request_id, []).append(attempt)
+        attempts_by_request.setdefault(attempt.asked.request_id, []).append(
+            attempt
+        )
     runs = _runs_by_request(history)
-    return tuple(_violations(tries, runs))
+    return tuple(_violations(attempts_by_request, runs))
 
 
 def _violations(
-    tries: dict[str, list[CallerAttempt]],
+    attempts_by_request: dict[str, list[CallerAttempt]],
     runs: dict[str, list[Event]],
 ) -> Iterator[Violation]:
-    for request_id, attempts in tries.items():
+    for request_id, attempts in attempts_by_request.items():
         ran = runs.get(request_id, [])
         if ran and all(_says_not_run(attempt) for attempt in attempts):
             ends = [end for attempt in attempts for end in attempt.ends]
--- a/packages/fennelfork-bench/tests/test_checks_all.py
+++ b/packages/fennelfork-bench/tests/test_checks_all.py
@@ -48,11 +48,11 @@
 class TestCheckHistory:
     """Checking a history with every checker."""
 
-    @pytest.mark.parametrize(('promise', 'events'), _BROKEN)
-    def test_each_promise(self, promise, events) -> None:
+    @pytest.mark.parametrize(('expected', 'events'), _BROKEN)
+    def test_each_guarantee(self, expected, events) -> None:
         """A violation of one guarantee is reported for this guarantee."""
         found = check_history(history(*events), expected_index(), Limits())
-        assert {broken.promise for broken in found} == {promise}
+        assert {violation.promise for violation in found} == {expected}
 
     def test_valid(self) -> None:
         """A valid history has no violations."""
