--- a/packages/fennelfork-bench/tests/test_checks_all.py
+++ b/packages/fennelfork-bench/tests/test_checks_all.py
@@ -1,8 +1,9 @@
-"""All checkers are asked."""
+"""Tests that a history is checked by all checkers."""
 
 import pytest
 from bench_builders_proof import (
     execute_ran,
+    expected_index,
     history,
     partial_answer,
     query_answered,
@@ -10,51 +11,50 @@
     query_ran,
     received,
     refused,
-    truth,
 )
 
 from fennelfork_bench.checks._all import check_history
-from fennelfork_bench.checks._base import Limits, Promise
+from fennelfork_bench.checks._base import Guarantee, Limits
 from fennelfork_bench.history._daemon import StopAsked, VersionSeen
 from fennelfork_bench.history._operator import DocumentRead, PatchSeen
 from fennelfork_bench.history._server import DrainAsked
 
 _PATCH = PatchSeen(patch_id='a', version=2)
 _BROKEN = (
-    (Promise.ONE_SNAPSHOT, (query_asked(), query_answered(snapshot=3))),
-    (Promise.TRUE_COVERAGE, (query_asked(), query_answered(fraction=0.5))),
-    (Promise.OWN_ANSWER, (query_asked(), partial_answer())),
-    (Promise.TRUE_REFUSAL, (query_asked(), query_ran(), refused())),
-    (Promise.AT_MOST_ONCE, (execute_ran(), execute_ran())),
+    (Guarantee.ONE_SNAPSHOT, (query_asked(), query_answered(snapshot=3))),
+    (Guarantee.TRUE_COVERAGE, (query_asked(), query_answered(fraction=0.5))),
+    (Guarantee.OWN_ANSWER, (query_asked(), partial_answer())),
+    (Guarantee.TRUE_REFUSAL, (query_asked(), query_ran(), refused())),
+    (Guarantee.AT_MOST_ONCE, (execute_ran(), execute_ran())),
     (
-        Promise.DRAIN,
+        Guarantee.DRAIN,
         (DrainAsked(at_ms=1, server='raft-a'), received(at_ms=9000)),
     ),
-    (Promise.GRACEFUL_STOP, (StopAsked(at_ms=1, daemon='vm-1'),)),
+    (Guarantee.GRACEFUL_STOP, (StopAsked(at_ms=1, daemon='vm-1'),)),
     (
-        Promise.CONFIGURATION,
+        Guarantee.CONFIGURATION,
         (
             VersionSeen(at_ms=1, daemon='vm-1', version=2, digest='d'),
             VersionSeen(at_ms=2, daemon='vm-1', version=1, digest='c'),
         ),
     ),
     (
-        Promise.CONFIGURATION,
+        Guarantee.CONFIGURATION,
         (DocumentRead(at_ms=1, version=2, patches=(_PATCH, _PATCH)),),
     ),
 )
 
 
 class TestCheckHistory:
-    """One call asks every checker."""
+    """Checking a history with every checker."""
 
-    @pytest.mark.parametrize(('promise', 'events'), _BROKEN)
-    def test_each_promise(self, promise, events) -> None:
-        """A history that breaks one promise is named by that promise."""
-        found = check_history(history(*events), truth(), Limits())
-        assert {broken.promise for broken in found} == {promise}
+    @pytest.mark.parametrize(('expected', 'events'), _BROKEN)
+    def test_each_guarantee(self, expected, events) -> None:
+        """A violation of one guarantee is reported for this guarantee."""
+        found = check_history(history(*events), expected_index(), Limits())
+        assert {violation.promise for violation in found} == {expected}
 
-    def test_good(self) -> None:
-        """A history that breaks none gives nothing."""
-        whole = history(query_asked(), query_ran(), query_answered())
-        assert not check_history(whole, truth(), Limits())
+    def test_valid(self) -> None:
+        """A valid history has no violations."""
+        complete_history = history(query_asked(), query_ran(), query_answered())
+        assert not check_history(complete_history, expected_index(), Limits())
