--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_client.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_client.py
@@ -15,7 +15,7 @@
     ConnectRefused,
     QueryAsked,
 )
-from fennelfork_bench.history._history import Recorder
+from fennelfork_bench.history._history import EventRecorder
 
 _MS_PER_SECOND: Final = 1000
 _TIMEOUT_MARGIN_MS: Final = 2000
@@ -28,17 +28,17 @@
     """Client that sends queries and records their events."""
 
     _spec: LoadSpec
-    _recorder: Recorder
+    _recorder: EventRecorder
     _randomness: random.Random
     _pools: urllib3.PoolManager
 
     def send_query(self, number: int) -> QueryOutcome:
         """Send a query to a random entry address and return the outcome."""
         query_event = self._query_event(number)
-        self._recorder.note(query_event)
+        self._recorder.record_event(query_event)
         sleep(self._spec.link_ms / _MS_PER_SECOND)
         outcome = self._send(query_event)
-        self._recorder.note(outcome.event)
+        self._recorder.record_event(outcome.event)
         return outcome
 
     def _query_event(self, number: int) -> QueryAsked:
@@ -93,7 +93,7 @@
         )
 
 
-def caller_client(spec: LoadSpec, recorder: Recorder) -> CallerClient:
+def caller_client(spec: LoadSpec, recorder: EventRecorder) -> CallerClient:
     """Build a client without open connections."""
     return CallerClient(
         spec=spec,
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_load.py
@@ -19,9 +19,9 @@
 from fennelfork_bench.checks._snapshot import check_snapshot
 from fennelfork_bench.history._caller import QueryAnswered, Refused
 from fennelfork_bench.history._history import (
+    EventRecorder,
     History,
-    Recorder,
-    gather,
+    merge_events,
     write_history,
 )
 
@@ -88,16 +88,16 @@
 
 def run_load(spec: LoadSpec) -> Tally:
     """Run a load, check the answers and write the history."""
-    recorder = Recorder(clock=wall_clock())
+    recorder = EventRecorder(clock=wall_clock())
     client = caller_client(spec, recorder)
     load = OpenLoopLoad(
         spec=spec, clock=system_clock(), send_query=client.send_query
     )
     load.run()
-    history = gather(recorder.events)
+    history = merge_events(recorder.events)
     for violation in _find_violations(spec, history)[:_MAX_VIOLATIONS]:
         load.tally.violations.append(
-            f'{violation.promise.value}: {violation.detail}'
+            f'{violation.guarantee.value}: {violation.detail}'
         )
     if spec.history:
         write_history(spec.history, history)
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_truth.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_truth.py
@@ -9,12 +9,12 @@
 
 from fennelfork.gather import KeyRange, key_range
 from fennelfork_bench.backend_server._records import Query, select_records
-from fennelfork_bench.checks._base import Truth
+from fennelfork_bench.checks._base import ExpectedIndex
 
 _CACHE_SIZE: Final = 256
 
 
-def front_truth(keys: int, front_seed: int, newest: int) -> Truth:
+def front_truth(keys: int, front_seed: int, newest: int) -> ExpectedIndex:
     """Build the reference data of a front of backend server stand-ins.
 
     The stamp of a record is its text, which contains the key and the snapshot.
@@ -24,7 +24,7 @@
         front_seed: seed of the records.
         newest: number of the newest snapshot; snapshots start at 1.
     """
-    return Truth(
+    return ExpectedIndex(
         keys=keys,
         snapshots=frozenset(range(1, newest + 1)),
         stamps=functools.partial(_stamps, key_range(0, keys), front_seed),
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_all.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_all.py
@@ -3,7 +3,7 @@
 import itertools
 
 from fennelfork_bench.checks._answer import check_own_answer
-from fennelfork_bench.checks._base import Limits, Truth, Violation
+from fennelfork_bench.checks._base import ExpectedIndex, TimeLimits, Violation
 from fennelfork_bench.checks._config import check_active_configuration
 from fennelfork_bench.checks._coverage import check_coverage
 from fennelfork_bench.checks._drain import check_drain
@@ -17,8 +17,8 @@
 
 def check_history(
     history: History,
-    index: Truth,
-    limits: Limits,
+    index: ExpectedIndex,
+    limits: TimeLimits,
 ) -> tuple[Violation, ...]:
     """Check every guarantee.
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_answer.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_answer.py
@@ -4,8 +4,8 @@
 
 from fennelfork_bench.checks._base import (
     CallerAttempt,
+    ExpectedIndex,
     Guarantee,
-    Truth,
     Violation,
     caller_attempts,
 )
@@ -25,11 +25,14 @@
 _Runs = set[tuple[str, int, str]]
 
 
-def check_own_answer(history: History, index: Truth) -> tuple[Violation, ...]:
+def check_own_answer(
+    history: History, index: ExpectedIndex
+) -> tuple[Violation, ...]:
     """Find attempts without exactly one end or with a wrong answer."""
     attempts = caller_attempts(history)
     runs = {
-        (run.request_id, run.key, run.action) for run in history.of(ExecuteRan)
+        (run.request_id, run.key, run.action)
+        for run in history.of_type(ExecuteRan)
     }
     return (
         *_unknown_answers(history, attempts),
@@ -46,17 +49,17 @@
     attempts: tuple[CallerAttempt, ...],
 ) -> Iterator[Violation]:
     known = {attempt.asked.attempt for attempt in attempts}
-    for end in history.of(Ended):
+    for end in history.of_type(Ended):
         if end.attempt not in known:
             yield Violation(
-                promise=Guarantee.OWN_ANSWER,
+                guarantee=Guarantee.OWN_ANSWER,
                 detail='an answer without a request',
                 events=(end,),
             )
 
 
 def _problems(
-    attempt: CallerAttempt, runs: _Runs, index: Truth
+    attempt: CallerAttempt, runs: _Runs, index: ExpectedIndex
 ) -> Iterator[str]:
     if len(attempt.ends) != 1:
         yield f'{len(attempt.ends)} ends of one attempt, expected 1'
@@ -80,7 +83,7 @@
 def _query_problems(
     asked: QueryAsked,
     end: Ended,
-    index: Truth,
+    index: ExpectedIndex,
 ) -> Iterator[str]:
     if isinstance(end, ExecuteAnswered):
         yield 'a query received the answer of an execution'
@@ -115,7 +118,7 @@
 
 def _violation(attempt: CallerAttempt, detail: str) -> Violation:
     return Violation(
-        promise=Guarantee.OWN_ANSWER,
+        guarantee=Guarantee.OWN_ANSWER,
         detail=detail,
         events=(attempt.asked, *attempt.ends),
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_base.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_base.py
@@ -33,13 +33,13 @@
 class Violation:
     """A violated guarantee and the events that prove the violation."""
 
-    promise: Guarantee
+    guarantee: Guarantee
     detail: str
     events: tuple[Event, ...]
 
 
 @attrs.frozen(kw_only=True)
-class Truth:
+class ExpectedIndex:
     """Expected contents of the index, independent of the tested processes.
 
     Attributes:
@@ -55,7 +55,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Limits:
+class TimeLimits:
     """Time limits of the guarantees that have one.
 
     Attributes:
@@ -88,11 +88,11 @@
 def caller_attempts(history: History) -> tuple[CallerAttempt, ...]:
     """Pair each sent request with its ends, in the order of sending."""
     ends: dict[str, list[Ended]] = {}
-    for end in history.of(Ended):
+    for end in history.of_type(Ended):
         ends.setdefault(end.attempt, []).append(end)
     return tuple(
         CallerAttempt(asked=asked, ends=tuple(ends.get(asked.attempt, ())))
-        for asked in history.of(Asked)
+        for asked in history.of_type(Asked)
     )
 
 
@@ -108,7 +108,7 @@
 
 
 def check_replies(
-    promise: Guarantee,
+    guarantee: Guarantee,
     history: History,
     find_problems: Callable[[QueryReply], Iterable[str]],
 ) -> tuple[Violation, ...]:
@@ -121,7 +121,7 @@
     """
     return tuple(
         Violation(
-            promise=promise,
+            guarantee=guarantee,
             detail=detail,
             events=(reply.asked, reply.answer),
         )
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_config.py
@@ -5,7 +5,7 @@
 from fennelfork_bench.checks._base import (
     CallerAttempt,
     Guarantee,
-    Limits,
+    TimeLimits,
     Violation,
     caller_attempts,
 )
@@ -26,7 +26,7 @@
 
 
 def check_active_configuration(
-    history: History, limits: Limits
+    history: History, limits: TimeLimits
 ) -> tuple[Violation, ...]:
     """Find daemons that lag behind, revert or disagree about a version."""
     return (
@@ -37,14 +37,14 @@
     )
 
 
-def _find_late(history: History, limits: Limits) -> Iterator[Violation]:
-    accepted = history.of(PatchAccepted)
+def _find_late(history: History, limits: TimeLimits) -> Iterator[Violation]:
+    accepted = history.of_type(PatchAccepted)
     starts = [
         event
-        for event in history.of(DaemonEvent)
+        for event in history.of_type(DaemonEvent)
         if isinstance(event, Started | Resumed)
     ]
-    for seen in history.of(VersionSeen):
+    for seen in history.of_type(VersionSeen):
         running_since_ms = _running_since_ms(starts, seen)
         yield from (
             _violation(
@@ -77,7 +77,7 @@
 
 def _find_reverted(history: History) -> Iterator[Violation]:
     newest: dict[str, VersionSeen] = {}
-    for seen in history.of(VersionSeen):
+    for seen in history.of_type(VersionSeen):
         before = newest.setdefault(seen.daemon, seen)
         if seen.version < before.version:
             detail = f'{seen.daemon} reverted to version {seen.version}'
@@ -87,7 +87,7 @@
 
 
 def _find_outdated_answers(history: History) -> Iterator[Violation]:
-    seen = history.of(VersionSeen)
+    seen = history.of_type(VersionSeen)
     for attempt in caller_attempts(history):
         newest = _newest_before(seen, attempt)
         if newest is None:
@@ -122,7 +122,7 @@
 
 def _find_conflicting_documents(history: History) -> Iterator[Violation]:
     first: dict[int, VersionSeen] = {}
-    for seen in history.of(VersionSeen):
+    for seen in history.of_type(VersionSeen):
         other = first.setdefault(seen.version, seen)
         if other.digest != seen.digest:
             detail = f'two documents have the version {seen.version}'
@@ -131,7 +131,7 @@
 
 def _violation(detail: str, events: tuple[Event, ...]) -> Violation:
     return Violation(
-        promise=Guarantee.CONFIGURATION,
+        guarantee=Guarantee.CONFIGURATION,
         detail=detail,
         events=events,
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_coverage.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_coverage.py
@@ -4,9 +4,9 @@
 from typing import Final
 
 from fennelfork_bench.checks._base import (
+    ExpectedIndex,
     Guarantee,
     QueryReply,
-    Truth,
     Violation,
     check_replies,
 )
@@ -17,7 +17,9 @@
 _ROUNDING_TOLERANCE_KEYS: Final = 0.5
 
 
-def check_coverage(history: History, index: Truth) -> tuple[Violation, ...]:
+def check_coverage(
+    history: History, index: ExpectedIndex
+) -> tuple[Violation, ...]:
     """Find answers whose records contradict the reported coverage."""
     return check_replies(
         Guarantee.TRUE_COVERAGE,
@@ -26,7 +28,7 @@
     )
 
 
-def _problems(reply: QueryReply, index: Truth) -> Iterator[str]:
+def _problems(reply: QueryReply, index: ExpectedIndex) -> Iterator[str]:
     answer = reply.answer
     yield from _summary_problems(answer, index)
     returned_keys = {record.key for record in answer.records}
@@ -42,7 +44,9 @@
         yield f'lacks records in ranges reported as covered: {omitted}'
 
 
-def _summary_problems(answer: QueryAnswered, index: Truth) -> Iterator[str]:
+def _summary_problems(
+    answer: QueryAnswered, index: ExpectedIndex
+) -> Iterator[str]:
     if answer.complete == bool(answer.missing):
         yield f'complete={answer.complete} with missing {answer.missing}'
     missing_width = sum(part.width for part in answer.missing)
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_once.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_once.py
@@ -13,12 +13,12 @@
     of all tickets count together.
     """
     runs: dict[str, list[ExecuteRan]] = {}
-    for run in history.of(ExecuteRan):
+    for run in history.of_type(ExecuteRan):
         base_id = run.request_id.partition('@')[0]
         runs.setdefault(base_id, []).append(run)
     return tuple(
         Violation(
-            promise=Guarantee.AT_MOST_ONCE,
+            guarantee=Guarantee.AT_MOST_ONCE,
             detail=f'{base_id} ran {len(request_runs)} times',
             events=tuple(request_runs),
         )
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_patches.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_patches.py
@@ -20,7 +20,7 @@
         *_find_repeated(history),
         *(
             violation
-            for read in history.of(DocumentRead)
+            for read in history.of_type(DocumentRead)
             for violation in _document_problems(history, read)
         ),
     )
@@ -28,7 +28,7 @@
 
 def _find_shared_versions(history: History) -> Iterator[Violation]:
     first: dict[int, PatchAccepted] = {}
-    for accepted in history.of(PatchAccepted):
+    for accepted in history.of_type(PatchAccepted):
         other = first.setdefault(accepted.version, accepted)
         if other.patch_id != accepted.patch_id:
             detail = f'two patches became version {accepted.version}'
@@ -37,7 +37,7 @@
 
 def _find_repeated(history: History) -> Iterator[Violation]:
     first: dict[str, PatchAccepted] = {}
-    for accepted in history.of(PatchAccepted):
+    for accepted in history.of_type(PatchAccepted):
         other = first.setdefault(accepted.patch_id, accepted)
         if other.version != accepted.version:
             detail = f'patch {accepted.patch_id} has two versions'
@@ -48,11 +48,11 @@
     history: History,
     read: DocumentRead,
 ) -> Iterator[Violation]:
-    for accepted in history.of(PatchAccepted):
+    for accepted in history.of_type(PatchAccepted):
         if accepted.at_ms <= read.at_ms and _is_lost(accepted, read):
             yield _violation('an accepted patch is lost', (accepted, read))
     kept = {patch.patch_id for patch in read.patches}
-    for refused in history.of(PatchRefused):
+    for refused in history.of_type(PatchRefused):
         if refused.patch_id in kept:
             yield _violation('a refused patch is active', (refused, read))
     if len(kept) != len(read.patches):
@@ -74,7 +74,7 @@
 
 def _violation(detail: str, events: tuple[Event, ...]) -> Violation:
     return Violation(
-        promise=Guarantee.CONFIGURATION,
+        guarantee=Guarantee.CONFIGURATION,
         detail=detail,
         events=events,
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_refusal.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_refusal.py
@@ -39,7 +39,7 @@
         if ran and all(_says_not_run(attempt) for attempt in attempts):
             ends = [end for attempt in attempts for end in attempt.ends]
             yield Violation(
-                promise=Guarantee.TRUE_REFUSAL,
+                guarantee=Guarantee.TRUE_REFUSAL,
                 detail=f'{request_id} was refused as not run but ran',
                 events=(*ran, *ends),
             )
@@ -55,6 +55,6 @@
 
 def _runs_by_request(history: History) -> dict[str, list[Event]]:
     runs: dict[str, list[Event]] = {}
-    for run in (*history.of(QueryRan), *history.of(ExecuteRan)):
+    for run in (*history.of_type(QueryRan), *history.of_type(ExecuteRan)):
         runs.setdefault(run.request_id, []).append(run)
     return runs
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_snapshot.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_snapshot.py
@@ -4,9 +4,9 @@
 from typing import Final
 
 from fennelfork_bench.checks._base import (
+    ExpectedIndex,
     Guarantee,
     QueryReply,
-    Truth,
     Violation,
     check_replies,
 )
@@ -15,7 +15,9 @@
 _MATCH_ALL_QUERY: Final = '{}'
 
 
-def check_snapshot(history: History, index: Truth) -> tuple[Violation, ...]:
+def check_snapshot(
+    history: History, index: ExpectedIndex
+) -> tuple[Violation, ...]:
     """Find answers with records of a snapshot other than the reported one."""
     return check_replies(
         Guarantee.ONE_SNAPSHOT,
@@ -24,7 +26,7 @@
     )
 
 
-def _problems(reply: QueryReply, index: Truth) -> Iterator[str]:
+def _problems(reply: QueryReply, index: ExpectedIndex) -> Iterator[str]:
     answer = reply.answer
     if answer.snapshot not in index.snapshots:
         yield f'snapshot {answer.snapshot} never existed'
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_stop.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_stop.py
@@ -33,7 +33,7 @@
     attempts = caller_attempts(history)
     return tuple(
         violation
-        for stop in history.of(StopAsked)
+        for stop in history.of_type(StopAsked)
         for violation in (
             *_exit_problems(history, stop),
             *_find_cut_requests(attempts, stop),
@@ -44,7 +44,7 @@
 def _exit_problems(history: History, stop: StopAsked) -> Iterator[Violation]:
     ends = [
         end
-        for end in history.of(DaemonEvent)
+        for end in history.of_type(DaemonEvent)
         if end.daemon == stop.daemon and isinstance(end, Exited | Killed)
     ]
     if not ends:
@@ -80,7 +80,7 @@
 
 def _violation(detail: str, events: tuple[Event, ...]) -> Violation:
     return Violation(
-        promise=Guarantee.GRACEFUL_STOP,
+        guarantee=Guarantee.GRACEFUL_STOP,
         detail=detail,
         events=events,
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_overload.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_overload.py
@@ -23,7 +23,7 @@
     refusal_p99_ms,
 )
 from fennelfork_bench.history._event import Event
-from fennelfork_bench.history._history import gather, read_history
+from fennelfork_bench.history._history import merge_events, read_history
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import rig
 from fennelfork_bench.rig._report import Arm, Report
@@ -82,8 +82,8 @@
     sources: list[Iterable[Event]] = [server_events(page) for page in pages]
     for path in fleet.rig.directory.glob('offer-*'):
         sources.append(read_history(path).events)
-    for violation in check_refusal(gather(*sources)):
-        yield f'{violation.promise.value}: {violation.detail}'
+    for violation in check_refusal(merge_events(*sources)):
+        yield f'{violation.guarantee.value}: {violation.detail}'
 
 
 def _dropped_events(pages: Iterable[dict[str, Any]]) -> Iterator[str]:
--- a/packages/fennelfork-bench/src/fennelfork_bench/history/_history.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/history/_history.py
@@ -36,13 +36,13 @@
 
     events: tuple[Event, ...]
 
-    def of(self, kind: type[EventT]) -> tuple[EventT, ...]:
+    def of_type(self, kind: type[EventT]) -> tuple[EventT, ...]:
         """Return the events of a class and its subclasses."""
         return tuple(event for event in self.events if isinstance(event, kind))
 
 
 @attrs.define(kw_only=True)
-class Recorder:
+class EventRecorder:
     """Collects the events of one process in memory.
 
     Greenlets and threads may share a recorder, because appending to a list
@@ -56,12 +56,12 @@
         """Return the current time of the clock that timestamps events."""
         return self.clock.now_ms()
 
-    def note(self, event: Event) -> None:
+    def record_event(self, event: Event) -> None:
         """Append an event that already has a timestamp."""
         self.events.append(event)
 
 
-def gather(*sources: Iterable[Event]) -> History:
+def merge_events(*sources: Iterable[Event]) -> History:
     """Merge the events of several processes into one history.
 
     Events with equal timestamps keep the order of the arguments.
@@ -87,7 +87,7 @@
         cattrs.BaseValidationError: if a line is not a known event.
     """
     with path.open(encoding='utf-8') as history_file:
-        return gather(_read_events(history_file))
+        return merge_events(_read_events(history_file))
 
 
 def render_event(event: Event) -> str:
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_caller.py
@@ -27,7 +27,7 @@
     QueryAsked,
     Refused,
 )
-from fennelfork_bench.history._history import Recorder
+from fennelfork_bench.history._history import EventRecorder
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.soak._entry import Entry, EntryCache
 from fennelfork_bench.soak._replies import classify_reply
@@ -67,7 +67,7 @@
 
     name: str
     profile: CallerProfile
-    recorder: Recorder
+    recorder: EventRecorder
     entries: EntryCache
     _randomness: random.Random
     _serials: 'itertools.count[int]' = attrs.field(factory=itertools.count)
@@ -141,7 +141,7 @@
     def _send(
         self, asked: Asked, operation: str, body: dict[str, Any]
     ) -> Ended:
-        self.recorder.note(asked)
+        self.recorder.record_event(asked)
         reply = http.post(
             asked.daemon,
             f'/v1/fronts/{asked.front}/{operation}',
@@ -155,7 +155,7 @@
             self.profile.deadline_ms + _EXTRA_TIMEOUT_MS,
         )
         end = classify_reply(asked, reply, self.recorder.now_ms())
-        self.recorder.note(end)
+        self.recorder.record_event(end)
         if isinstance(end, ConnectionCut | ConnectRefused):
             self.entries.invalidate()
         return end
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_config_versions.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_config_versions.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from fennelfork_bench.history._daemon import VersionSeen
-from fennelfork_bench.history._history import Recorder
+from fennelfork_bench.history._history import EventRecorder
 from fennelfork_bench.history._operator import DocumentRead, PatchSeen
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._platform import Platform
@@ -17,13 +17,13 @@
 _CONFIG_KEY_BASE64: Final = base64.b64encode(b'/fennelfork/config').decode()
 
 
-def record_active_version(recorder: Recorder, daemon: Process) -> None:
+def record_active_version(recorder: EventRecorder, daemon: Process) -> None:
     """Record the active version of a daemon if the daemon answers."""
     address = daemon.ready['operator']
     reply = http.get(address, '/v1/config', _REQUEST_TIMEOUT_MS)
     if reply.fine and 'version' in reply.body:
         text = json.dumps(reply.body, sort_keys=True).encode()
-        recorder.note(
+        recorder.record_event(
             VersionSeen(
                 at_ms=recorder.now_ms(),
                 daemon=daemon.ready['caller'],
@@ -33,7 +33,7 @@
         )
 
 
-def record_stored_document(recorder: Recorder, platform: Platform) -> None:
+def record_stored_document(recorder: EventRecorder, platform: Platform) -> None:
     """Record the configuration document in the platform's key-value store.
 
     Raises:
@@ -50,7 +50,7 @@
         )
     value = base64.b64decode(reply.body['kvs'][0]['value'])
     document = json.loads(value)
-    recorder.note(
+    recorder.record_event(
         DocumentRead(
             at_ms=recorder.now_ms(),
             version=document['version'],
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_counts.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_counts.py
@@ -47,7 +47,7 @@
     history = done.history
     counts = Counts(rounds=1, faults=len(done.faults))
     for name, event_type in _EVENT_TYPES.items():
-        counts[name] = len(history.of(event_type))
+        counts[name] = len(history.of_type(event_type))
     counts['partial answers'] = _count_partial_answers(history)
     counts['unknown verdicts'] = _count_unknown_verdicts(history)
     counts['promises broken'] = len(done.violations)
@@ -55,9 +55,9 @@
 
 
 def _count_partial_answers(history: History) -> int:
-    return sum(not end.complete for end in history.of(QueryAnswered))
+    return sum(not end.complete for end in history.of_type(QueryAnswered))
 
 
 def _count_unknown_verdicts(history: History) -> int:
-    refusals = history.of(Refused)
+    refusals = history.of_type(Refused)
     return sum(end.verdict is Verdict.MAY_HAVE_RUN for end in refusals)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault.py
@@ -55,7 +55,7 @@
 def _record_change(
     fault: Fault, context: RoundContext, *, active: bool
 ) -> None:
-    context.recorder.note(
+    context.recorder.record_event(
         FaultChanged(
             at_ms=context.recorder.now_ms(),
             fault=type(fault).__name__,
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
@@ -38,7 +38,7 @@
 def _inject_kill(fault: KillDaemon, context: RoundContext) -> Clear:
     daemon = _draw_daemon(context)
     daemon.kill()
-    context.recorder.note(
+    context.recorder.record_event(
         Killed(at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']),
     )
     context.fleet.list_vms()
@@ -48,7 +48,7 @@
 @inject.register
 def _inject_pause(fault: PauseDaemon, context: RoundContext) -> Clear:
     daemon = _draw_daemon(context)
-    context.recorder.note(
+    context.recorder.record_event(
         Paused(at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']),
     )
     daemon.pause()
@@ -59,7 +59,7 @@
 def _inject_stop(fault: StopDaemon, context: RoundContext) -> Clear:
     daemon = _draw_daemon(context)
     context.fleet.mark_leaving(daemon.name)
-    context.recorder.note(
+    context.recorder.record_event(
         StopAsked(
             at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']
         ),
@@ -70,7 +70,7 @@
 
 def _resume(context: RoundContext, daemon: Process) -> None:
     daemon.resume()
-    context.recorder.note(
+    context.recorder.record_event(
         Resumed(at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']),
     )
 
@@ -78,7 +78,7 @@
 def _await_exit(context: RoundContext, daemon: Process) -> None:
     status = daemon.wait(_STOP_TIMEOUT_S)
     if status is not None:
-        context.recorder.note(
+        context.recorder.record_event(
             Exited(
                 at_ms=context.recorder.now_ms(),
                 daemon=daemon.ready['caller'],
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
@@ -63,7 +63,7 @@
     # A frozen server runs no further work, so the log is complete.
     send_control_command(server, 'faults', {'freeze_ms': 60_000})
     for event in server_events(server):
-        context.recorder.note(event)
+        context.recorder.record_event(event)
     server.kill()
     return clear_nothing
 
@@ -99,5 +99,5 @@
         set_server_faults(server, health={'state': 'serving', 'busy': 0})
     send_control_command(server, 'drain', {'draining': True})
     now_ms = context.recorder.now_ms()
-    context.recorder.note(DrainAsked(at_ms=now_ms, server=server.name))
+    context.recorder.record_event(DrainAsked(at_ms=now_ms, server=server.name))
     return clear_nothing
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_front_round.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_front_round.py
@@ -30,7 +30,7 @@
         description=_describe(round_result),
         counts=count_events(round_result),
         violation_texts=tuple(
-            f'{violation.promise.value}: {violation.detail}'
+            f'{violation.guarantee.value}: {violation.detail}'
             for violation in round_result.violations
         ),
     )
@@ -38,6 +38,6 @@
 
 def _describe(round_result: RoundResult) -> str:
     faults = ' + '.join(map(repr, round_result.faults))
-    attempts = len(round_result.history.of(Asked))
+    attempts = len(round_result.history.of_type(Asked))
     violation_count = len(round_result.violations)
     return f'fronts: {faults}: {attempts} tries, {violation_count} broken'
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_ground_truth.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_ground_truth.py
@@ -9,21 +9,21 @@
 
 from fennelfork.gather import key_range
 from fennelfork_bench.backend_server._records import Query, select_records
-from fennelfork_bench.checks._base import Truth
+from fennelfork_bench.checks._base import ExpectedIndex
 
 # Default seed of the backend servers of the rig.
 _BACKEND_SEED: Final = 1
 _MAX_CACHED_RESULTS: Final = 4096
 
 
-def build_ground_truth(keys: int, snapshots: Iterable[int]) -> Truth:
+def build_ground_truth(keys: int, snapshots: Iterable[int]) -> ExpectedIndex:
     """Build the expected records of a front that stand-ins serve.
 
     Args:
         keys: number of keys in the key space.
         snapshots: all snapshot versions that any server has held.
     """
-    return Truth(
+    return ExpectedIndex(
         keys=keys,
         snapshots=frozenset(snapshots),
         stamps=functools.lru_cache(_MAX_CACHED_RESULTS)(
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_operator.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_operator.py
@@ -8,7 +8,7 @@
 
 import attrs
 
-from fennelfork_bench.history._history import Recorder
+from fennelfork_bench.history._history import EventRecorder
 from fennelfork_bench.history._operator import (
     PatchAccepted,
     PatchEvent,
@@ -35,7 +35,7 @@
     """
 
     name: str
-    recorder: Recorder
+    recorder: EventRecorder
     known_addresses: Callable[[], Sequence[str]]
     mean_pause_s: float
     _randomness: random.Random
@@ -56,13 +56,13 @@
         time.sleep(self._randomness.uniform(0, _MAX_EDIT_TIME_S))
         for _ in range(_MAX_ATTEMPTS):
             event = self._send_patch(patch_id, base)
-            self.recorder.note(event)
+            self.recorder.record_event(event)
             if not isinstance(event, PatchUnknown):
                 return
             time.sleep(_RETRY_DELAY_S)
 
     def _send_patch(self, patch_id: str, base: int) -> PatchEvent:
-        self.recorder.note(
+        self.recorder.record_event(
             PatchProposed(
                 at_ms=self.recorder.now_ms(),
                 operator=self.name,
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_round_context.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_round_context.py
@@ -9,9 +9,13 @@
 
 from fennelfork import wall_clock
 from fennelfork_bench.checks._all import check_history
-from fennelfork_bench.checks._base import Limits, Violation
+from fennelfork_bench.checks._base import TimeLimits, Violation
 from fennelfork_bench.history._daemon import Started
-from fennelfork_bench.history._history import History, Recorder, gather
+from fennelfork_bench.history._history import (
+    EventRecorder,
+    History,
+    merge_events,
+)
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import Process
 from fennelfork_bench.rig._specs import FrontSpec
@@ -44,7 +48,7 @@
     """
 
     fleet: Fleet
-    recorder: Recorder
+    recorder: EventRecorder
     randomness: random.Random
     layout: dict[str, tuple[int, int]]
     lost: set[str] = attrs.field(factory=set)
@@ -94,18 +98,18 @@
             for server in self.fleet.backends.values()
             if server.alive
         )
-        return gather(self.recorder.events, itertools.chain(*logs))
+        return merge_events(self.recorder.events, itertools.chain(*logs))
 
     def find_violations(self, history: History) -> tuple[Violation, ...]:
         """Return the violations of all guarantees in the history."""
         truth = build_ground_truth(self.front.keys, self.snapshots)
-        return check_history(history, truth, Limits())
+        return check_history(history, truth, TimeLimits())
 
     def record_start(self, process: Process) -> None:
         """Record that a daemon has started."""
         address = process.ready['caller']
         now_ms = self.recorder.now_ms()
-        self.recorder.note(Started(at_ms=now_ms, daemon=address))
+        self.recorder.record_event(Started(at_ms=now_ms, daemon=address))
 
     def _build_caller(self, name: str, profile: CallerProfile) -> Caller:
         entries = EntryCache(
@@ -148,7 +152,7 @@
     context = RoundContext(
         fleet=fleet,
         layout={each.name: (each.lo, each.hi) for each in servers},
-        recorder=Recorder(clock=wall_clock()),
+        recorder=EventRecorder(clock=wall_clock()),
         randomness=random.Random(seed),
     )
     for daemon in fleet.daemons.values():
--- a/packages/fennelfork-bench/tests/bench_builders_golden.py
+++ b/packages/fennelfork-bench/tests/bench_builders_golden.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from fennelfork_bench.history._history import gather
+from fennelfork_bench.history._history import merge_events
 from fennelfork_bench.history._server import Work
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._config import start_fleet
@@ -82,7 +82,7 @@
         logs = map(server_events, self.fleet.backends.values())
         work = [
             event
-            for event in gather(*logs).of(Work)
+            for event in merge_events(*logs).of_type(Work)
             if event.request_id == request_id
         ]
         names = _lines_by_server(work)
--- a/packages/fennelfork-bench/tests/bench_builders_proof.py
+++ b/packages/fennelfork-bench/tests/bench_builders_proof.py
@@ -7,7 +7,7 @@
 
 from fennelfork import Verdict
 from fennelfork.gather import KeyRange
-from fennelfork_bench.checks._base import Truth, Violation
+from fennelfork_bench.checks._base import ExpectedIndex, Violation
 from fennelfork_bench.history._caller import (
     Ended,
     ExecuteAnswered,
@@ -18,7 +18,7 @@
     Refused,
 )
 from fennelfork_bench.history._event import Event
-from fennelfork_bench.history._history import History, gather
+from fennelfork_bench.history._history import History, merge_events
 from fennelfork_bench.history._server import ExecuteRan, QueryRan, WorkReceived
 
 KEYS = 10
@@ -30,9 +30,9 @@
     return f'{key}@{snapshot}'
 
 
-def expected_index() -> Truth:
+def expected_index() -> ExpectedIndex:
     """Build an expected index of ten keys and the snapshots 1 and 2."""
-    return Truth(keys=KEYS, snapshots=frozenset((1, 2)), stamps=_stamps)
+    return ExpectedIndex(keys=KEYS, snapshots=frozenset((1, 2)), stamps=_stamps)
 
 
 def _stamps(snapshot: int, query: str) -> Mapping[int, str]:
@@ -172,12 +172,12 @@
 
 def history(*events: Event) -> History:
     """Build a history of the given events."""
-    return gather(events)
+    return merge_events(events)
 
 
 def answered(*ends: Ended) -> History:
     """Build a history of `query_asked` and the given ends."""
-    return gather((query_asked(),), ends)
+    return merge_events((query_asked(),), ends)
 
 
 def join_details(violations: tuple[Violation, ...]) -> str:
--- a/packages/fennelfork-bench/tests/test_caller.py
+++ b/packages/fennelfork-bench/tests/test_caller.py
@@ -86,8 +86,8 @@
         with serve_entry(lambda body: (200, correct_answer(body))) as address:
             run_caller(address, count=3, history=path)
         history = read_history(path)
-        assert len(history.of(QueryAsked)) == 3
-        assert len(history.of(QueryAnswered)) == 3
+        assert len(history.of_type(QueryAsked)) == 3
+        assert len(history.of_type(QueryAnswered)) == 3
 
 
 class TestTally:
--- a/packages/fennelfork-bench/tests/test_check_tamper.py
+++ b/packages/fennelfork-bench/tests/test_check_tamper.py
@@ -18,10 +18,10 @@
 from hypothesis import strategies as st
 
 from fennelfork_bench.checks._all import check_history
-from fennelfork_bench.checks._base import Guarantee, Limits
+from fennelfork_bench.checks._base import Guarantee, TimeLimits
 from fennelfork_bench.history._caller import Ended, Refused
 from fennelfork_bench.history._event import Event
-from fennelfork_bench.history._history import gather
+from fennelfork_bench.history._history import merge_events
 
 _VALID_SESSIONS = {
     'whole': (query_asked(), query_ran(), query_answered()),
@@ -86,8 +86,10 @@
 
 
 def _violated_guarantees(sessions: list[list[Event]]) -> set[Guarantee]:
-    violations = check_history(gather(*sessions), expected_index(), Limits())
-    return {violation.promise for violation in violations}
+    violations = check_history(
+        merge_events(*sessions), expected_index(), TimeLimits()
+    )
+    return {violation.guarantee for violation in violations}
 
 
 class TestTampering:
@@ -101,21 +103,21 @@
     @given(kinds=_sessions, change=st.sampled_from(list(_TAMPERINGS)))
     def test_changed_answer(self, kinds, change) -> None:
         """One changed answer is detected."""
-        kind, promise = _TAMPERINGS[change]
+        kind, guarantee = _TAMPERINGS[change]
         assume(kind in kinds)
         sessions = _events(kinds)
         changed = sessions[kinds.index(kind)]
         changed[-1] = change(changed[-1])
-        assert promise in _violated_guarantees(sessions)
+        assert guarantee in _violated_guarantees(sessions)
 
     @given(kinds=_sessions, kind=st.sampled_from(list(_EXTRA_RUNS)))
     def test_added_run(self, kinds, kind) -> None:
         """One additional run is detected."""
         assume(kind in kinds)
         number = kinds.index(kind)
-        run, promise = _EXTRA_RUNS[kind]
+        run, guarantee = _EXTRA_RUNS[kind]
         sessions = [*_events(kinds), [_with_number(number, run)]]
-        assert promise in _violated_guarantees(sessions)
+        assert guarantee in _violated_guarantees(sessions)
 
     @given(kinds=_sessions)
     def test_missing_or_duplicate_end(self, kinds) -> None:
--- a/packages/fennelfork-bench/tests/test_checks_all.py
+++ b/packages/fennelfork-bench/tests/test_checks_all.py
@@ -14,7 +14,7 @@
 )
 
 from fennelfork_bench.checks._all import check_history
-from fennelfork_bench.checks._base import Guarantee, Limits
+from fennelfork_bench.checks._base import Guarantee, TimeLimits
 from fennelfork_bench.history._daemon import StopAsked, VersionSeen
 from fennelfork_bench.history._operator import DocumentRead, PatchSeen
 from fennelfork_bench.history._server import DrainAsked
@@ -51,10 +51,12 @@
     @pytest.mark.parametrize(('expected', 'events'), _BROKEN)
     def test_each_guarantee(self, expected, events) -> None:
         """A violation of one guarantee is reported for this guarantee."""
-        found = check_history(history(*events), expected_index(), Limits())
-        assert {violation.promise for violation in found} == {expected}
+        found = check_history(history(*events), expected_index(), TimeLimits())
+        assert {violation.guarantee for violation in found} == {expected}
 
     def test_valid(self) -> None:
         """A valid history has no violations."""
         complete_history = history(query_asked(), query_ran(), query_answered())
-        assert not check_history(complete_history, expected_index(), Limits())
+        assert not check_history(
+            complete_history, expected_index(), TimeLimits()
+        )
--- a/packages/fennelfork-bench/tests/test_checks_config.py
+++ b/packages/fennelfork-bench/tests/test_checks_config.py
@@ -9,12 +9,12 @@
     query_asked,
 )
 
-from fennelfork_bench.checks._base import Limits
+from fennelfork_bench.checks._base import TimeLimits
 from fennelfork_bench.checks._config import check_active_configuration
 from fennelfork_bench.history._daemon import Resumed, Started, VersionSeen
 from fennelfork_bench.history._operator import PatchAccepted
 
-_LIMITS = Limits(config_ms=7000)
+_LIMITS = TimeLimits(config_ms=7000)
 _ACCEPTED = PatchAccepted(
     at_ms=1000,
     operator='op-1',
--- a/packages/fennelfork-bench/tests/test_checks_drain.py
+++ b/packages/fennelfork-bench/tests/test_checks_drain.py
@@ -2,11 +2,11 @@
 
 from bench_builders_proof import history, query_ran, received
 
-from fennelfork_bench.checks._base import Limits
+from fennelfork_bench.checks._base import TimeLimits
 from fennelfork_bench.checks._drain import check_drain
 from fennelfork_bench.history._server import DrainAsked
 
-_LIMITS = Limits(drain_ms=3000)
+_LIMITS = TimeLimits(drain_ms=3000)
 _DRAIN = DrainAsked(at_ms=1000, server='raft-a')
 
 
--- a/packages/fennelfork-bench/tests/test_faults_daemons.py
+++ b/packages/fennelfork-bench/tests/test_faults_daemons.py
@@ -1,7 +1,12 @@
 """Guard against violated guarantees when daemons crash, pause or stop."""
 
 import pytest
-from bench_builders_faults import answers, broken, cuts, run_under
+from bench_builders_faults import (
+    count_answers,
+    describe_cut_connections,
+    describe_violations,
+    run_with_faults,
+)
 
 from fennelfork_bench.history._daemon import Exited, Killed, Resumed, Started
 from fennelfork_bench.rig._process import Rig
@@ -21,24 +26,24 @@
 
     def test_kill(self, rig: Rig) -> None:
         """A daemon crash violates no guarantee; a new incarnation joins."""
-        done = run_under(rig, KillDaemon())
-        assert broken(done) == []
-        assert answers(done) > _MIN_ANSWERS
-        assert len(done.history.of(Killed)) == 1
-        assert len(done.history.of(Started)) == 4
+        done = run_with_faults(rig, KillDaemon())
+        assert describe_violations(done) == []
+        assert count_answers(done) > _MIN_ANSWERS
+        assert len(done.history.of_type(Killed)) == 1
+        assert len(done.history.of_type(Started)) == 4
 
     def test_pause(self, rig: Rig) -> None:
         """A daemon that is suspended for 2 s violates no guarantee."""
-        done = run_under(rig, PauseDaemon(hold_s=2))
-        assert broken(done) == []
-        assert answers(done) > _MIN_ANSWERS
-        assert len(done.history.of(Resumed)) == 1
-        assert set(cuts(done)) <= {'ReadTimeoutError'}
+        done = run_with_faults(rig, PauseDaemon(hold_s=2))
+        assert describe_violations(done) == []
+        assert count_answers(done) > _MIN_ANSWERS
+        assert len(done.history.of_type(Resumed)) == 1
+        assert set(describe_cut_connections(done)) <= {'ReadTimeoutError'}
 
     def test_stop(self, rig: Rig) -> None:
         """A planned stop cuts no connection, and the exit status is 0."""
-        done = run_under(rig, StopDaemon(hold_s=0))
-        assert broken(done) == []
-        assert cuts(done) == []
-        assert [end.status for end in done.history.of(Exited)] == [0]
-        assert answers(done) > _MIN_ANSWERS
+        done = run_with_faults(rig, StopDaemon(hold_s=0))
+        assert describe_violations(done) == []
+        assert describe_cut_connections(done) == []
+        assert [end.status for end in done.history.of_type(Exited)] == [0]
+        assert count_answers(done) > _MIN_ANSWERS
--- a/packages/fennelfork-bench/tests/test_faults_platform.py
+++ b/packages/fennelfork-bench/tests/test_faults_platform.py
@@ -1,7 +1,12 @@
 """Guard against violated guarantees when the platform fails."""
 
 import pytest
-from bench_builders_faults import answers, broken, cuts, run_under
+from bench_builders_faults import (
+    count_answers,
+    describe_cut_connections,
+    describe_violations,
+    run_with_faults,
+)
 
 from fennelfork import FailureCode, Verdict
 from fennelfork_bench.history._caller import ExecuteAnswered, Refused
@@ -35,15 +40,17 @@
     )
     def test_requests_without_platform(self, rig: Rig, fault: Fault) -> None:
         """Platform faults cause no failure except expired tickets."""
-        done = run_under(rig, fault)
-        assert broken(done) == []
-        assert cuts(done) == []
+        done = run_with_faults(rig, fault)
+        assert describe_violations(done) == []
+        assert describe_cut_connections(done) == []
         # A ticket may expire in flight; this is unrelated to the platform.
         expired_ticket = (FailureCode.TICKET.value, Verdict.NOT_RUN)
-        refusals = [(end.code, end.verdict) for end in done.history.of(Refused)]
+        refusals = [
+            (end.code, end.verdict) for end in done.history.of_type(Refused)
+        ]
         assert set(refusals) <= {expired_ticket}
-        assert answers(done) > _MIN_ANSWERS
-        assert done.history.of(ExecuteAnswered)
+        assert count_answers(done) > _MIN_ANSWERS
+        assert done.history.of_type(ExecuteAnswered)
 
 
 class TestOperators:
@@ -60,7 +67,7 @@
     )
     def test_conflicting_patches(self, rig: Rig, fault: Fault) -> None:
         """Accepted patches persist, and refused patches change nothing."""
-        done = run_under(rig, fault, load=_CONFLICTING_PATCHES)
-        assert broken(done) == []
-        assert done.history.of(PatchAccepted)
-        assert done.history.of(PatchRefused)
+        done = run_with_faults(rig, fault, load=_CONFLICTING_PATCHES)
+        assert describe_violations(done) == []
+        assert done.history.of_type(PatchAccepted)
+        assert done.history.of_type(PatchRefused)
--- a/packages/fennelfork-bench/tests/test_faults_servers.py
+++ b/packages/fennelfork-bench/tests/test_faults_servers.py
@@ -1,7 +1,12 @@
 """Guard against violated guarantees when backend servers fail."""
 
 import pytest
-from bench_builders_faults import answers, broken, cuts, run_under
+from bench_builders_faults import (
+    count_answers,
+    describe_cut_connections,
+    describe_violations,
+    run_with_faults,
+)
 
 from fennelfork_bench.history._caller import ExecuteAnswered, QueryAnswered
 from fennelfork_bench.history._server import ReplySpoiled
@@ -34,10 +39,10 @@
     )
     def test_failing_server(self, rig: Rig, fault: Fault) -> None:
         """No guarantee is violated, and every caller receives a reply."""
-        done = run_under(rig, fault)
-        assert broken(done) == []
-        assert cuts(done) == []
-        assert answers(done) > _MIN_ANSWERS
+        done = run_with_faults(rig, fault)
+        assert describe_violations(done) == []
+        assert describe_cut_connections(done) == []
+        assert count_answers(done) > _MIN_ANSWERS
 
 
 class TestDrain:
@@ -46,10 +51,10 @@
     @pytest.mark.parametrize('lies', [False, True])
     def test_draining_server(self, rig: Rig, lies: bool) -> None:
         """A draining server gets no new work, whatever health it reports."""
-        done = run_under(rig, DrainServer(hold_s=4, lies=lies))
-        assert broken(done) == []
-        assert cuts(done) == []
-        assert answers(done) > _MIN_ANSWERS
+        done = run_with_faults(rig, DrainServer(hold_s=4, lies=lies))
+        assert describe_violations(done) == []
+        assert describe_cut_connections(done) == []
+        assert count_answers(done) > _MIN_ANSWERS
 
 
 class TestReplies:
@@ -61,11 +66,11 @@
     )
     def test_faulty_responses(self, rig: Rig, kind: str) -> None:
         """Answers stay complete and belong to their request."""
-        done = run_under(rig, SpoilReplies(kind=kind))
-        faulty = done.history.of(ReplySpoiled)
+        done = run_with_faults(rig, SpoilReplies(kind=kind))
+        faulty = done.history.of_type(ReplySpoiled)
         assert {reply.kind for reply in faulty} == {kind}
-        assert broken(done) == []
-        assert cuts(done) == []
-        complete = [end.complete for end in done.history.of(QueryAnswered)]
+        assert describe_violations(done) == []
+        assert describe_cut_connections(done) == []
+        complete = [end.complete for end in done.history.of_type(QueryAnswered)]
         assert sum(complete) > _MIN_ANSWERS
-        assert done.history.of(ExecuteAnswered)
+        assert done.history.of_type(ExecuteAnswered)
--- a/packages/fennelfork-bench/tests/test_faults_verdicts.py
+++ b/packages/fennelfork-bench/tests/test_faults_verdicts.py
@@ -1,7 +1,7 @@
 """Guard against `not_run` verdicts for queries that ran."""
 
 import pytest
-from bench_builders_faults import running_trial
+from bench_builders_faults import start_trial
 
 from fennelfork_bench.history._caller import Refused
 from fennelfork_bench.history._server import QueryRan
@@ -25,7 +25,7 @@
 
     def test_lost_reply_then_refused(self, rig: Rig) -> None:
         """A query that ran and lost its reply is not refused as `not_run`."""
-        context = running_trial(rig)
+        context = start_trial(rig)
         first, second = (
             context.fleet.backends[server.name]
             for server in context.front.shards[0].servers
@@ -41,5 +41,5 @@
         )
         history = context.finish()
         violations = context.find_violations(history)
-        assert history.of(QueryRan)
+        assert history.of_type(QueryRan)
         assert [each.detail for each in violations] == []
--- a/packages/fennelfork-bench/tests/test_golden_queries.py
+++ b/packages/fennelfork-bench/tests/test_golden_queries.py
@@ -6,7 +6,7 @@
 import pytest
 from bench_builders_golden import Session, query, start_session
 
-from fennelfork_bench.history._history import gather
+from fennelfork_bench.history._history import merge_events
 from fennelfork_bench.history._server import QueryRan, Work, WorkCancelled
 from fennelfork_bench.rig._process import Rig
 from fennelfork_bench.soak._servers import send_control_command, server_events
@@ -32,7 +32,7 @@
     logs = map(server_events, transcript.fleet.backends.values())
     work = [
         event
-        for event in gather(*logs).of(Work)
+        for event in merge_events(*logs).of_type(Work)
         if event.request_id == request_id
     ]
     ran = [event.server for event in work if isinstance(event, QueryRan)]
--- a/packages/fennelfork-bench/tests/test_history.py
+++ b/packages/fennelfork-bench/tests/test_history.py
@@ -15,7 +15,7 @@
 from fennelfork_bench.history._caller import Asked
 from fennelfork_bench.history._daemon import FaultChanged, VersionSeen
 from fennelfork_bench.history._history import (
-    gather,
+    merge_events,
     read_history,
     write_history,
 )
@@ -27,7 +27,7 @@
 
     def test_round_trip(self, tmp_path: Path) -> None:
         """A history that is written and read back is equal."""
-        complete_history = gather(
+        complete_history = merge_events(
             (
                 query_asked(),
                 partial_answer(),
@@ -62,10 +62,10 @@
         first = query_asked(at_ms=1)
         second = query_asked(at_ms=2, attempt='a')
         third = query_asked(at_ms=2, attempt='b')
-        merged = gather((second,), (third, first))
+        merged = merge_events((second,), (third, first))
         assert merged.events == (first, second, third)
 
     def test_of_subclasses(self) -> None:
         """Selecting a class includes the events of its subclasses."""
-        merged = gather((query_asked(), execute_asked(), refused()))
-        assert merged.of(Asked) == (query_asked(), execute_asked())
+        merged = merge_events((query_asked(), execute_asked(), refused()))
+        assert merged.of_type(Asked) == (query_asked(), execute_asked())
