--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_app.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_app.py
@@ -8,7 +8,7 @@
 import eventlet
 
 from fennelfork import Clock
-from fennelfork_bench.kv_service._calls import (
+from fennelfork_bench.kv_service._handlers import (
     READS,
     WRITES,
     KeyValueService,
@@ -18,7 +18,7 @@
 from fennelfork_bench.kv_service._control import Control
 from fennelfork_bench.kv_service._faults import Faults, Rate
 from fennelfork_bench.kv_service._log import Call, CallLog, Outcome
-from fennelfork_bench.kv_service._read import BadRequestError
+from fennelfork_bench.kv_service._decoding import BadRequestError
 from fennelfork_bench.kv_service._stream import Streams
 from fennelfork_bench.rig._serving import (
     Answer,
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_control.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_control.py
@@ -6,7 +6,7 @@
 import attrs
 
 from fennelfork import Clock
-from fennelfork_bench.kv_service._calls import KeyValueService, problem
+from fennelfork_bench.kv_service._handlers import KeyValueService, problem
 from fennelfork_bench.kv_service._faults import Faults
 from fennelfork_bench.kv_service._log import CallLog
 from fennelfork_bench.kv_service._store import EMPTY, Backup
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_calls.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_handlers.py
@@ -6,8 +6,8 @@
 import attrs
 
 from fennelfork import Clock
-from fennelfork_bench.kv_service import _read as reader
-from fennelfork_bench.kv_service import _write as writer
+from fennelfork_bench.kv_service import _decoding as decoding
+from fennelfork_bench.kv_service import _encoding as encoding
 from fennelfork_bench.kv_service._lease import Leases
 from fennelfork_bench.kv_service._messages import Operation, Transaction
 from fennelfork_bench.kv_service._store import KeyValueStore
@@ -39,12 +39,12 @@
 
 def call_range(service: KeyValueService, body: Json) -> Answer:
     """Answer `/v3/kv/range`."""
-    return _single(service, reader.read_range(body))
+    return _single(service, decoding.read_range(body))
 
 
 def call_put(service: KeyValueService, body: Json) -> Answer:
     """Answer `/v3/kv/put`."""
-    put = reader.read_put(body)
+    put = decoding.read_put(body)
     if put.lease and service.leases.find(put.lease) is None:
         return lease_not_found()
     return _single(service, put)
@@ -52,12 +52,12 @@
 
 def call_delete(service: KeyValueService, body: Json) -> Answer:
     """Answer `/v3/kv/deleterange`."""
-    return _single(service, reader.read_delete(body))
+    return _single(service, decoding.read_delete(body))
 
 
 def call_txn(service: KeyValueService, body: Json) -> Answer:
     """Answer `/v3/kv/txn`."""
-    transaction = reader.read_transaction(body)
+    transaction = decoding.read_transaction(body)
     for lease in {getattr(each, 'lease', 0) for each in transaction.success} - {
         0
     }:
@@ -65,40 +65,40 @@
             return lease_not_found()
     reply = service.store.commit(transaction)
     revision = service.store.revision
-    return Answer(status=_OK, body=writer.write_transaction(reply, revision))
+    return Answer(status=_OK, body=encoding.write_transaction(reply, revision))
 
 
 def call_grant(service: KeyValueService, body: Json) -> Answer:
     """Answer `/v3/lease/grant`."""
-    ttl_s = reader.number(body, 'TTL')
+    ttl_s = decoding.number(body, 'TTL')
     if ttl_s < 1:
-        raise reader.BadRequestError('TTL: at least 1')
-    lease = service.leases.grant(ttl_s, reader.number(body, _LEASE_ID))
+        raise decoding.BadRequestError('TTL: at least 1')
+    lease = service.leases.grant(ttl_s, decoding.number(body, _LEASE_ID))
     revision = service.store.revision
     return Answer(
         status=_OK,
-        body=writer.write_lease(lease, lease.number, revision),
+        body=encoding.write_lease(lease, lease.number, revision),
     )
 
 
 def call_revoke(service: KeyValueService, body: Json) -> Answer:
     """Answer `/v3/lease/revoke`."""
-    if not service.leases.revoke(reader.number(body, _LEASE_ID)):
+    if not service.leases.revoke(decoding.number(body, _LEASE_ID)):
         return lease_not_found()
     return Answer(
         status=_OK,
-        body={'header': writer.header(service.store.revision)},
+        body={'header': encoding.header(service.store.revision)},
     )
 
 
 def call_keep_alive(service: KeyValueService, body: Json) -> Answer:
     """Answer `/v3/lease/keepalive`, a stream of one message."""
-    number = reader.number(body, _LEASE_ID)
+    number = decoding.number(body, _LEASE_ID)
     lease = service.leases.keep_alive(number)
     revision = service.store.revision
     return Answer(
         status=_OK,
-        body={'result': writer.write_lease(lease, number, revision)},
+        body={'result': encoding.write_lease(lease, number, revision)},
     )
 
 
@@ -138,8 +138,8 @@
 def _single(service: KeyValueService, operation: Operation) -> Answer:
     transaction = Transaction(compares=(), success=(operation,), failure=())
     reply = service.store.commit(transaction)
-    header = writer.header(service.store.revision)
+    header = encoding.header(service.store.revision)
     return Answer(
         status=_OK,
-        body={'header': header, **writer.write_reply(reply.replies[0])},
+        body={'header': header, **encoding.write_reply(reply.replies[0])},
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_stream.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_stream.py
@@ -7,11 +7,11 @@
 import attrs
 import eventlet
 
-from fennelfork_bench.kv_service import _read as reader
-from fennelfork_bench.kv_service._calls import KeyValueService, problem
+from fennelfork_bench.kv_service import _decoding as decoding
+from fennelfork_bench.kv_service._handlers import KeyValueService, problem
 from fennelfork_bench.kv_service._faults import Faults
 from fennelfork_bench.kv_service._watch import Watch
-from fennelfork_bench.kv_service._write import header, write_event
+from fennelfork_bench.kv_service._encoding import header, write_event
 from fennelfork_bench.rig._serving import (
     Json,
     StartResponse,
@@ -39,14 +39,14 @@
         start_response: StartResponse,
     ) -> Iterable[bytes]:
         """Answer one request for a watch."""
-        create = reader.member(body, 'create_request') or {}
+        create = decoding.member(body, 'create_request') or {}
         try:
-            span = reader.read_span(create)
-        except reader.BadRequestError as error:
+            span = decoding.read_span(create)
+        except decoding.BadRequestError as error:
             bad = problem('400 Bad Request', _INVALID, str(error))
             return send(bad, start_response)
         start_response('200 OK', [('Content-Type', 'application/json')])
-        start_revision = reader.number(create, 'start_revision')
+        start_revision = decoding.number(create, 'start_revision')
         if 0 < start_revision <= self._service.store.compacted:
             return iter((self._compacted(),))  # no length: sent in chunks
         watch = self._service.hub.open(span, start_revision)
