--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/__init__.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/__init__.py
@@ -1,1 +1,1 @@
-"""The stand-in of the platform's key-value service."""
+"""Stand-in for the key-value service of the platform."""
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_app.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_app.py
@@ -1,4 +1,4 @@
-"""The key-value stand-in as a WSGI application."""
+"""WSGI application of the key-value stand-in."""
 
 import itertools
 from collections.abc import Iterable
@@ -8,18 +8,18 @@
 import eventlet
 
 from fennelfork import Clock
+from fennelfork_bench.kv_service._control import Control
+from fennelfork_bench.kv_service._decoding import BadRequestError
+from fennelfork_bench.kv_service._faults import Faults, RateLimiter
 from fennelfork_bench.kv_service._handlers import (
-    READS,
-    WRITES,
+    READ_HANDLERS,
+    WRITE_HANDLERS,
     KeyValueService,
+    build_error,
     key_value_service,
-    problem,
 )
-from fennelfork_bench.kv_service._control import Control
-from fennelfork_bench.kv_service._faults import Faults, Rate
-from fennelfork_bench.kv_service._log import Call, CallLog, Outcome
-from fennelfork_bench.kv_service._decoding import BadRequestError
-from fennelfork_bench.kv_service._stream import Streams
+from fennelfork_bench.kv_service._log import CallLog, CallRecord, Outcome
+from fennelfork_bench.kv_service._stream import WatchStreams
 from fennelfork_bench.rig._serving import (
     Answer,
     Json,
@@ -30,27 +30,27 @@
     send,
 )
 
-_LIMIT_BYTES: Final = 1_572_864
-_EXPIRY_S: Final = 0.05
+_MAX_BODY_BYTES: Final = 1_572_864
+_EXPIRY_INTERVAL_S: Final = 0.05
 _MS_PER_S: Final = 1000
-_WATCH: Final = '/v3/watch'
+_WATCH_PATH: Final = '/v3/watch'
 _OK: Final = '200 OK'
-_BAD: Final = '400 Bad Request'
-_INVALID: Final = 3
+_BAD_REQUEST: Final = '400 Bad Request'
+_INVALID_ARGUMENT: Final = 3
 _UNAVAILABLE: Final = 8
 
 
 @attrs.frozen(kw_only=True)
 class Application:
-    """Routes calls, applies faults and rates, and keeps the call log."""
+    """Dispatch calls, inject faults, limit rates and log the calls."""
 
     _service: KeyValueService
     _clock: Clock
     _faults: Faults
     _log: CallLog
-    _reads: Rate
-    _writes: Rate
-    _streams: Streams
+    _read_limiter: RateLimiter
+    _write_limiter: RateLimiter
+    _streams: WatchStreams
     _control: Control
 
     def __call__(
@@ -58,31 +58,31 @@
         environ: Json,
         start_response: StartResponse,
     ) -> Iterable[bytes]:
-        """Answer one request."""
+        """Return the response to one HTTP request."""
         path = environ['PATH_INFO']
         try:
-            body = read_json(environ, _LIMIT_BYTES)
+            body = read_json(environ, _MAX_BODY_BYTES)
         except TooLargeError:
-            answer = problem(
-                _BAD,
-                _INVALID,
+            answer = build_error(
+                _BAD_REQUEST,
+                _INVALID_ARGUMENT,
                 'etcdserver: request is too large',
             )
             return send(answer, start_response)
         except ValueError as error:
-            answer = problem(_BAD, _INVALID, str(error))
+            answer = build_error(_BAD_REQUEST, _INVALID_ARGUMENT, str(error))
             return send(answer, start_response)
         if path.startswith('/control/'):
             return send(self._control.answer(environ, body), start_response)
-        return self._call(environ, body, start_response)
+        return self._handle_call(environ, body, start_response)
 
     def expire_forever(self) -> None:
-        """End leases as they lapse; runs in a green thread of its own."""
+        """Revoke expired leases in a loop that runs in a green thread."""
         for _ in itertools.count():
-            self._service.leases.expire()
-            eventlet.sleep(_EXPIRY_S)
+            self._service.leases.revoke_expired()
+            eventlet.sleep(_EXPIRY_INTERVAL_S)
 
-    def _call(
+    def _handle_call(
         self,
         environ: Json,
         body: Json,
@@ -92,41 +92,51 @@
         if self._faults.slow_ms:
             eventlet.sleep(self._faults.slow_ms / _MS_PER_S)
         if self._faults.down:
-            self._note(environ, Outcome.CUT)
+            self._record_call(environ, Outcome.CUT)
             cut(environ)
-        rate = self._writes if path in WRITES else self._reads
-        if self._faults.refuse or not rate.take():
-            self._note(environ, Outcome.REFUSED)
-            return send(_too_many(), start_response)
-        if path == _WATCH:
-            self._note(environ, Outcome.DONE)
+        limiter = (
+            self._write_limiter
+            if path in WRITE_HANDLERS
+            else self._read_limiter
+        )
+        if self._faults.refuse or not limiter.try_acquire():
+            self._record_call(environ, Outcome.REFUSED)
+            return send(_build_rate_limit_error(), start_response)
+        if path == _WATCH_PATH:
+            self._record_call(environ, Outcome.DONE)
             environ['eventlet.minimum_write_chunk_size'] = 1
             return self._streams.answer(environ, body, start_response)
-        answer = self._answer(path, body)
-        done = answer.status == _OK
-        if path in WRITES and done and self._faults.takes_reply():
-            self._note(environ, Outcome.REPLY_LOST)
+        answer = self._run_handler(path, body)
+        has_succeeded = answer.status == _OK
+        if (
+            path in WRITE_HANDLERS
+            and has_succeeded
+            and self._faults.consume_lost_reply()
+        ):
+            self._record_call(environ, Outcome.REPLY_LOST)
             cut(environ)
-        self._note(environ, Outcome.DONE if done else Outcome.REJECTED)
+        self._record_call(
+            environ, Outcome.DONE if has_succeeded else Outcome.REJECTED
+        )
         return send(answer, start_response)
 
-    def _answer(self, path: str, body: Json) -> Answer:
-        call = READS.get(path) or WRITES.get(path)
-        if call is None:
-            return problem('404 Not Found', _INVALID, 'Not Found')
+    def _run_handler(self, path: str, body: Json) -> Answer:
+        handler = READ_HANDLERS.get(path) or WRITE_HANDLERS.get(path)
+        if handler is None:
+            return build_error('404 Not Found', _INVALID_ARGUMENT, 'Not Found')
         try:
-            return call(self._service, body)
+            return handler(self._service, body)
         except BadRequestError as error:
-            return problem(_BAD, _INVALID, str(error))
+            return build_error(_BAD_REQUEST, _INVALID_ARGUMENT, str(error))
 
-    def _note(self, environ: Json, outcome: Outcome) -> None:
-        call = Call(
+    def _record_call(self, environ: Json, outcome: Outcome) -> None:
+        record = CallRecord(
             at_ms=self._clock.now_ms(),
             name=environ['PATH_INFO'].removeprefix('/v3/'),
             outcome=outcome,
             body_bytes=int(environ.get('CONTENT_LENGTH') or 0),
         )
-        self._log.add(call)
+        self._log.record(record)
 
 
 def application(
@@ -137,9 +147,9 @@
     """Build the application over an empty store.
 
     Args:
-        clock: time of leases, rates and the call log.
-        reads_per_s: ranges and watches above this rate are refused; 0: none.
-        writes_per_s: the same for writes and lease calls.
+        clock: clock of the leases, the rate limits and the call log.
+        reads_per_s: rate limit of ranges and watches; 0 means no limit.
+        writes_per_s: rate limit of writes and lease calls; 0 means no limit.
     """
     service = key_value_service(clock)
     faults = Faults()
@@ -149,9 +159,9 @@
         clock=clock,
         faults=faults,
         log=log,
-        reads=Rate(per_s=reads_per_s, clock=clock),
-        writes=Rate(per_s=writes_per_s, clock=clock),
-        streams=Streams(service=service, faults=faults),
+        read_limiter=RateLimiter(per_s=reads_per_s, clock=clock),
+        write_limiter=RateLimiter(per_s=writes_per_s, clock=clock),
+        streams=WatchStreams(service=service, faults=faults),
         control=Control(
             service=service,
             clock=clock,
@@ -161,8 +171,8 @@
     )
 
 
-def _too_many() -> Answer:
-    return problem(
+def _build_rate_limit_error() -> Answer:
+    return build_error(
         '429 Too Many Requests',
         _UNAVAILABLE,
         'etcdserver: too many requests',
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_decoding.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_decoding.py
@@ -1,8 +1,8 @@
-"""Requests to the key-value stand-in, read from the gateway's JSON.
+"""Decoding of requests from the JSON format of the etcd gateway.
 
-Bytes cross as base64, 64-bit integers as strings, and members that are zero
-are left out, as protobuf's JSON does. Members may be named in either of
-protobuf's two ways, `range_end` or `rangeEnd`.
+The format is the JSON mapping of protobuf: bytes are base64, 64-bit integers
+are strings and fields with a zero value are omitted. Field names are accepted
+in snake case and in camel case (`range_end` and `rangeEnd`).
 """
 
 import base64
@@ -15,17 +15,17 @@
     CompareResult,
     CompareTarget,
     Delete,
-    KeySpan,
+    KeyRange,
     Operation,
     Put,
     Range,
     Transaction,
 )
 
-Body = Mapping[str, Any]
+JsonObject = Mapping[str, Any]
 
 _KEY: Final = 'key'
-_OPERANDS: Final = {
+_OPERAND_FIELDS: Final = {
     CompareTarget.VERSION: 'version',
     CompareTarget.CREATE: 'create_revision',
     CompareTarget.MOD: 'mod_revision',
@@ -34,111 +34,111 @@
 
 
 class BadRequestError(Exception):
-    """The body is not a request of this call; the text says why."""
+    """The request body is invalid; the message states the reason."""
 
 
-def member(body: Body, name: str) -> Any:
-    """Read a member by its protobuf name or its JSON name; none if absent."""
+def get_field(body: JsonObject, name: str) -> Any:
+    """Return a field by its protobuf or JSON name; `None` if absent."""
     head, *tail = name.split('_')
     camel = ''.join((head, *map(str.capitalize, tail)))
     return body.get(name, body.get(camel))
 
 
-def number(body: Body, name: str) -> int:
-    """Read an integer that may cross as a string; 0 if absent.
+def decode_int(body: JsonObject, name: str) -> int:
+    """Decode an integer or a string of digits; 0 if the field is absent.
 
     Raises:
-        BadRequestError: if it is not an integer.
+        BadRequestError: if the field is not an integer.
     """
-    raw = member(body, name)
+    raw = get_field(body, name)
     try:
         return int(raw or 0)
     except (TypeError, ValueError):
         raise BadRequestError(f'{name}: not an integer') from None
 
 
-def data(body: Body, name: str) -> bytes:
-    """Read base64 bytes; empty if absent.
+def decode_bytes(body: JsonObject, name: str) -> bytes:
+    """Decode base64 bytes; empty if the field is absent.
 
     Raises:
-        BadRequestError: if it is not base64.
+        BadRequestError: if the field is not base64.
     """
-    raw = member(body, name)
+    raw = get_field(body, name)
     try:
         return base64.b64decode(raw or '', validate=True)
     except (TypeError, ValueError, binascii.Error):
         raise BadRequestError(f'{name}: not base64') from None
 
 
-def read_span(body: Body) -> KeySpan:
-    """Read the key, or the range of keys, of a request.
+def decode_key_range(body: JsonObject) -> KeyRange:
+    """Decode the key or the range of keys of a request.
 
     Raises:
         BadRequestError: if the key is missing.
     """
-    key = data(body, _KEY)
+    key = decode_bytes(body, _KEY)
     if not key:
         raise BadRequestError('etcdserver: key is not provided')
-    return KeySpan(key=key, range_end=data(body, 'range_end'))
+    return KeyRange(key=key, range_end=decode_bytes(body, 'range_end'))
 
 
-def read_range(body: Body) -> Range:
-    """Read a range request."""
+def decode_range(body: JsonObject) -> Range:
+    """Decode a range request."""
     return Range(
-        span=read_span(body),
-        limit=number(body, 'limit'),
-        keys_only=bool(member(body, 'keys_only')),
+        key_range=decode_key_range(body),
+        limit=decode_int(body, 'limit'),
+        keys_only=bool(get_field(body, 'keys_only')),
     )
 
 
-def read_put(body: Body) -> Put:
-    """Read a put request."""
+def decode_put(body: JsonObject) -> Put:
+    """Decode a put request."""
     return Put(
-        key=read_span(body).key,
-        value=data(body, 'value'),
-        lease=number(body, 'lease'),
+        key=decode_key_range(body).key,
+        value=decode_bytes(body, 'value'),
+        lease=decode_int(body, 'lease'),
     )
 
 
-def read_delete(body: Body) -> Delete:
-    """Read a request to delete a range."""
-    return Delete(span=read_span(body))
+def decode_delete(body: JsonObject) -> Delete:
+    """Decode a request to delete a range."""
+    return Delete(key_range=decode_key_range(body))
 
 
-def read_transaction(body: Body) -> Transaction:
-    """Read a transaction request."""
+def decode_transaction(body: JsonObject) -> Transaction:
+    """Decode a transaction request."""
     return Transaction(
-        compares=tuple(map(_read_compare, body.get('compare', ()))),
-        success=tuple(map(_read_operation, body.get('success', ()))),
-        failure=tuple(map(_read_operation, body.get('failure', ()))),
+        compares=tuple(map(_decode_compare, body.get('compare', ()))),
+        success=tuple(map(_decode_operation, body.get('success', ()))),
+        failure=tuple(map(_decode_operation, body.get('failure', ()))),
     )
 
 
-def _read_compare(body: Body) -> Compare:
+def _decode_compare(body: JsonObject) -> Compare:
     try:
         target = CompareTarget(body.get('target', CompareTarget.VERSION.value))
         relation = CompareResult(body.get('result', CompareResult.EQUAL.value))
     except ValueError as error:
         raise BadRequestError(f'compare: {error}') from None
-    operand: int | bytes = data(body, 'value')
+    operand: int | bytes = decode_bytes(body, 'value')
     if target is not CompareTarget.VALUE:
-        operand = number(body, _OPERANDS[target])
+        operand = decode_int(body, _OPERAND_FIELDS[target])
     return Compare(
-        key=data(body, _KEY),
+        key=decode_bytes(body, _KEY),
         target=target,
         result=relation,
         operand=operand,
     )
 
 
-def _read_operation(body: Body) -> Operation:
-    readers = {
-        'request_put': read_put,
-        'request_range': read_range,
-        'request_delete_range': read_delete,
+def _decode_operation(body: JsonObject) -> Operation:
+    decoders = {
+        'request_put': decode_put,
+        'request_range': decode_range,
+        'request_delete_range': decode_delete,
     }
-    for name, read in readers.items():
-        inner = member(body, name)
-        if inner is not None:
-            return read(inner)
+    for name, decode in decoders.items():
+        fields = get_field(body, name)
+        if fields is not None:
+            return decode(fields)
     raise BadRequestError('operation: none of put, range, delete_range')
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_encoding.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_encoding.py
@@ -1,6 +1,6 @@
-"""Replies of the key-value stand-in, written as the gateway's JSON.
+"""Encoding of responses in the JSON format of the etcd gateway.
 
-As protobuf's JSON does it, members that are zero are left out.
+Fields with a zero value are omitted, as in the JSON mapping of protobuf.
 """
 
 import base64
@@ -19,62 +19,67 @@
 )
 from fennelfork_bench.rig._serving import Json
 
-_CLUSTER: Final = '14841639068965178418'
-_MEMBER: Final = '10276657743932975437'
+_CLUSTER_ID: Final = '14841639068965178418'
+_MEMBER_ID: Final = '10276657743932975437'
 
 
-def header(revision: int) -> Json:
-    """Write the header that each reply carries."""
+def encode_header(revision: int) -> Json:
+    """Encode the header of a response."""
     return {
-        'cluster_id': _CLUSTER,
-        'member_id': _MEMBER,
+        'cluster_id': _CLUSTER_ID,
+        'member_id': _MEMBER_ID,
         'revision': str(revision),
         'raft_term': '2',
     }
 
 
 @singledispatch
-def write_reply(reply: Reply) -> Json:
-    """Write the reply to one operation, without its header.
+def encode_reply(reply: Reply) -> Json:
+    """Encode the reply to one operation, without its header.
 
     Raises:
-        TypeError: if the reply is of an unknown kind.
+        TypeError: if the type of the reply is not supported.
     """
-    raise TypeError(f'not a reply: {reply!r}')
+    raise TypeError(f'the reply {reply!r} is not of a supported type')
 
 
-@write_reply.register
-def _write_range(reply: RangeReply) -> Json:
-    body = _present({'count': str(reply.count)})
-    if reply.found:
-        body['kvs'] = [write_entry(entry) for entry in reply.found]
-    if reply.count > len(reply.found):
+@encode_reply.register
+def _encode_range(reply: RangeReply) -> Json:
+    body = _without_zeros({'count': str(reply.count)})
+    if reply.entries:
+        body['kvs'] = [encode_entry(entry) for entry in reply.entries]
+    if reply.count > len(reply.entries):
         body['more'] = True
     return body
 
 
-@write_reply.register
-def _write_put(reply: PutReply) -> Json:
+@encode_reply.register
+def _encode_put(reply: PutReply) -> Json:
     return {}
 
 
-@write_reply.register
-def _write_delete(reply: DeleteReply) -> Json:
-    return _present({'deleted': str(reply.deleted)})
+@encode_reply.register
+def _encode_delete(reply: DeleteReply) -> Json:
+    return _without_zeros({'deleted': str(reply.deleted)})
 
 
-def write_transaction(reply: TransactionReply, revision: int) -> Json:
-    """Write the reply to a transaction."""
-    kinds = {
+def encode_transaction(reply: TransactionReply, revision: int) -> Json:
+    """Encode the reply to a transaction."""
+    field_names = {
         RangeReply: 'response_range',
         PutReply: 'response_put',
         DeleteReply: 'response_delete_range',
     }
     responses = [
-        {kinds[type(each)]: {'header': header(revision), **write_reply(each)}}
+        {
+            field_names[type(each)]: {
+                'header': encode_header(revision),
+                **encode_reply(each),
+            }
+        }
         for each in reply.replies
     ]
-    body: Json = {'header': header(revision)}
+    body: Json = {'header': encode_header(revision)}
     if reply.succeeded:
         body['succeeded'] = True
     if responses:
@@ -82,42 +87,42 @@
     return body
 
 
-def write_entry(entry: KeyValue) -> Json:
-    """Write one stored key."""
-    return _present(
+def encode_entry(entry: KeyValue) -> Json:
+    """Encode one stored key."""
+    return _without_zeros(
         {
-            'key': _text(entry.key),
+            'key': _encode_bytes(entry.key),
             'create_revision': str(entry.create_revision),
             'mod_revision': str(entry.mod_revision),
             'version': str(entry.version),
-            'value': _text(entry.value),
+            'value': _encode_bytes(entry.value),
             'lease': str(entry.lease),
         },
     )
 
 
-def write_event(event: Event) -> Json:
-    """Write one change; a put is protobuf's zero and has no type."""
-    body: Json = {'kv': write_entry(event.entry)}
-    if event.deleted:
+def encode_event(event: Event) -> Json:
+    """Encode an event; a put has no `type`, whose zero value is `PUT`."""
+    body: Json = {'kv': encode_entry(event.entry)}
+    if event.is_deletion:
         body['type'] = 'DELETE'
     return body
 
 
-def write_lease(lease: Lease | None, number: int, revision: int) -> Json:
-    """Write a lease; one that has lapsed has no time to live."""
+def encode_lease(lease: Lease | None, lease_id: int, revision: int) -> Json:
+    """Encode a lease; an expired lease has no time to live."""
     ttl_s = lease.ttl_s if lease else 0
     return {
-        'header': header(revision),
-        **_present({'ID': str(number), 'TTL': str(ttl_s)}),
+        'header': encode_header(revision),
+        **_without_zeros({'ID': str(lease_id), 'TTL': str(ttl_s)}),
     }
 
 
-def _text(raw: bytes) -> str:
+def _encode_bytes(raw: bytes) -> str:
     return base64.b64encode(raw).decode()
 
 
-def _present(body: Json) -> Json:
+def _without_zeros(body: Json) -> Json:
     return {
         name: value for name, value in body.items() if value not in {'', '0'}
     }
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_faults.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_faults.py
@@ -11,14 +11,15 @@
 
 @attrs.define(kw_only=True)
 class Faults:
-    """What is switched on by `POST /control/faults`.
+    """Faults that are set through `POST /control/faults`.
 
     Attributes:
-        down: each call is cut before it has any effect.
-        slow_ms: each call waits this long before it has an effect.
-        lose_replies: so many next writes take effect and are then cut.
-        stall_watches: watches stay open and send nothing.
-        refuse: each call is refused as above the rate.
+        down: whether each connection is closed before the call takes effect.
+        slow_ms: delay before each call takes effect.
+        lose_replies: number of writes still to be applied and then answered
+            by a closed connection.
+        stall_watches: whether open watches send no events.
+        refuse: whether each call is refused like a call above the rate limit.
     """
 
     down: bool = False
@@ -27,8 +28,8 @@
     stall_watches: bool = False
     refuse: bool = False
 
-    def takes_reply(self) -> bool:
-        """Tell whether the reply to this write is to be lost."""
+    def consume_lost_reply(self) -> bool:
+        """Return whether the response to the current write is dropped."""
         if self.lose_replies < 1:
             return False
         self.lose_replies -= 1
@@ -36,22 +37,22 @@
 
 
 @attrs.define(kw_only=True)
-class Rate:
-    """A token bucket of one second's calls; 0 a second means no limit."""
+class RateLimiter:
+    """Token bucket with a burst of one second; a rate of 0 means no limit."""
 
     per_s: float
     _clock: Clock
     _tokens: float = 0
-    _filled_ms: float = 0
+    _refilled_ms: float = 0
 
-    def take(self) -> bool:
-        """Take one token, or tell that there is none."""
+    def try_acquire(self) -> bool:
+        """Take a token and return whether one was available."""
         if not self.per_s:
             return True
         now_ms = self._clock.now_ms()
-        gained = (now_ms - self._filled_ms) * self.per_s / _MS_PER_S
-        self._tokens = min(self.per_s, self._tokens + gained)
-        self._filled_ms = now_ms
+        refill = (now_ms - self._refilled_ms) * self.per_s / _MS_PER_S
+        self._tokens = min(self.per_s, self._tokens + refill)
+        self._refilled_ms = now_ms
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_handlers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_handlers.py
@@ -1,4 +1,4 @@
-"""The calls of the key-value stand-in: a body in, a body or an error out."""
+"""Handlers of the calls to the key-value stand-in."""
 
 from collections.abc import Callable
 from typing import Final
@@ -21,7 +21,7 @@
 
 @attrs.frozen(kw_only=True)
 class KeyValueService:
-    """The store with its leases and watches."""
+    """Store of the stand-in, with its leases and watches."""
 
     store: KeyValueStore
     leases: Leases
@@ -29,7 +29,7 @@
 
 
 def key_value_service(clock: Clock) -> KeyValueService:
-    """Build an empty service at revision 1."""
+    """Build a service with an empty store at revision 1."""
     store = KeyValueStore()
     hub = WatchHub(store=store)
     store.on_events = hub.publish
@@ -37,109 +37,109 @@
     return KeyValueService(store=store, leases=leases, hub=hub)
 
 
-def call_range(service: KeyValueService, body: Json) -> Answer:
-    """Answer `/v3/kv/range`."""
-    return _single(service, decoding.read_range(body))
+def handle_range(service: KeyValueService, body: Json) -> Answer:
+    """Handle `/v3/kv/range`."""
+    return _run_operation(service, decoding.decode_range(body))
 
 
-def call_put(service: KeyValueService, body: Json) -> Answer:
-    """Answer `/v3/kv/put`."""
-    put = decoding.read_put(body)
-    if put.lease and service.leases.find(put.lease) is None:
-        return lease_not_found()
-    return _single(service, put)
+def handle_put(service: KeyValueService, body: Json) -> Answer:
+    """Handle `/v3/kv/put`."""
+    put = decoding.decode_put(body)
+    if put.lease and service.leases.find_active(put.lease) is None:
+        return build_lease_error()
+    return _run_operation(service, put)
 
 
-def call_delete(service: KeyValueService, body: Json) -> Answer:
-    """Answer `/v3/kv/deleterange`."""
-    return _single(service, decoding.read_delete(body))
+def handle_delete(service: KeyValueService, body: Json) -> Answer:
+    """Handle `/v3/kv/deleterange`."""
+    return _run_operation(service, decoding.decode_delete(body))
 
 
-def call_txn(service: KeyValueService, body: Json) -> Answer:
-    """Answer `/v3/kv/txn`."""
-    transaction = decoding.read_transaction(body)
+def handle_txn(service: KeyValueService, body: Json) -> Answer:
+    """Handle `/v3/kv/txn`."""
+    transaction = decoding.decode_transaction(body)
     for lease in {getattr(each, 'lease', 0) for each in transaction.success} - {
         0
     }:
-        if service.leases.find(lease) is None:
-            return lease_not_found()
+        if service.leases.find_active(lease) is None:
+            return build_lease_error()
     reply = service.store.commit(transaction)
     revision = service.store.revision
-    return Answer(status=_OK, body=encoding.write_transaction(reply, revision))
+    return Answer(status=_OK, body=encoding.encode_transaction(reply, revision))
 
 
-def call_grant(service: KeyValueService, body: Json) -> Answer:
-    """Answer `/v3/lease/grant`."""
-    ttl_s = decoding.number(body, 'TTL')
+def handle_grant(service: KeyValueService, body: Json) -> Answer:
+    """Handle `/v3/lease/grant`."""
+    ttl_s = decoding.decode_int(body, 'TTL')
     if ttl_s < 1:
         raise decoding.BadRequestError('TTL: at least 1')
-    lease = service.leases.grant(ttl_s, decoding.number(body, _LEASE_ID))
+    lease = service.leases.grant(ttl_s, decoding.decode_int(body, _LEASE_ID))
     revision = service.store.revision
     return Answer(
         status=_OK,
-        body=encoding.write_lease(lease, lease.number, revision),
+        body=encoding.encode_lease(lease, lease.lease_id, revision),
     )
 
 
-def call_revoke(service: KeyValueService, body: Json) -> Answer:
-    """Answer `/v3/lease/revoke`."""
-    if not service.leases.revoke(decoding.number(body, _LEASE_ID)):
-        return lease_not_found()
+def handle_revoke(service: KeyValueService, body: Json) -> Answer:
+    """Handle `/v3/lease/revoke`."""
+    if not service.leases.revoke(decoding.decode_int(body, _LEASE_ID)):
+        return build_lease_error()
     return Answer(
         status=_OK,
-        body={'header': encoding.header(service.store.revision)},
+        body={'header': encoding.encode_header(service.store.revision)},
     )
 
 
-def call_keep_alive(service: KeyValueService, body: Json) -> Answer:
-    """Answer `/v3/lease/keepalive`, a stream of one message."""
-    number = decoding.number(body, _LEASE_ID)
-    lease = service.leases.keep_alive(number)
+def handle_keep_alive(service: KeyValueService, body: Json) -> Answer:
+    """Handle `/v3/lease/keepalive` with a stream of one message."""
+    lease_id = decoding.decode_int(body, _LEASE_ID)
+    lease = service.leases.keep_alive(lease_id)
     revision = service.store.revision
     return Answer(
         status=_OK,
-        body={'result': encoding.write_lease(lease, number, revision)},
+        body={'result': encoding.encode_lease(lease, lease_id, revision)},
     )
 
 
-def problem(status: str, code: int, text: str) -> Answer:
-    """Build an error as the gateway writes it."""
+def build_error(status: str, code: int, text: str) -> Answer:
+    """Build an error response in the format of the etcd gateway."""
     return Answer(
         status=status,
         body={'error': text, 'code': code, 'message': text},
     )
 
 
-def lease_not_found() -> Answer:
-    """Build the error for a lease that is not in force."""
-    return problem(
+def build_lease_error() -> Answer:
+    """Build the error response for a lease that is not active."""
+    return build_error(
         '404 Not Found',
         _NOT_FOUND,
         'etcdserver: requested lease not found',
     )
 
 
-Call = Callable[[KeyValueService, Json], Answer]
+Handler = Callable[[KeyValueService, Json], Answer]
 
-READS: Final[dict[str, Call]] = {
-    '/v3/kv/range': call_range,
+READ_HANDLERS: Final[dict[str, Handler]] = {
+    '/v3/kv/range': handle_range,
 }
-WRITES: Final[dict[str, Call]] = {
-    '/v3/kv/put': call_put,
-    '/v3/kv/deleterange': call_delete,
-    '/v3/kv/txn': call_txn,
-    '/v3/lease/grant': call_grant,
-    '/v3/lease/revoke': call_revoke,
-    '/v3/kv/lease/revoke': call_revoke,
-    '/v3/lease/keepalive': call_keep_alive,
+WRITE_HANDLERS: Final[dict[str, Handler]] = {
+    '/v3/kv/put': handle_put,
+    '/v3/kv/deleterange': handle_delete,
+    '/v3/kv/txn': handle_txn,
+    '/v3/lease/grant': handle_grant,
+    '/v3/lease/revoke': handle_revoke,
+    '/v3/kv/lease/revoke': handle_revoke,
+    '/v3/lease/keepalive': handle_keep_alive,
 }
 
 
-def _single(service: KeyValueService, operation: Operation) -> Answer:
+def _run_operation(service: KeyValueService, operation: Operation) -> Answer:
     transaction = Transaction(compares=(), success=(operation,), failure=())
     reply = service.store.commit(transaction)
-    header = encoding.header(service.store.revision)
+    header = encoding.encode_header(service.store.revision)
     return Answer(
         status=_OK,
-        body={'header': header, **encoding.write_reply(reply.replies[0])},
+        body={'header': header, **encoding.encode_reply(reply.replies[0])},
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_log.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_log.py
@@ -1,4 +1,4 @@
-"""The call log of the key-value stand-in."""
+"""Call log of the key-value stand-in."""
 
 import enum
 from collections import Counter, deque
@@ -6,12 +6,12 @@
 
 import attrs
 
-_KEPT: Final = 50_000
+_MAX_RECENT_CALLS: Final = 50_000
 
 
 @enum.unique
 class Outcome(enum.Enum):
-    """What became of a call."""
+    """Outcome of a call."""
 
     DONE = 'done'
     REJECTED = 'rejected'
@@ -21,8 +21,8 @@
 
 
 @attrs.frozen(kw_only=True)
-class Call:
-    """One call as the stand-in saw it; `at_ms` on the system's clock."""
+class CallRecord:
+    """One call to the stand-in; `at_ms` is a time of the system clock."""
 
     at_ms: float
     name: str
@@ -32,18 +32,20 @@
 
 @attrs.define(kw_only=True)
 class CallLog:
-    """Counts of all calls and the most recent of them."""
+    """Counts of all calls, and records of the most recent calls."""
 
     _counts: Counter[str] = attrs.field(factory=Counter)
-    _calls: deque[Call] = attrs.field(factory=lambda: deque(maxlen=_KEPT))
+    _calls: deque[CallRecord] = attrs.field(
+        factory=lambda: deque(maxlen=_MAX_RECENT_CALLS)
+    )
 
-    def add(self, call: Call) -> None:
-        """Count and keep one call."""
+    def record(self, call: CallRecord) -> None:
+        """Count a call and store its record."""
         self._counts[call.name] += 1
         self._calls.append(call)
 
     def to_json(self, since_ms: float = 0) -> dict[str, Any]:
-        """Write the counts, and the calls at or after `since_ms`."""
+        """Return the counts of all calls and the calls since `since_ms`."""
         return {
             'counts': dict(self._counts),
             'calls': [
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_messages.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of the key-value stand-in."""
+"""Typed requests of the key-value stand-in."""
 
 import enum
 
@@ -7,7 +7,7 @@
 
 @enum.unique
 class CompareTarget(enum.Enum):
-    """Which property of a key a comparison reads."""
+    """Property of a key that a comparison reads."""
 
     VERSION = 'VERSION'
     CREATE = 'CREATE'
@@ -18,7 +18,7 @@
 
 @enum.unique
 class CompareResult(enum.Enum):
-    """How the property must relate to the operand."""
+    """Required relation between the property and the operand."""
 
     EQUAL = 'EQUAL'
     GREATER = 'GREATER'
@@ -28,7 +28,7 @@
 
 @attrs.frozen(kw_only=True)
 class KeyValue:
-    """One key as stored, with the revisions that made it."""
+    """Stored key with its value, revisions and lease."""
 
     key: bytes
     value: bytes
@@ -39,17 +39,18 @@
 
 
 @attrs.frozen(kw_only=True)
-class KeySpan:
-    """One key, or every key from `key` up to, not including, `range_end`.
+class KeyRange:
+    """Single key, or the half-open range from `key` to `range_end`.
 
-    A `range_end` of one zero byte means no upper end.
+    An empty `range_end` selects the single key, and one zero byte leaves the
+    range without an upper bound.
     """
 
     key: bytes
     range_end: bytes = b''
 
-    def holds(self, key: bytes) -> bool:
-        """Tell whether `key` lies in the span."""
+    def contains(self, key: bytes) -> bool:
+        """Return whether `key` lies in the range."""
         if not self.range_end:
             return key == self.key
         unbounded = self.range_end == b'\x00'
@@ -58,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class Put:
-    """Write one key."""
+    """Write of one key."""
 
     key: bytes
     value: bytes
@@ -67,18 +68,18 @@
 
 @attrs.frozen(kw_only=True)
 class Range:
-    """Read a span; `limit` 0 means no limit, `keys_only` leaves out values."""
+    """Read of a range; a `limit` of 0 means no limit."""
 
-    span: KeySpan
+    key_range: KeyRange
     limit: int = 0
     keys_only: bool = False
 
 
 @attrs.frozen(kw_only=True)
 class Delete:
-    """Delete a span."""
+    """Deletion of a range."""
 
-    span: KeySpan
+    key_range: KeyRange
 
 
 Operation = Put | Range | Delete
@@ -86,7 +87,7 @@
 
 @attrs.frozen(kw_only=True)
 class Compare:
-    """A condition of a transaction on one key."""
+    """Condition on one key in a transaction."""
 
     key: bytes
     target: CompareTarget
@@ -96,7 +97,7 @@
 
 @attrs.frozen(kw_only=True)
 class Transaction:
-    """Operations that run if all comparisons hold, and others if not."""
+    """Operations to run if all comparisons hold, and those to run if not."""
 
     compares: tuple[Compare, ...]
     success: tuple[Operation, ...]
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_replies.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_replies.py
@@ -1,4 +1,4 @@
-"""Typed replies and changes of the key-value stand-in."""
+"""Typed replies and events of the key-value stand-in."""
 
 import attrs
 
@@ -7,20 +7,20 @@
 
 @attrs.frozen(kw_only=True)
 class RangeReply:
-    """What a read found; `count` ignores the limit."""
+    """Entries that a read returned; `count` ignores the limit."""
 
-    found: tuple[KeyValue, ...]
+    entries: tuple[KeyValue, ...]
     count: int
 
 
 @attrs.frozen(kw_only=True)
 class PutReply:
-    """A write was done."""
+    """Acknowledgement of a write."""
 
 
 @attrs.frozen(kw_only=True)
 class DeleteReply:
-    """How many keys were deleted."""
+    """Number of keys that were deleted."""
 
     deleted: int
 
@@ -30,7 +30,7 @@
 
 @attrs.frozen(kw_only=True)
 class TransactionReply:
-    """Whether the comparisons held, and the reply to each operation."""
+    """Result of the comparisons, and the reply to each operation."""
 
     succeeded: bool
     replies: tuple[Reply, ...]
@@ -38,11 +38,11 @@
 
 @attrs.frozen(kw_only=True)
 class Event:
-    """One change of one key; a deletion has no value and version 0."""
+    """Change of one key; a deletion has no value and version 0."""
 
     entry: KeyValue
 
     @property
-    def deleted(self) -> bool:
-        """Whether the key was deleted."""
+    def is_deletion(self) -> bool:
+        """Whether the event is a deletion of the key."""
         return self.entry.version == 0
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_store.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_store.py
@@ -1,4 +1,4 @@
-"""State of the key-value stand-in: keys, revisions and recent changes."""
+"""Keys, revisions and event history of the key-value stand-in."""
 
 import operator
 from collections import deque
@@ -13,7 +13,7 @@
     CompareResult,
     CompareTarget,
     Delete,
-    KeySpan,
+    KeyRange,
     KeyValue,
     Operation,
     Put,
@@ -29,14 +29,14 @@
     TransactionReply,
 )
 
-_HISTORY: Final = 10_000
-_RELATIONS: Final = {
+_MAX_HISTORY_EVENTS: Final = 10_000
+_COMPARATORS: Final = {
     CompareResult.EQUAL: operator.eq,
     CompareResult.GREATER: operator.gt,
     CompareResult.LESS: operator.lt,
     CompareResult.NOT_EQUAL: operator.ne,
 }
-_PROPERTIES: Final = {
+_COMPARED_ATTRIBUTES: Final = {
     CompareTarget.VERSION: 'version',
     CompareTarget.CREATE: 'create_revision',
     CompareTarget.MOD: 'mod_revision',
@@ -47,91 +47,93 @@
 
 @attrs.frozen(kw_only=True)
 class Backup:
-    """All keys as they were at one revision."""
+    """Copy of all keys at one revision."""
 
     revision: int
     entries: dict[bytes, KeyValue]
 
 
-EMPTY: Final = Backup(revision=1, entries={})
+EMPTY_BACKUP: Final = Backup(revision=1, entries={})
 
 
 @attrs.define(kw_only=True)
 class KeyValueStore:
-    """Keys with etcd's revisions; one writer at a time, no I/O.
+    """In-memory store with the revision semantics of etcd.
 
     Attributes:
-        revision: rises by one with each transaction that writes.
-        compacted: changes at or before this revision are forgotten.
-        on_events: called with the changes of each transaction.
+        revision: number that each writing transaction increments.
+        compacted_revision: last revision whose events are discarded.
+        on_events: callback for the events of each transaction.
     """
 
     revision: int = 1
-    compacted: int = 0
+    compacted_revision: int = 0
     on_events: Callable[[tuple[Event, ...]], None] = lambda events: None
     _entries: dict[bytes, KeyValue] = attrs.field(factory=dict)
     _history: deque[Event] = attrs.field(factory=deque)
 
     def commit(self, transaction: Transaction) -> TransactionReply:
-        """Run one transaction at once, or its other branch.
+        """Run the branch of a transaction that its comparisons select.
 
         Args:
-            transaction: comparisons and both branches.
+            transaction: transaction with its comparisons and both branches.
 
         Returns:
-            Which branch ran and the replies of its operations.
+            Result of the comparisons and the replies to the operations.
         """
-        succeeded = all(self._holds(cond) for cond in transaction.compares)
+        succeeded = all(
+            self._is_satisfied(compare) for compare in transaction.compares
+        )
         branch = transaction.success if succeeded else transaction.failure
         events: list[Event] = []
-        replies = tuple(apply(each, self, events) for each in branch)
+        replies = tuple(apply_operation(each, self, events) for each in branch)
         if events:
             self._publish(tuple(events))
         return TransactionReply(succeeded=succeeded, replies=replies)
 
-    def find(self, span: KeySpan) -> list[KeyValue]:
-        """List the entries of a span in order of their keys."""
-        if not span.range_end:
-            entry = self._entries.get(span.key)
+    def list_entries(self, key_range: KeyRange) -> list[KeyValue]:
+        """Return the entries of a key range in the order of their keys."""
+        if not key_range.range_end:
+            entry = self._entries.get(key_range.key)
             return [] if entry is None else [entry]
         return [
             self._entries[key]
             for key in sorted(self._entries)
-            if span.holds(key)
+            if key_range.contains(key)
         ]
 
-    def under_lease(self, lease: int) -> list[KeyValue]:
-        """List the entries attached to a lease."""
+    def list_lease_entries(self, lease: int) -> list[KeyValue]:
+        """Return the entries that are attached to a lease."""
         return [each for each in self._entries.values() if each.lease == lease]
 
-    def since(self, revision: int) -> list[Event]:
-        """List the remembered changes from `revision` on, oldest first."""
+    def list_events_since(self, revision: int) -> list[Event]:
+        """Return the retained events from `revision` on, oldest first."""
         return [
             event
             for event in self._history
             if event.entry.mod_revision >= revision
         ]
 
-    def write(self, entry: KeyValue) -> None:
-        """Store an entry as it is."""
+    def store_entry(self, entry: KeyValue) -> None:
+        """Store an entry without changing its revisions."""
         self._entries[entry.key] = entry
 
-    def remove(self, key: bytes) -> None:
-        """Drop a key."""
+    def delete_entry(self, key: bytes) -> None:
+        """Delete the entry of a key."""
         self._entries.pop(key)
 
-    def backup(self) -> Backup:
-        """Copy all keys."""
+    def create_backup(self) -> Backup:
+        """Return a backup of all entries."""
         return Backup(revision=self.revision, entries=dict(self._entries))
 
     def restore(self, backup: Backup) -> None:
-        """Go back to a backup; what came after it is lost without a trace."""
+        """Restore a backup and discard all later changes and the history."""
         self.revision = backup.revision
-        self.compacted = backup.revision
+        self.compacted_revision = backup.revision
         self._entries = dict(backup.entries)
         self._history.clear()
 
-    def _holds(self, compare: Compare) -> bool:
+    def _is_satisfied(self, compare: Compare) -> bool:
         missing = KeyValue(
             key=compare.key,
             value=b'',
@@ -142,19 +144,23 @@
         found = self._entries.get(compare.key)
         if found is None and compare.target is CompareTarget.VALUE:
             return False
-        actual = getattr(found or missing, _PROPERTIES[compare.target])
-        return bool(_RELATIONS[compare.result](actual, compare.operand))
+        property_value = getattr(
+            found or missing, _COMPARED_ATTRIBUTES[compare.target]
+        )
+        return bool(
+            _COMPARATORS[compare.result](property_value, compare.operand)
+        )
 
     def _publish(self, events: tuple[Event, ...]) -> None:
         self.revision += 1
         self._history.extend(events)
-        while len(self._history) > _HISTORY:
-            self.compacted = self._history.popleft().entry.mod_revision
+        while len(self._history) > _MAX_HISTORY_EVENTS:
+            self.compacted_revision = self._history.popleft().entry.mod_revision
         self.on_events(events)
 
 
 @singledispatch
-def apply(
+def apply_operation(
     operation: Operation,
     store: KeyValueStore,
     events: list[Event],
@@ -162,17 +168,17 @@
     """Run one operation of a transaction on the store.
 
     Args:
-        operation: what to do.
-        store: where.
-        events: takes the changes made.
+        operation: operation to run.
+        store: store that the operation reads or changes.
+        events: list to which the events of the operation are appended.
 
     Raises:
-        TypeError: if the operation is of an unknown kind.
+        TypeError: if the type of the operation is not supported.
     """
-    raise TypeError(f'not an operation: {operation!r}')
+    raise TypeError(f'the operation {operation!r} is not of a supported type')
 
 
-@apply.register
+@apply_operation.register
 def _put(operation: Put, store: KeyValueStore, events: list[Event]) -> Reply:
     revision = store.revision + 1
     entry = KeyValue(
@@ -183,45 +189,45 @@
         version=1,
         lease=operation.lease,
     )
-    for earlier in store.find(KeySpan(key=operation.key)):
+    for previous in store.list_entries(KeyRange(key=operation.key)):
         entry = attrs.evolve(
             entry,
-            create_revision=earlier.create_revision,
-            version=earlier.version + 1,
+            create_revision=previous.create_revision,
+            version=previous.version + 1,
         )
-    store.write(entry)
+    store.store_entry(entry)
     events.append(Event(entry=entry))
     return PutReply()
 
 
-@apply.register
+@apply_operation.register
 def _range(
     operation: Range,
     store: KeyValueStore,
     events: list[Event],
 ) -> Reply:
-    found = store.find(operation.span)
-    shown = found[: operation.limit] if operation.limit else found
+    found = store.list_entries(operation.key_range)
+    returned = found[: operation.limit] if operation.limit else found
     if operation.keys_only:
-        shown = [attrs.evolve(entry, value=b'') for entry in shown]
-    return RangeReply(found=tuple(shown), count=len(found))
+        returned = [attrs.evolve(entry, value=b'') for entry in returned]
+    return RangeReply(entries=tuple(returned), count=len(found))
 
 
-@apply.register
+@apply_operation.register
 def _delete(
     operation: Delete,
     store: KeyValueStore,
     events: list[Event],
 ) -> Reply:
-    found = store.find(operation.span)
+    found = store.list_entries(operation.key_range)
     revision = store.revision + 1
     for entry in found:
-        store.remove(entry.key)
-        events.append(Event(entry=_gone(entry.key, revision)))
+        store.delete_entry(entry.key)
+        events.append(Event(entry=_tombstone(entry.key, revision)))
     return DeleteReply(deleted=len(found))
 
 
-def _gone(key: bytes, revision: int) -> KeyValue:
+def _tombstone(key: bytes, revision: int) -> KeyValue:
     return KeyValue(
         key=key,
         value=b'',
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_stream.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_stream.py
@@ -1,4 +1,4 @@
-"""Answers to `/v3/watch`: one JSON line a message, as long as both live."""
+"""Responses to `/v3/watch`: streams with one JSON message per line."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -8,26 +8,26 @@
 import eventlet
 
 from fennelfork_bench.kv_service import _decoding as decoding
-from fennelfork_bench.kv_service._handlers import KeyValueService, problem
+from fennelfork_bench.kv_service._encoding import encode_event, encode_header
 from fennelfork_bench.kv_service._faults import Faults
+from fennelfork_bench.kv_service._handlers import KeyValueService, build_error
 from fennelfork_bench.kv_service._watch import Watch
-from fennelfork_bench.kv_service._encoding import header, write_event
 from fennelfork_bench.rig._serving import (
     Json,
     StartResponse,
     cut,
-    peer_is_gone,
+    is_peer_closed,
     send,
 )
 
-_TICK_S: Final = 0.005
-_PEER_CHECK_TICKS: Final = 40
-_INVALID: Final = 3
+_POLL_INTERVAL_S: Final = 0.005
+_PEER_CHECK_INTERVAL_POLLS: Final = 40
+_INVALID_ARGUMENT: Final = 3
 
 
 @attrs.frozen(kw_only=True)
-class Streams:
-    """Streams the changes that watches wait for."""
+class WatchStreams:
+    """Serve watches as streams of events."""
 
     _service: KeyValueService
     _faults: Faults
@@ -38,48 +38,58 @@
         body: Json,
         start_response: StartResponse,
     ) -> Iterable[bytes]:
-        """Answer one request for a watch."""
-        create = decoding.member(body, 'create_request') or {}
+        """Return the response stream of one watch request."""
+        request = decoding.get_field(body, 'create_request') or {}
         try:
-            span = decoding.read_span(create)
+            key_range = decoding.decode_key_range(request)
         except decoding.BadRequestError as error:
-            bad = problem('400 Bad Request', _INVALID, str(error))
-            return send(bad, start_response)
+            error_answer = build_error(
+                '400 Bad Request', _INVALID_ARGUMENT, str(error)
+            )
+            return send(error_answer, start_response)
         start_response('200 OK', [('Content-Type', 'application/json')])
-        start_revision = decoding.number(create, 'start_revision')
-        if 0 < start_revision <= self._service.store.compacted:
-            return iter((self._compacted(),))  # no length: sent in chunks
-        watch = self._service.hub.open(span, start_revision)
-        return self._stream(environ, watch)
+        start_revision = decoding.decode_int(request, 'start_revision')
+        if 0 < start_revision <= self._service.store.compacted_revision:
+            return iter(
+                (self._encode_compaction(),)
+            )  # an iterator selects chunked encoding
+        watch = self._service.hub.open(key_range, start_revision)
+        return self._run_watch(environ, watch)
 
-    def _stream(self, environ: Json, watch: Watch) -> Iterator[bytes]:
+    def _run_watch(self, environ: Json, watch: Watch) -> Iterator[bytes]:
         try:
-            yield from self._lines(environ, watch)
+            yield from self._generate_messages(environ, watch)
         except GeneratorExit:
             self._service.hub.close(watch)
             raise
         self._service.hub.close(watch)
         cut(environ)
 
-    def _lines(self, environ: Json, watch: Watch) -> Iterator[bytes]:
-        yield self._line({'created': True})
-        ticks = 0
-        while not (self._faults.down or watch.ended):
+    def _generate_messages(
+        self, environ: Json, watch: Watch
+    ) -> Iterator[bytes]:
+        yield self._encode_message({'created': True})
+        polls = 0
+        while not (self._faults.down or watch.is_cancelled):
             while watch.pending and not self._faults.stall_watches:
                 events = watch.pending.popleft()
-                yield self._line({'events': list(map(write_event, events))})
-            ticks += 1
-            if ticks % _PEER_CHECK_TICKS == 0 and peer_is_gone(environ):
+                yield self._encode_message(
+                    {'events': list(map(encode_event, events))}
+                )
+            polls += 1
+            if polls % _PEER_CHECK_INTERVAL_POLLS == 0 and is_peer_closed(
+                environ
+            ):
                 return
-            eventlet.sleep(_TICK_S)
+            eventlet.sleep(_POLL_INTERVAL_S)
 
-    def _compacted(self) -> bytes:
-        compacted = self._service.store.compacted
-        return self._line(
+    def _encode_compaction(self) -> bytes:
+        compacted = self._service.store.compacted_revision
+        return self._encode_message(
             {'canceled': True, 'compact_revision': str(compacted)},
         )
 
-    def _line(self, members: Json) -> bytes:
-        current = header(self._service.store.revision)
-        line = json.dumps({'result': {'header': current, **members}})
+    def _encode_message(self, fields: Json) -> bytes:
+        current = encode_header(self._service.store.revision)
+        line = json.dumps({'result': {'header': current, **fields}})
         return f'{line}\n'.encode()
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_watch.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_watch.py
@@ -5,33 +5,35 @@
 
 import attrs
 
-from fennelfork_bench.kv_service._messages import KeySpan
+from fennelfork_bench.kv_service._messages import KeyRange
 from fennelfork_bench.kv_service._replies import Event
 from fennelfork_bench.kv_service._store import KeyValueStore
 
-_PENDING: Final = 10_000
+_MAX_PENDING_TRANSACTIONS: Final = 10_000
 
 
 @attrs.define(kw_only=True, eq=False)
 class Watch:
-    """One waiting watch and the changes it has not sent yet.
+    """Open watch with the events that are not yet sent.
 
     Attributes:
-        span: the keys that it is about.
-        ended: whether its connection is to be cut.
-        pending: the changes of each transaction that it has not sent.
+        key_range: range of keys whose events the watch reports.
+        is_cancelled: whether the connection of the watch must be closed.
+        pending: events that are not yet sent, grouped by transaction.
     """
 
-    span: KeySpan
-    ended: bool = False
+    key_range: KeyRange
+    is_cancelled: bool = False
     pending: deque[tuple[Event, ...]] = attrs.field(
-        factory=lambda: deque(maxlen=_PENDING),
+        factory=lambda: deque(maxlen=_MAX_PENDING_TRANSACTIONS),
     )
 
-    def offer(self, events: tuple[Event, ...]) -> None:
-        """Keep those of the changes that lie in the span."""
+    def enqueue_matching(self, events: tuple[Event, ...]) -> None:
+        """Queue the events whose keys lie in the range."""
         matching = tuple(
-            event for event in events if self.span.holds(event.entry.key)
+            event
+            for event in events
+            if self.key_range.contains(event.entry.key)
         )
         if matching:
             self.pending.append(matching)
@@ -39,34 +41,36 @@
 
 @attrs.define(kw_only=True)
 class WatchHub:
-    """Every waiting watch."""
+    """Registry of all open watches."""
 
     _store: KeyValueStore
     _watches: set[Watch] = attrs.field(factory=set)
 
     @property
-    def waiting(self) -> int:
-        """How many watches wait."""
+    def watch_count(self) -> int:
+        """Number of open watches."""
         return len(self._watches)
 
-    def open(self, span: KeySpan, start_revision: int) -> Watch:
-        """Start a watch; a `start_revision` of 0 means from now on."""
-        watch = Watch(span=span)
+    def open(self, key_range: KeyRange, start_revision: int) -> Watch:
+        """Open a watch; a `start_revision` of 0 reports only later events."""
+        watch = Watch(key_range=key_range)
         if start_revision:
-            watch.offer(tuple(self._store.since(start_revision)))
+            watch.enqueue_matching(
+                tuple(self._store.list_events_since(start_revision))
+            )
         self._watches.add(watch)
         return watch
 
     def close(self, watch: Watch) -> None:
-        """Forget a watch."""
+        """Remove a watch."""
         self._watches.discard(watch)
 
-    def end_all(self) -> None:
-        """Have the connection of every watch cut."""
+    def cancel_all(self) -> None:
+        """Cancel every watch, which closes its connection."""
         for watch in self._watches:
-            watch.ended = True
+            watch.is_cancelled = True
 
     def publish(self, events: tuple[Event, ...]) -> None:
-        """Offer the changes of one transaction to every watch."""
+        """Queue the events of one transaction at every matching watch."""
         for watch in self._watches:
-            watch.offer(events)
+            watch.enqueue_matching(events)
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_serving.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_serving.py
@@ -103,7 +103,7 @@
     raise CutError
 
 
-def peer_is_gone(environ: Json) -> bool:
+def is_peer_closed(environ: Json) -> bool:
     """Tell whether the other end has closed the connection of a request."""
     raw = environ['wsgi.input'].get_socket().fd
     flags = socket.MSG_PEEK | socket.MSG_DONTWAIT
