--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/__init__.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/__init__.py
@@ -1,1 +1,1 @@
-"""Processes, fleets and reports that all experiments use."""
+"""Test rig: processes, fleets and reports shared by all experiments."""
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_caller.py
@@ -1,4 +1,4 @@
-"""A caller as the brief has it: asks for addresses, keeps them, connects."""
+"""Caller that caches the entry addresses of a fleet and sends requests."""
 
 import time
 import uuid
@@ -11,19 +11,21 @@
 from fennelfork_bench.rig._process import RigError
 
 _MS_PER_S: Final = 1000
-_PAUSE_S: Final = 0.02
+_RETRY_DELAY_S: Final = 0.02
 _DEADLINE_MS: Final = 5000
-_ATTEMPT_MS: Final = 1500
+_ATTEMPT_TIMEOUT_MS: Final = 1500
 
 
 @attrs.frozen(kw_only=True)
 class Asked:
-    """One request and what finally came back.
+    """Outcome of one request after all of its attempts.
 
     Attributes:
-        attempts: how many times it was sent.
-        cuts: what was seen of attempts that got no answer at all.
-        took_ms: from the first attempt to the last answer.
+        request_id: identifier that all attempts share.
+        reply: response to the last attempt.
+        attempts: number of attempts that were sent.
+        took_ms: time from the first attempt to the last response.
+        cuts: connection errors of the attempts without a response.
     """
 
     request_id: str
@@ -35,12 +37,12 @@
 
 @attrs.frozen(kw_only=True)
 class Ticket:
-    """The right to send requests that run at most once to one daemon.
+    """Ticket that binds non-idempotent requests to one daemon.
 
     Attributes:
-        text: goes with each such request.
-        serial: ends the id of each such request.
-        address: the daemon that gave it.
+        text: encoded ticket that each request carries.
+        serial: suffix of the ID of each request under the ticket.
+        address: caller address of the daemon that issued the ticket.
     """
 
     text: str
@@ -50,10 +52,10 @@
 
 @attrs.define(kw_only=True)
 class Caller:
-    """Keeps one entry answer for its time and asks there.
+    """Caller that caches an entry answer until its TTL expires.
 
     Attributes:
-        seeds: addresses that it starts from.
+        seeds: caller addresses for the first request for entries.
         place: query string of `GET /v1/entries`.
     """
 
@@ -61,96 +63,102 @@
     place: str = ''
     _entries: list[str] = attrs.field(factory=list)
     _ticket: Ticket | None = None
-    _good_until_s: float = 0
+    _expires_s: float = 0
 
     def entries(self) -> http.HttpReply:
-        """Ask for addresses and keep them; the first answer is given back."""
+        """Fetch and cache the entries; return the last response."""
         reply = http.HttpReply(status=0, body={})
         for seed in (*self._entries, *self.seeds):
-            reply = http.get(seed, f'/v1/entries{self.place}', _ATTEMPT_MS)
+            reply = http.get(
+                seed, f'/v1/entries{self.place}', _ATTEMPT_TIMEOUT_MS
+            )
             if reply.fine:
                 break
         if reply.fine:
-            listed = reply.body['entries']
-            self._entries = [entry['address'] for entry in listed]
-            self._ticket = _ticket(reply.body)
-            kept_s = reply.body['ttl_ms'] / _MS_PER_S
-            self._good_until_s = time.monotonic() + kept_s
+            entries = reply.body['entries']
+            self._entries = [entry['address'] for entry in entries]
+            self._ticket = _parse_ticket(reply.body)
+            ttl_s = reply.body['ttl_ms'] / _MS_PER_S
+            self._expires_s = time.monotonic() + ttl_s
         return reply
 
     def query(
         self,
         front: str,
         body: Mapping[str, Any],
-        patience_ms: float = _DEADLINE_MS,
+        retry_timeout_ms: float = _DEADLINE_MS,
     ) -> Asked:
-        """Ask a query, again at another address while time is left.
+        """Send a query and retry at other addresses until the timeout.
 
         Args:
-            front: the search front.
-            body: the request without its id.
-            patience_ms: it is not sent again after this.
+            front: name of the search front.
+            body: request body without the request ID.
+            retry_timeout_ms: time after which no further retry is sent.
         """
         request_id = uuid.uuid4().hex
         path = f'/v1/fronts/{front}/query'
-        full = {'request_id': request_id, 'deadline_ms': _ATTEMPT_MS, **body}
+        request = {
+            'request_id': request_id,
+            'deadline_ms': _ATTEMPT_TIMEOUT_MS,
+            **body,
+        }
         started_s = time.monotonic()
         replies: list[http.HttpReply] = []
-        while not replies or _may_help(replies[-1]):
-            if replies and _since_ms(started_s) >= patience_ms:
+        while not replies or _is_retryable(replies[-1]):
+            if replies and _elapsed_ms(started_s) >= retry_timeout_ms:
                 break
-            address = self._address(len(replies))
-            replies.append(http.post(address, path, full))
+            address = self._select_address(len(replies))
+            replies.append(http.post(address, path, request))
             if not replies[-1].fine:
-                time.sleep(_PAUSE_S)
+                time.sleep(_RETRY_DELAY_S)
         return Asked(
             request_id=request_id,
             reply=replies[-1],
             attempts=len(replies),
-            took_ms=_since_ms(started_s),
+            took_ms=_elapsed_ms(started_s),
             cuts=tuple(each.fault for each in replies if not each.status),
         )
 
     def execute(self, front: str, body: Mapping[str, Any]) -> Asked:
-        """Send a request that must run at most once, once.
+        """Send one attempt of a non-idempotent request.
 
         Args:
-            front: the search front.
-            body: the request without its id and ticket.
+            front: name of the search front.
+            body: request body without the request ID and the ticket.
 
         Raises:
-            RigError: if no daemon gave a ticket.
+            RigError: if no daemon issued a ticket.
         """
-        if time.monotonic() >= self._good_until_s:
+        if time.monotonic() >= self._expires_s:
             self.entries()
         ticket = self._ticket
         if ticket is None:
-            raise RigError('no daemon gave a ticket')
+            raise RigError('no daemon issued a ticket')
         request_id = f'{uuid.uuid4().hex}@{ticket.serial}'
         started_s = time.monotonic()
-        full = {
+        request = {
             'request_id': request_id,
             'deadline_ms': _DEADLINE_MS,
             'ticket': ticket.text,
             **body,
         }
         path = f'/v1/fronts/{front}/execute'
-        reply = http.post(ticket.address, path, full)
+        reply = http.post(ticket.address, path, request)
         return Asked(
             request_id=request_id,
             reply=reply,
             attempts=1,
-            took_ms=_since_ms(started_s),
+            took_ms=_elapsed_ms(started_s),
         )
 
-    def _address(self, attempt: int) -> str:
-        if time.monotonic() >= self._good_until_s:
+    def _select_address(self, attempt: int) -> str:
+        if time.monotonic() >= self._expires_s:
             self.entries()
-        known = self._entries or list(self.seeds)
-        return known[attempt % len(known)]
+        addresses = self._entries or list(self.seeds)
+        return addresses[attempt % len(addresses)]
 
 
-def _ticket(entries: Mapping[str, Any]) -> Ticket | None:
+def _parse_ticket(entries: Mapping[str, Any]) -> Ticket | None:
     if not entries.get('ticket'):
         return None
     return Ticket(
@@ -160,10 +168,10 @@
     )
 
 
-def _may_help(reply: http.HttpReply) -> bool:
-    # A problem without a time to come back will not change by asking again.
+def _is_retryable(reply: http.HttpReply) -> bool:
+    # A problem without `retry_after_ms` is permanent.
     return not reply.status or 'retry_after_ms' in reply.body
 
 
-def _since_ms(started_s: float) -> float:
+def _elapsed_ms(started_s: float) -> float:
     return (time.monotonic() - started_s) * _MS_PER_S
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_config.py
@@ -1,4 +1,4 @@
-"""Configuration of a running fleet, through its operator face."""
+"""Configuration of a running fleet through the operator API."""
 
 import itertools
 from collections.abc import Mapping
@@ -9,31 +9,31 @@
 from fennelfork_bench.rig._process import Rig, RigError, wait_until
 from fennelfork_bench.rig._specs import FleetSpec, front_patch
 
-_FORCE_CAP_S: Final = 30
+_ACTIVATION_TIMEOUT_S: Final = 30
 _patch_numbers: Final = itertools.count(1)
 
 
 def start_fleet(rig: Rig, spec: FleetSpec) -> Fleet:
-    """Start everything and put the fronts in force on all daemons.
+    """Start a fleet and activate its fronts on all daemons.
 
     Args:
-        rig: takes the processes.
-        spec: the whole fleet.
+        rig: rig that owns the processes.
+        spec: specification of the fleet.
     """
     fleet = empty_fleet(rig, spec).start_backends().start_daemons()
-    install_fronts(fleet)
+    create_fronts(fleet)
     return fleet
 
 
-def install_fronts(fleet: Fleet) -> None:
-    """Create every front of the spec as version 1 and await it.
+def create_fronts(fleet: Fleet) -> None:
+    """Create every front of the spec as version 1 and await its activation.
 
     Raises:
-        RigError: if the patch was refused or did not come into force.
+        RigError: if the patch is refused or not activated in time.
     """
     reply = send_patch(fleet.operators[0], first_patch(fleet), 0)
     if not reply.fine:
-        raise RigError(f'patch refused: {reply}')
+        raise RigError(f'the initial configuration patch was refused: {reply}')
     await_version(fleet, 1)
 
 
@@ -57,10 +57,10 @@
 
     Args:
         operator: operator address of the daemon.
-        patch: the merge patch.
-        base: version that it builds on.
-        author: who sends it.
-        patch_id: settles a lost reply; a fresh one if empty.
+        patch: JSON merge patch.
+        base: configuration version that the patch is based on.
+        author: author that the daemon records.
+        patch_id: idempotency key of the patch; generated if empty.
     """
     body = {
         'base': base,
@@ -72,39 +72,41 @@
 
 
 def version(operator: str) -> int:
-    """Read the configuration version of one daemon; -1 without an answer."""
+    """Return the active version of one daemon; -1 without a response."""
     reply = http.get(operator, '/v1/config')
     if not reply.fine:
         return -1
     return int(reply.body.get('version', -1))
 
 
-def await_version(fleet: Fleet, wanted: int) -> None:
-    """Wait until every living daemon has at least this version.
+def await_version(fleet: Fleet, min_version: int) -> None:
+    """Wait until every running daemon has activated at least a version.
 
-    A daemon is named to callers once the others heard that it has a
-    configuration at all, so that is awaited as well.
+    Also waits until every running daemon knows that all others are
+    configured, because only configured daemons are listed as entries.
 
     Raises:
-        RigError: if that does not come within 30 s.
+        RigError: if a condition does not hold within 30 s.
     """
     wait_until(
-        lambda: min(map(version, fleet.operators)) >= wanted,
-        _FORCE_CAP_S,
-        f'version {wanted} on all',
+        lambda: min(map(version, fleet.operators)) >= min_version,
+        _ACTIVATION_TIMEOUT_S,
+        f'version {min_version} on all daemons',
         lambda: str(list(map(version, fleet.operators))),
     )
     living = {process.name for process in fleet.living}
     wait_until(
-        lambda: all(living <= _ready(each) for each in fleet.operators),
-        _FORCE_CAP_S,
-        'all to hear that all are configured',
-        lambda: str(list(map(_ready, fleet.operators))),
+        lambda: all(
+            living <= _configured_daemons(each) for each in fleet.operators
+        ),
+        _ACTIVATION_TIMEOUT_S,
+        'all daemons to list each other as configured',
+        lambda: str(list(map(_configured_daemons, fleet.operators))),
     )
 
 
-def _ready(operator: str) -> set[str]:
-    """Name the daemons that one daemon knows to be configured."""
+def _configured_daemons(operator: str) -> set[str]:
+    """Return the names of the daemons that a daemon lists as configured."""
     reply = http.get(operator, '/v1/members')
     return {
         row['name']
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_eventlet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_eventlet.py
@@ -1,13 +1,13 @@
-"""Makes the standard library cooperative; import it first, in a main module.
+"""Monkey patches of eventlet; main modules import this module first.
 
-eventlet announces its own deprecation with a warning at import. The house
-style asks for eventlet, so this one warning is quieted; see docs/STYLE.md.
+The deprecation warning that eventlet issues at import is suppressed, because
+the project uses eventlet on purpose; see docs/STYLE.md.
 """
 
 import warnings
 
 warnings.filterwarnings('ignore', message=r'\s*Eventlet is deprecated')
 
-import eventlet  # noqa: E402  (the filter must come before)
+import eventlet  # noqa: E402  (needs the warning filter)
 
 eventlet.monkey_patch()
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet as real processes: platform, backend servers, daemons."""
+"""Fleet of real processes: platform, backend servers and daemons."""
 
 from collections.abc import Callable, Iterable
 from typing import Final, Self
@@ -11,16 +11,16 @@
 from fennelfork_bench.rig._settings import settings_toml
 from fennelfork_bench.rig._specs import BackendSpec, DaemonSpec, FleetSpec
 
-_START_CAP_S: Final = 60
+_START_TIMEOUT_S: Final = 60
 
 
-def _do_nothing(process: Process) -> None:
-    """Take no notice of a daemon that serves."""
+def _ignore_ready(process: Process) -> None:
+    """Ignore that a daemon is ready."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Fleet:
-    """The running processes of a `FleetSpec`, by name."""
+    """Processes of a `FleetSpec` by name."""
 
     spec: FleetSpec
     rig: Rig
@@ -31,21 +31,21 @@
 
     @property
     def living(self) -> list[Process]:
-        """The daemons that have not ended."""
+        """Daemons whose process is running."""
         return [each for each in self.daemons.values() if each.alive]
 
     @property
     def callers(self) -> list[str]:
-        """Caller addresses of the living daemons."""
+        """Caller addresses of the running daemons."""
         return [each.ready['caller'] for each in self.living]
 
     @property
     def operators(self) -> list[str]:
-        """Operator addresses of the living daemons."""
+        """Operator addresses of the running daemons."""
         return [each.ready['operator'] for each in self.living]
 
     def start_backends(self) -> Self:
-        """Start every backend server and wait until all serve."""
+        """Start every backend server and wait until all are ready."""
         shards = [shard for front in self.spec.fronts for shard in front.shards]
         started = [
             self._launch_backend(server)
@@ -53,24 +53,25 @@
             for server in shard.servers
         ]
         for process in started:
-            self.backends[process.name] = process.await_ready(_START_CAP_S)
+            self.backends[process.name] = process.await_ready(_START_TIMEOUT_S)
         return self
 
     def start_daemons(
         self,
         specs: Iterable[DaemonSpec] = (),
-        on_ready: Callable[[Process], None] = _do_nothing,
+        on_ready: Callable[[Process], None] = _ignore_ready,
     ) -> Self:
-        """Start daemons, list them, and wait until they know each other.
+        """Start daemons, list their VMs and wait until they know each other.
 
         Args:
-            specs: which; all of the fleet if none are named.
-            on_ready: told of each that serves, before anyone else looks.
+            specs: daemons to start; all daemons of the fleet if empty.
+            on_ready: callback for each ready daemon, which runs before the
+                daemon becomes visible in `daemons`.
         """
-        chosen = tuple(specs) or self.spec.daemons
-        started = [self._launch_daemon(spec) for spec in chosen]
+        daemon_specs = tuple(specs) or self.spec.daemons
+        started = [self._launch_daemon(spec) for spec in daemon_specs]
         for process in started:
-            process.await_ready(_START_CAP_S)
+            process.await_ready(_START_TIMEOUT_S)
             on_ready(process)
             self.daemons[process.name] = process
             self._leaving.discard(process.name)
@@ -79,33 +80,34 @@
         return self
 
     def daemon_spec(self, name: str) -> DaemonSpec:
-        """Give the spec of a daemon by its name."""
+        """Return the spec of a daemon by name."""
         return next(each for each in self.spec.daemons if each.name == name)
 
     def mark_leaving(self, name: str) -> None:
-        """Show a daemon's VM as leaving in the platform's list."""
+        """Report the VM of a daemon as leaving in the VM list."""
         self._leaving.add(name)
         self.list_vms()
 
     def list_vms(self) -> None:
-        """Write the truth of the VM list from the living processes."""
+        """Update the VM list to the VMs of the running daemons."""
         specs = [self.daemon_spec(each.name) for each in self.living]
-        self.platform.list_vms([self._vm(spec) for spec in specs])
+        self.platform.list_vms([self._describe_vm(spec) for spec in specs])
 
     def _await_members(self, started: list[Process]) -> None:
-        """Wait until started daemons know each other, or one that ran."""
+        """Wait until started daemons know each other and one older daemon."""
         names = {process.name for process in started}
-        least = len(names)
-        if len(self.living) > least:
-            least += 1
+        min_members = len(names)
+        if len(self.living) > min_members:
+            min_members += 1
         wait_until(
             lambda: all(
-                names <= _known(process) and len(_known(process)) >= least
+                names <= _known_members(process)
+                and len(_known_members(process)) >= min_members
                 for process in started
             ),
-            _START_CAP_S,
+            _START_TIMEOUT_S,
             'daemons to know each other',
-            lambda: str({each.name: _known(each) for each in started}),
+            lambda: str({each.name: _known_members(each) for each in started}),
         )
 
     def _launch_backend(self, spec: BackendSpec) -> Process:
@@ -129,7 +131,7 @@
         arguments = ('--config', str(path))
         return self.rig.start_module(spec.name, 'fennelfork_daemon', arguments)
 
-    def _vm(self, spec: DaemonSpec) -> dict[str, str]:
+    def _describe_vm(self, spec: DaemonSpec) -> dict[str, str]:
         return {
             'name': spec.name,
             'region': spec.region,
@@ -139,16 +141,16 @@
         }
 
 
-def _known(process: Process) -> set[str]:
+def _known_members(process: Process) -> set[str]:
     reply = http.get(process.ready['operator'], '/v1/members')
     return {row['name'] for row in reply.body.get('members', ())}
 
 
 def empty_fleet(rig: Rig, spec: FleetSpec) -> Fleet:
-    """Start the platform's stand-ins of a fleet and nothing else yet.
+    """Start only the platform stand-ins of a fleet.
 
     Args:
-        rig: takes the processes.
-        spec: the whole fleet.
+        rig: rig that owns the processes.
+        spec: specification of the fleet.
     """
     return Fleet(spec=spec, rig=rig, platform=start_platform(rig, spec))
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_http.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_http.py
@@ -1,4 +1,4 @@
-"""HTTP calls of the rig to daemons and stand-ins."""
+"""HTTP client of the rig for daemons and stand-ins."""
 
 import json
 from collections.abc import Mapping
@@ -9,19 +9,19 @@
 
 _TIMEOUT_MS: Final = 5000
 _MS_PER_S: Final = 1000
-_CREATED: Final = 300
-_POOLS: Final = 256
-_POOL_SIZE: Final = 64
+_MIN_REDIRECT_STATUS: Final = 300
+_MAX_POOLS: Final = 256
+_MAX_POOL_CONNECTIONS: Final = 64
 
 
 @attrs.frozen(kw_only=True)
 class HttpReply:
-    """What came back.
+    """HTTP response, or the error that prevented a response.
 
     Attributes:
-        status: the HTTP status; 0 if no answer came.
-        body: the JSON object, empty if there was none.
-        fault: why no answer came.
+        status: HTTP status code; 0 without a response.
+        body: JSON object of the response; empty without a JSON body.
+        fault: class name of the client error; empty after a response.
     """
 
     status: int
@@ -30,26 +30,26 @@
 
     @property
     def fine(self) -> bool:
-        """Whether the call succeeded."""
-        return 0 < self.status < _CREATED
+        """Whether the response has a status code of success."""
+        return 0 < self.status < _MIN_REDIRECT_STATUS
 
 
-_manager: Final = urllib3.PoolManager(
-    num_pools=_POOLS,
-    maxsize=_POOL_SIZE,
+_pool_manager: Final = urllib3.PoolManager(
+    num_pools=_MAX_POOLS,
+    maxsize=_MAX_POOL_CONNECTIONS,
     retries=False,
 )
 
 
 def get(address: str, path: str, timeout_ms: float = _TIMEOUT_MS) -> HttpReply:
-    """Call with GET; see `request`."""
+    """Send a GET request; see `request`."""
     return request('GET', f'http://{address}{path}', None, timeout_ms)
 
 
 def get_text(address: str, path: str) -> str:
-    """Read a page that is not JSON; empty if there was no answer."""
+    """Fetch a page as text; return an empty string without a response."""
     try:
-        reply = _manager.request(
+        reply = _pool_manager.request(
             'GET',
             f'http://{address}{path}',
             timeout=_TIMEOUT_MS / _MS_PER_S,
@@ -65,12 +65,12 @@
     body: Mapping[str, Any],
     timeout_ms: float = _TIMEOUT_MS,
 ) -> HttpReply:
-    """Call with POST; see `request`."""
+    """Send a POST request; see `request`."""
     return request('POST', f'http://{address}{path}', body, timeout_ms)
 
 
 def put(address: str, path: str, body: Mapping[str, Any]) -> HttpReply:
-    """Call with PUT; see `request`."""
+    """Send a PUT request; see `request`."""
     return request('PUT', f'http://{address}{path}', body)
 
 
@@ -80,20 +80,20 @@
     body: Mapping[str, Any] | None,
     timeout_ms: float = _TIMEOUT_MS,
 ) -> HttpReply:
-    """Make one call without retries.
+    """Send one HTTP request without retries.
 
     Args:
-        method: the HTTP method.
-        url: where to.
-        body: sent as JSON; none sends no body.
-        timeout_ms: for connecting and for each read.
+        method: HTTP method.
+        url: URL of the request.
+        body: object to send as JSON; `None` sends no body.
+        timeout_ms: timeout of the connect and of each read.
 
     Returns:
-        The reply; one of status 0 if none came.
+        The response; its status is 0 if the request failed.
     """
     payload = None if body is None else json.dumps(body).encode()
     try:
-        reply = _manager.request(
+        reply = _pool_manager.request(
             method,
             url,
             body=payload,
@@ -102,10 +102,10 @@
         )
     except urllib3.exceptions.HTTPError as error:
         return HttpReply(status=0, body={}, fault=type(error).__name__)
-    return HttpReply(status=reply.status, body=_object(reply.data))
+    return HttpReply(status=reply.status, body=_decode_object(reply.data))
 
 
-def _object(raw: bytes) -> dict[str, Any]:
+def _decode_object(raw: bytes) -> dict[str, Any]:
     try:
         parsed = json.loads(raw or b'{}')
     except ValueError:
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_platform.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's stand-ins as processes of the rig."""
+"""Stand-ins of the platform as processes of the rig."""
 
 import base64
 import json
@@ -11,66 +11,66 @@
 from fennelfork_bench.rig._process import Process, Rig, RigError
 from fennelfork_bench.rig._specs import FleetSpec
 
-_ADDRESS: Final = 'address'
+_ADDRESS_KEY: Final = 'address'
 _CONFIG_KEY: Final = '/fennelfork/config'
 
 
 @attrs.frozen(kw_only=True)
 class Platform:
-    """The key-value service and the VM list."""
+    """Stand-ins of the key-value service and of the VM list."""
 
     key_value: Process
     vm_list: Process
 
     @property
     def key_value_address(self) -> str:
-        """Where the key-value service listens."""
-        return self.key_value.ready[_ADDRESS]
+        """Address of the key-value service."""
+        return self.key_value.ready[_ADDRESS_KEY]
 
     @property
     def vm_list_address(self) -> str:
-        """Where the VM list listens."""
-        return self.vm_list.ready[_ADDRESS]
+        """Address of the VM list."""
+        return self.vm_list.ready[_ADDRESS_KEY]
 
     def switch(self, **faults: Any) -> None:
-        """Switch faults of the key-value service.
+        """Set faults of the key-value service.
 
         Raises:
-            RigError: if it refused.
+            RigError: if the service refuses the faults.
         """
         reply = http.post(self.key_value_address, '/control/faults', faults)
         if not reply.fine:
-            raise RigError(f'faults refused: {reply.body}')
+            raise RigError(f'the faults {faults} were refused: {reply.body}')
 
     def log(self, since_ms: float = 0) -> dict[str, Any]:
-        """Read counts and recent calls of the key-value service."""
+        """Fetch the counts and recent calls of the key-value service."""
         path = f'/control/log?since_ms={since_ms}'
         return http.get(self.key_value_address, path).body
 
     def vm_list_reads(self) -> int:
-        """Read how often the VM list was read."""
+        """Return the number of reads of the VM list."""
         reply = http.get(self.vm_list_address, '/control/log')
         return int(reply.body['reads'])
 
     def list_vms(self, vms: Sequence[Mapping[str, str]]) -> None:
-        """Set the truth of the VM list."""
+        """Replace the VMs of the VM list."""
         http.put(self.vm_list_address, '/control/vms', {'vms': vms})
 
     def write_document(self, document: Mapping[str, Any]) -> None:
-        """Write the configuration document past every check."""
+        """Write the configuration document without validation."""
         body = {
-            'key': _base64(_CONFIG_KEY),
-            'value': _base64(json.dumps(document)),
+            'key': _encode_base64(_CONFIG_KEY),
+            'value': _encode_base64(json.dumps(document)),
         }
         http.post(self.key_value_address, '/v3/kv/put', body)
 
 
 def start_platform(rig: Rig, spec: FleetSpec) -> Platform:
-    """Start both stand-ins and wait until they serve.
+    """Start both stand-ins and wait until they are ready.
 
     Args:
-        rig: takes the processes.
-        spec: gives the lag of the list and the rates of the service.
+        rig: rig that owns the processes.
+        spec: spec with the lag of the VM list and the rate limits.
     """
     rates = (
         f'--reads-per-s={spec.reads_per_s}',
@@ -85,5 +85,5 @@
     )
 
 
-def _base64(text: str) -> str:
+def _encode_base64(text: str) -> str:
     return base64.b64encode(text.encode()).decode()
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_process.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_process.py
@@ -1,4 +1,4 @@
-"""Starts real processes, waits until they serve, and always ends them."""
+"""Child processes of the rig, with readiness checks and cleanup."""
 
 import json
 import os
@@ -16,25 +16,25 @@
 
 import attrs
 
-_POLL_S: Final = 0.01
-_READY_CAP_S: Final = 30
-_END_CAP_S: Final = 10
-_TAIL_CHARS: Final = 2000
+_POLL_INTERVAL_S: Final = 0.01
+_READY_TIMEOUT_S: Final = 30
+_EXIT_TIMEOUT_S: Final = 10
+_MAX_ERROR_CHARS: Final = 2000
 
 
 class RigError(Exception):
-    """A process did not do what the rig waited for."""
+    """A process failed or a condition did not hold in time."""
 
 
 @attrs.define(kw_only=True, eq=False)
 class Process:
-    """A child process of the rig.
+    """Child process of the rig.
 
     Attributes:
-        name: what it is called in reports; unique within a rig.
-        stdout: file that takes its standard output.
-        stderr: file that takes its standard error.
-        ready: what it said of itself once it served.
+        name: name of the process in reports.
+        stdout: file with the standard output.
+        stderr: file with the standard error.
+        ready: content of the ready line; empty before the process is ready.
     """
 
     name: str
@@ -45,89 +45,92 @@
 
     @property
     def pid(self) -> int:
-        """The process id."""
+        """Process ID."""
         return self._child.pid
 
     @property
     def alive(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is running."""
         return self._child.poll() is None
 
     def kill(self) -> None:
-        """End it at once, as a lost VM would, and reap it."""
-        self._send(signal.SIGKILL)
+        """Kill the process and reap it, which simulates the loss of a VM."""
+        self._send_signal(signal.SIGKILL)
         self._child.wait()
 
     def pause(self) -> None:
-        """Stop it from running until `resume`."""
-        self._send(signal.SIGSTOP)
+        """Stop the process until `resume`."""
+        self._send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process run on."""
-        self._send(signal.SIGCONT)
+        """Continue a paused process."""
+        self._send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it to stop gracefully; see `wait`."""
-        self._send(signal.SIGTERM)
+        """Request a graceful stop; see `wait`."""
+        self._send_signal(signal.SIGTERM)
 
-    def wait(self, cap_s: float) -> int | None:
-        """Wait for its end.
+    def wait(self, timeout_s: float) -> int | None:
+        """Wait until the process exits.
 
         Returns:
-            The exit status, or none if it still runs after `cap_s` seconds.
+            The exit status, or `None` if the process is still running after
+            `timeout_s` seconds.
         """
         try:
-            return self._child.wait(cap_s)
+            return self._child.wait(timeout_s)
         except subprocess.TimeoutExpired:
             return None
 
-    def await_ready(self, cap_s: float = _READY_CAP_S) -> Self:
+    def await_ready(self, timeout_s: float = _READY_TIMEOUT_S) -> Self:
         """Wait for the ready line.
 
         Args:
-            cap_s: seconds to wait at most.
+            timeout_s: maximum wait in seconds.
 
         Raises:
-            RigError: if it ended, or the line did not come in time.
+            RigError: if the process exits or is not ready in time.
         """
         wait_until(
-            self._has_ready_line,
-            cap_s,
+            self._read_ready_line,
+            timeout_s,
             f'{self.name} to be ready',
-            self._errors,
+            self._read_errors,
         )
         return self
 
-    def _has_ready_line(self) -> bool:
+    def _read_ready_line(self) -> bool:
         for line in self.stdout.read_text().splitlines(keepends=True):
             if line.startswith('{"ready"') and line.endswith('\n'):
                 self.ready = json.loads(line)['ready']
                 return True
         if not self.alive:
-            raise RigError(f'{self.name} ended early: {self._errors()}')
+            raise RigError(
+                f'{self.name} exited before it was ready: {self._read_errors()}',
+            )
         return False
 
-    def _errors(self) -> str:
-        return self.stderr.read_text(errors='replace')[-_TAIL_CHARS:]
+    def _read_errors(self) -> str:
+        return self.stderr.read_text(errors='replace')[-_MAX_ERROR_CHARS:]
 
-    def _send(self, number: signal.Signals) -> None:
+    def _send_signal(self, number: signal.Signals) -> None:
         if self.alive:
             os.kill(self.pid, number)
 
 
 @attrs.define(kw_only=True, eq=False)
 class Rig:
-    """A directory of its own and the processes that were started in it.
+    """Temporary directory and the processes that run in the directory.
 
-    Use it as a context manager: leaving it ends every process.
+    Used as a context manager, the rig kills every process on exit.
     """
 
     directory: Path
     _processes: list[Process] = attrs.field(factory=list)
-    _guards: list[socket.socket] = attrs.field(factory=list)
+    _reservations: list[socket.socket] = attrs.field(factory=list)
 
     def __enter__(self) -> Self:
-        """Give the rig itself."""
+        """Return the rig."""
         return self
 
     def __exit__(
@@ -136,7 +139,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """End every process and remove the directory."""
+        """Kill every process and remove the directory."""
         self.close()
 
     def start_module(
@@ -145,17 +148,17 @@
         module: str,
         arguments: Sequence[str] = (),
     ) -> Process:
-        """Start `python -m module arguments` and return at once.
+        """Start `python -m module arguments` without waiting for readiness.
 
         Args:
-            name: what to call it; a restart may use the name again.
-            module: a module of this workspace.
-            arguments: further arguments.
+            name: name of the process; a restart may reuse the name.
+            module: module of this workspace to run.
+            arguments: command-line arguments of the module.
         """
         return self.start(name, (sys.executable, '-m', module, *arguments))
 
     def start(self, name: str, command: Sequence[str]) -> Process:
-        """Start a command with its output in files and return at once."""
+        """Start a command whose output is redirected to files."""
         stem = f'{len(self._processes):03}-{name}'
         stdout = self.directory / f'{stem}.out'
         stderr = self.directory / f'{stem}.err'
@@ -172,60 +175,62 @@
         return process
 
     def reserve_address(self) -> str:
-        """Give an address on loopback at which a process can listen later.
+        """Reserve a loopback address at which a process can listen later.
 
-        A socket that is bound there and does not listen keeps the port from all
-        who ask for any, and lets those have it who ask for this one.
+        A bound socket that does not listen keeps the kernel from assigning
+        the port to others, while an explicit bind to the port succeeds.
         """
-        guard = socket.socket()
-        guard.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        guard.bind(('127.0.0.1', 0))
-        self._guards.append(guard)
-        host, port = guard.getsockname()
+        reservation = socket.socket()
+        reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reservation.bind(('127.0.0.1', 0))
+        self._reservations.append(reservation)
+        host, port = reservation.getsockname()
         return f'{host}:{port}'
 
     def close(self) -> None:
-        """End every process and remove the directory."""
+        """Kill every process, release the addresses, remove the directory."""
         for process in self._processes:
             process.resume()
             process.kill()
-        for guard in self._guards:
-            guard.close()
+        for reservation in self._reservations:
+            reservation.close()
         shutil.rmtree(self.directory, ignore_errors=True)
 
-    def close_gently(self, cap_s: float = _END_CAP_S) -> None:
-        """Ask every process to stop, wait, and close."""
+    def close_gracefully(self, timeout_s: float = _EXIT_TIMEOUT_S) -> None:
+        """Terminate every process, wait for the exits and close the rig."""
         for process in self._processes:
             process.terminate()
         for each in self._processes:
-            each.wait(cap_s)
+            each.wait(timeout_s)
         self.close()
 
 
 def rig() -> Rig:
-    """Build a rig over a fresh temporary directory."""
+    """Build a rig with a new temporary directory."""
     return Rig(directory=Path(tempfile.mkdtemp(prefix='fennelfork-')))
 
 
 def wait_until(
-    holds: Callable[[], Any],
-    cap_s: float,
+    condition: Callable[[], Any],
+    timeout_s: float,
     awaited: str,
-    explain: Callable[[], str] = str,
+    describe: Callable[[], str] = str,
 ) -> None:
-    """Wait for a condition.
+    """Poll a condition until it holds.
 
     Args:
-        holds: the condition, asked again and again.
-        cap_s: seconds to wait at most.
-        awaited: what is waited for, for the error.
-        explain: asked for more words when it did not come.
+        condition: function that returns whether the condition holds.
+        timeout_s: maximum wait in seconds.
+        awaited: description of the condition for the error message.
+        describe: function that returns details for the error message.
 
     Raises:
-        RigError: if the condition did not hold in time.
+        RigError: if the condition does not hold in time.
     """
-    end_s = time.monotonic() + cap_s
-    while not holds():
-        if time.monotonic() > end_s:
-            raise RigError(f'waited {cap_s} s for {awaited}. {explain()}')
-        time.sleep(_POLL_S)
+    deadline_s = time.monotonic() + timeout_s
+    while not condition():
+        if time.monotonic() > deadline_s:
+            raise RigError(
+                f'timed out after {timeout_s} s: {awaited}. {describe()}'
+            )
+        time.sleep(_POLL_INTERVAL_S)
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_report.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_report.py
@@ -1,16 +1,16 @@
-"""Results of an experiment, for people and for machines."""
+"""Reports of experiments as text and as JSON."""
 
 import json
 from typing import Final
 
 import attrs
 
-_GAP: Final = 2
+_COLUMN_GAP: Final = 2
 
 
 @attrs.frozen(kw_only=True)
 class Arm:
-    """One arm of an experiment and what was measured on it."""
+    """Arm of an experiment with its measured metrics."""
 
     name: str
     metrics: dict[str, float]
@@ -18,10 +18,13 @@
 
 @attrs.frozen(kw_only=True)
 class Report:
-    """Every arm of one run of an experiment.
+    """Result of one run of an experiment.
 
     Attributes:
-        failures: promises that the run saw broken; the exit status is 1.
+        experiment: name of the experiment.
+        seed: seed of the random numbers.
+        arms: arms of the experiment with their metrics.
+        failures: violated guarantees; any violation makes the exit status 1.
     """
 
     experiment: str
@@ -30,7 +33,7 @@
     failures: tuple[str, ...] = ()
 
     def to_json(self) -> str:
-        """Write the report as one JSON object."""
+        """Return the report as one JSON object."""
         return json.dumps(
             {
                 'experiment': self.experiment,
@@ -41,35 +44,35 @@
         )
 
     def to_text(self) -> str:
-        """Write the report as a table, one row a metric."""
-        titles = [arm.name for arm in self.arms]
-        rows = [['', *titles]]
+        """Return the report as a table with one row per metric."""
+        arm_names = [arm.name for arm in self.arms]
+        rows = [['', *arm_names]]
         for name in dict.fromkeys(_metric_names(self.arms)):
-            rows.append([name, *_cells(self.arms, name)])
+            rows.append([name, *_format_metrics(self.arms, name)])
         return '\n'.join((table(rows), *self.failures))
 
 
 def table(rows: list[list[str]]) -> str:
-    """Lay out rows of equal length in columns."""
+    """Format rows of equal length as aligned columns."""
     columns = zip(*rows, strict=True)
     widths = [max(map(len, column)) for column in columns]
-    return '\n'.join(_row(row, widths) for row in rows)
+    return '\n'.join(_format_row(row, widths) for row in rows)
 
 
 def percentile(samples: list[float], share: float) -> float:
-    """Give the sample below which a share of all lie.
+    """Return a percentile of samples.
 
     Args:
-        samples: at least one, in any order.
-        share: between 0 and 1.
+        samples: non-empty list of samples in any order.
+        share: percentile as a fraction between 0 and 1.
     """
     ordered = sorted(samples)
     rank = int(share * len(ordered))
     return ordered[min(len(ordered) - 1, rank)]
 
 
-def _row(row: list[str], widths: list[int]) -> str:
-    cells = map(str.ljust, row, [width + _GAP for width in widths])
+def _format_row(row: list[str], widths: list[int]) -> str:
+    cells = map(str.ljust, row, [width + _COLUMN_GAP for width in widths])
     return ''.join(cells).rstrip()
 
 
@@ -77,6 +80,6 @@
     return [name for arm in arms for name in arm.metrics]
 
 
-def _cells(arms: tuple[Arm, ...], name: str) -> list[str]:
+def _format_metrics(arms: tuple[Arm, ...], name: str) -> list[str]:
     found = [arm.metrics.get(name) for arm in arms]
     return ['-' if metric is None else f'{metric:.6g}' for metric in found]
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_serving.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_serving.py
@@ -1,4 +1,4 @@
-"""What every stand-in process shares: listening, the ready line, requests."""
+"""HTTP server that the stand-in processes share."""
 
 import json
 import signal
@@ -13,7 +13,7 @@
 
 _BACKLOG: Final = 512
 _MAX_CONNECTIONS: Final = 2000
-_IDLE_S: Final = 600
+_IDLE_TIMEOUT_S: Final = 600
 
 Json = dict[str, Any]
 Headers = list[tuple[str, str]]
@@ -21,35 +21,35 @@
 Application = Callable[[Json, StartResponse], Iterable[bytes]]
 
 
-class CutError(Exception):
-    """The connection is to be closed before an answer."""
+class ConnectionClosedError(Exception):
+    """The connection was closed without a response."""
 
 
 class TooLargeError(Exception):
-    """The body of a request is above the limit."""
+    """The body of a request exceeds the size limit."""
 
 
 @attrs.frozen(kw_only=True)
 class Answer:
-    """A whole answer of a stand-in."""
+    """Complete response of a stand-in."""
 
     status: str
     body: Json
 
 
 def serve(listen: str, application: Application) -> None:
-    """Listen, print the ready line, and serve until a SIGTERM.
+    """Listen, print the ready line and serve until SIGTERM.
 
     Args:
-        listen: `ip:port`; port 0 lets the system choose.
-        application: the WSGI application.
+        listen: listen address as `ip:port`; port 0 selects a free port.
+        application: WSGI application.
     """
     host, _, port = listen.rpartition(':')
     listener = open_listener((host, int(port)), backlog=_BACKLOG)
     listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    signal.signal(signal.SIGTERM, _leave)
-    bound = listener.getsockname()
-    ready = {'ready': {'address': f'{bound[0]}:{bound[1]}'}}
+    signal.signal(signal.SIGTERM, _exit)
+    listen_address = listener.getsockname()
+    ready = {'ready': {'address': f'{listen_address[0]}:{listen_address[1]}'}}
     sys.stdout.write(f'{json.dumps(ready)}\n')
     sys.stdout.flush()
     wsgi.server(
@@ -57,25 +57,25 @@
         application,
         max_size=_MAX_CONNECTIONS,
         log_output=False,
-        socket_timeout=_IDLE_S,
+        socket_timeout=_IDLE_TIMEOUT_S,
         debug=False,
     )
 
 
-def read_json(environ: Json, limit: int) -> Json:
-    """Read the body of a request; an empty body is an empty object.
+def read_json(environ: Json, max_bytes: int) -> Json:
+    """Return the JSON body of a request; an empty body is an empty object.
 
     Args:
-        environ: the WSGI environment.
-        limit: most bytes taken.
+        environ: WSGI environment of the request.
+        max_bytes: maximum size of the body.
 
     Raises:
-        TooLargeError: if the body is above the limit.
-        ValueError: if it is not a JSON object.
+        TooLargeError: if the body exceeds the maximum size.
+        ValueError: if the body is not a JSON object.
     """
     length = int(environ.get('CONTENT_LENGTH') or 0)
-    if length > limit:
-        raise TooLargeError(f'{length} bytes, at most {limit}')
+    if length > max_bytes:
+        raise TooLargeError(f'{length} bytes, at most {max_bytes}')
     body = json.loads(environ['wsgi.input'].read(length) or b'{}')
     if not isinstance(body, dict):
         raise ValueError('not an object')
@@ -83,7 +83,7 @@
 
 
 def send(answer: Answer, start_response: StartResponse) -> list[bytes]:
-    """Send a whole JSON answer."""
+    """Send a complete JSON response."""
     payload = json.dumps(answer.body, separators=(',', ':')).encode()
     headers = [
         ('Content-Type', 'application/json'),
@@ -94,26 +94,26 @@
 
 
 def cut(environ: Json) -> None:
-    """Close the connection of a request without an answer.
+    """Close the connection of a request without a response.
 
     Raises:
         CutError: always, so that the server writes nothing.
     """
     environ['wsgi.input'].get_socket().shutdown(socket.SHUT_RDWR)
-    raise CutError
+    raise ConnectionClosedError
 
 
 def is_peer_closed(environ: Json) -> bool:
-    """Tell whether the other end has closed the connection of a request."""
-    raw = environ['wsgi.input'].get_socket().fd
+    """Return whether the client has closed the connection of a request."""
+    client_socket = environ['wsgi.input'].get_socket().fd
     flags = socket.MSG_PEEK | socket.MSG_DONTWAIT
     try:
-        return not raw.recv(1, flags)
+        return not client_socket.recv(1, flags)
     except BlockingIOError:
         return False
     except OSError:
         return True
 
 
-def _leave(*_: object) -> None:
+def _exit(*_: object) -> None:
     sys.exit(0)
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_settings.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_settings.py
@@ -1,4 +1,4 @@
-"""Writes settings files of daemons and patch files of operators."""
+"""TOML files: settings of daemons and patches of operators."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -8,7 +8,7 @@
 
 Tree = Mapping[str, Any]
 
-_ANY_PORT: Final = '127.0.0.1:0'
+_EPHEMERAL_ADDRESS: Final = '127.0.0.1:0'
 
 
 def settings_toml(
@@ -16,10 +16,10 @@
     key_value: str,
     vm_list: str,
 ) -> str:
-    """Write the settings of one daemon as TOML.
+    """Return the settings of one daemon as TOML.
 
     Args:
-        spec: the daemon.
+        spec: spec of the daemon.
         key_value: address of the key-value service.
         vm_list: address of the VM list.
     """
@@ -30,9 +30,9 @@
             'data_centre': spec.data_centre,
         },
         'listen': {
-            'caller': _ANY_PORT,
-            'operator': _ANY_PORT,
-            'peer': _ANY_PORT,
+            'caller': _EPHEMERAL_ADDRESS,
+            'operator': _EPHEMERAL_ADDRESS,
+            'peer': _EPHEMERAL_ADDRESS,
         },
         'platform': {
             'key_value': [key_value],
@@ -46,26 +46,26 @@
 
 
 def write_toml(tree: Tree) -> str:
-    """Write nested tables as TOML.
+    """Return nested tables as TOML.
 
     Args:
-        tree: tables, and in them strings, numbers, booleans and flat lists,
-            whose JSON is TOML as well.
+        tree: nested tables of strings, numbers, booleans and flat lists, whose
+            JSON representation is valid TOML.
     """
-    return '\n'.join((*_lines(tree, ()), ''))
+    return '\n'.join((*_format_table(tree, ()), ''))
 
 
-def _lines(tree: Tree, path: Sequence[str]) -> list[str]:
+def _format_table(tree: Tree, path: Sequence[str]) -> list[str]:
     tables = {name for name, entry in tree.items() if _is_table(entry)}
     lines = []
-    for plain in sorted(tree.keys() - tables):
-        written = json.dumps(tree[plain])
-        lines.append(f'{plain} = {written}')
+    for entry_name in sorted(tree.keys() - tables):
+        formatted = json.dumps(tree[entry_name])
+        lines.append(f'{entry_name} = {formatted}')
     for name in sorted(tables):
-        inner = (*path, name)
-        title = '.'.join(inner)
+        table_path = (*path, name)
+        title = '.'.join(table_path)
         lines.append(f'[{title}]')
-        lines += _lines(tree[name], inner)
+        lines += _format_table(tree[name], table_path)
     return lines
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_specs.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_specs.py
@@ -1,4 +1,4 @@
-"""What a fleet of the rig consists of."""
+"""Specifications of fleets."""
 
 from collections.abc import Sequence
 from typing import Any, Final
@@ -10,17 +10,22 @@
 
 @attrs.frozen(kw_only=True)
 class BackendSpec:
-    """One backend server stand-in.
+    """Specification of one backend server stand-in.
 
     Attributes:
-        lo: first key that it holds.
-        hi: first key after those that it holds.
-        slots: requests that it runs at once.
-        connections: connections that it takes.
-        connect_ms: what a new connection costs.
-        mean_ms: mean time of a search.
+        name: name of the backend server.
+        lo: first key of the range of the backend server.
+        hi: exclusive end of the range.
+        keys: number of keys of the search front.
+        data_centre: data centre of the backend server.
+        slots: maximum number of requests that run concurrently.
+        connections: maximum number of connections.
+        connect_ms: time that opening a connection takes.
+        mean_ms: mean duration of a search.
         straggle: share of searches that take `straggle_factor` times as long.
-        link_ms: one way through the network, added to both ways.
+        straggle_factor: slowdown of a straggling search.
+        link_ms: one-way network latency, added in both directions.
+        seed: seed of the random durations.
     """
 
     name: str
@@ -40,7 +45,7 @@
 
 @attrs.frozen(kw_only=True)
 class ShardSpec:
-    """The servers that hold the same records."""
+    """Shard with the backend servers of its replicas."""
 
     name: str
     servers: tuple[BackendSpec, ...]
@@ -48,11 +53,13 @@
 
 @attrs.frozen(kw_only=True)
 class FrontSpec:
-    """One search front.
+    """Specification of one search front.
 
     Attributes:
-        keys: its key space is `[0, keys)`.
-        hedge: the `hedge` table of its configuration.
+        name: name of the search front.
+        keys: exclusive upper bound of the key space, which starts at 0.
+        shards: shards of the search front.
+        hedge: `hedge` table of the configuration of the search front.
     """
 
     name: str
@@ -63,7 +70,7 @@
 
 @attrs.frozen(kw_only=True)
 class DaemonSpec:
-    """One daemon; `tables` adds to or replaces tables of its settings."""
+    """Specification of a daemon; `tables` overrides its settings."""
 
     name: str
     region: str
@@ -73,12 +80,16 @@
 
 @attrs.frozen(kw_only=True)
 class FleetSpec:
-    """Everything that the rig starts together.
+    """Specification of a fleet and of its platform stand-ins.
 
     Attributes:
-        lag_ms: how late the VM list shows a change.
-        reads_per_s: rate limit of the key-value service; 0 means none.
-        writes_per_s: the same for writes.
+        fronts: search fronts of the initial configuration.
+        daemons: daemons of the fleet.
+        lag_ms: delay until a change appears in the VM list.
+        reads_per_s: read rate limit of the key-value service; 0 means no
+            limit.
+        writes_per_s: write rate limit of the key-value service; 0 means no
+            limit.
     """
 
     fronts: tuple[FrontSpec, ...]
@@ -94,13 +105,13 @@
     template: BackendSpec,
     data_centres: Sequence[str] = _DATA_CENTRES,
 ) -> ShardSpec:
-    """Build a shard of equal servers, spread over the data centres in turn.
+    """Build a shard of equal servers, distributed over the data centres.
 
     Args:
-        name: the shard; servers are `<shard>-<number>`.
-        servers: how many.
-        template: what they have in common.
-        data_centres: where to put them.
+        name: name of the shard; backend servers are `<shard>-<index>`.
+        servers: number of backend servers.
+        template: spec that the backend servers have in common.
+        data_centres: data centres, assigned round-robin.
     """
     return ShardSpec(
         name=name,
@@ -121,12 +132,12 @@
     data_centres: Sequence[str] = _DATA_CENTRES,
     tables: dict[str, dict[str, Any]] | None = None,
 ) -> tuple[DaemonSpec, ...]:
-    """Build daemons spread over the data centres in turn.
+    """Build daemons that are distributed over the data centres.
 
     Args:
-        count: how many, named `vm-1` and so on.
-        data_centres: one region each, as in the deployments of today.
-        tables: settings that all share.
+        count: number of daemons, which are named from `vm-1` on.
+        data_centres: data centres, assigned round-robin; each is a region.
+        tables: settings that all daemons share.
     """
     return tuple(
         DaemonSpec(
@@ -143,8 +154,8 @@
     """Build the configuration patch that creates fronts.
 
     Args:
-        fronts: what to create.
-        addresses: `ip:port` by name of backend server.
+        fronts: search fronts to create.
+        addresses: `ip:port` by the name of the backend server.
     """
     return {
         'fronts': {
