--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_process.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_process.py
@@ -230,7 +230,5 @@
     deadline_s = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline_s:
-            raise RigError(
-                f'timed out after {timeout_s} s: {awaited}. {describe()}'
-            )
+            raise RigError(f'waited {timeout_s} s for {awaited}. {describe()}')
         time.sleep(_POLL_INTERVAL_S)
--- a/packages/fennelfork-bench/tests/bench_builders_answers.py
+++ b/packages/fennelfork-bench/tests/bench_builders_answers.py
@@ -1,4 +1,4 @@
-"""Builders of a small fleet and of queries whose answers are checked."""
+"""Builders of a small fleet with checked queries."""
 
 import itertools
 from collections.abc import Iterator
@@ -20,25 +20,25 @@
 )
 
 KEYS = 40
-_SERIALS = itertools.count()
+_REQUEST_NUMBERS = itertools.count()
 _HEDGE = {'policy': 'fixed', 'delay_ms': 60, 'budget': 1}
 
 
 @attrs.frozen(kw_only=True)
-class Small:
-    """Three daemons, two shards of two servers, one front."""
+class SmallFleet:
+    """Fleet of three daemons and a front of two shards, two servers each."""
 
     fleet: Fleet
 
     @property
     def servers(self) -> tuple[str, ...]:
-        """The names of all backend servers."""
+        """Names of all backend servers."""
         return tuple(self.fleet.backends)
 
-    def ask(self, *, at: int = 0, **changes: Any) -> http.HttpReply:
-        """Send one query for all records to a daemon."""
+    def query(self, *, daemon_index: int = 0, **changes: Any) -> http.HttpReply:
+        """Send a query for all records to one daemon."""
         body = {
-            'request_id': f'q{next(_SERIALS)}',
+            'request_id': f'q{next(_REQUEST_NUMBERS)}',
             'deadline_ms': 8000,
             'tenant': 'salvare',
             'class': 'counter',
@@ -47,42 +47,49 @@
         }
         callers = self.fleet.callers
         path = '/v1/fronts/raft-search/query'
-        return http.post(callers[at % len(callers)], path, body, 20_000)
+        return http.post(
+            callers[daemon_index % len(callers)], path, body, 20_000
+        )
 
-    def whole(self, *, at: int = 0) -> dict[str, Any]:
-        """Ask, and check that the answer is the whole truth."""
-        reply = self.ask(at=at)
+    def query_complete(self, *, daemon_index: int = 0) -> dict[str, Any]:
+        """Send a query and check that the answer has every record once."""
+        reply = self.query(daemon_index=daemon_index)
         assert reply.status == 200, reply
         keys = [record['key'] for record in reply.body['records']]
         assert keys == list(range(KEYS))
         assert reply.body['coverage']['complete'] is True
         return reply.body
 
-    def faults(self, **faults: Any) -> None:
-        """Put the same faults in force on every server."""
+    def set_faults(self, **faults: Any) -> None:
+        """Set the same faults on every backend server."""
         for server in self.servers:
             order_faults(self.fleet, server, **faults)
 
-    def order(self, server: str, name: str, body: dict[str, Any]) -> None:
-        """Give one server an order of its control face."""
-        reply = http.post(self._control(server), f'/control/{name}', body)
+    def control_server(
+        self, server: str, name: str, body: dict[str, Any]
+    ) -> None:
+        """Send a request to the control interface of one backend server."""
+        reply = http.post(
+            self._control_address(server), f'/control/{name}', body
+        )
         assert reply.fine, reply
 
-    def events(self, server: str) -> list[dict[str, Any]]:
-        """Read the log of one server."""
-        page = http.get(self._control(server), '/control/log')
+    def fetch_events(self, server: str) -> list[dict[str, Any]]:
+        """Return the events in the log of one backend server."""
+        page = http.get(self._control_address(server), '/control/log')
         return page.body['events']
 
-    def _control(self, server: str) -> str:
+    def _control_address(self, server: str) -> str:
         process = self.fleet.backends[server]
         return process.ready['control']
 
 
-def small(*, rival: bool = False) -> Iterator[Small]:
-    """Start a small fleet, and end it.
+def run_small_fleet(*, has_two_homes: bool = False) -> Iterator[SmallFleet]:
+    """Start a small fleet and stop it after use.
 
     Args:
-        rival: the last daemon takes itself for the home of all shards.
+        has_two_homes: whether the last daemon acts as an additional home
+            daemon of all shards.
     """
     shards = tuple(
         shard_spec(
@@ -107,16 +114,16 @@
         hedge=_HEDGE,
     )
     daemons = daemon_specs(3, data_centres=['dc-1'])
-    if rival:
+    if has_two_homes:
         tables = {'routing': {'mode': 'direct'}}
         daemons = (*daemons[:-1], attrs.evolve(daemons[-1], tables=tables))
     spec = FleetSpec(fronts=(front,), daemons=daemons)
-    with rig() as own:
-        fleet = empty_fleet(own, spec).start_backends().start_daemons()
+    with rig() as processes:
+        fleet = empty_fleet(processes, spec).start_backends().start_daemons()
         document = {'version': 1, 'patches': [], **first_patch(fleet)}
         fleet.platform.write_document(document)
         await_version(fleet, 1)
-        built = Small(fleet=fleet)
-        for at in range(30):
-            built.whole(at=at)
-        yield built
+        small_fleet = SmallFleet(fleet=fleet)
+        for daemon_index in range(30):
+            small_fleet.query_complete(daemon_index=daemon_index)
+        yield small_fleet
--- a/packages/fennelfork-bench/tests/bench_builders_fleet.py
+++ b/packages/fennelfork-bench/tests/bench_builders_fleet.py
@@ -1,4 +1,4 @@
-"""Builders of small fleets, and callers that follow the entry contract."""
+"""Builders of small fleets, and callers that cache their entries."""
 
 import threading
 import time
@@ -20,14 +20,14 @@
 )
 
 KEYS = 60
-CAP_S = 40
+TIMEOUT_S = 40
 _TTL_MS = 1000
-_MOST_REFUSALS = 3
-_MS = 1000
+_MAX_CONSECUTIVE_REFUSALS = 3
+_MS_PER_S = 1000
 
 
-def a_fleet_spec(daemons: int = 3, mean_ms: float = 1) -> FleetSpec:
-    """Build a fleet with one front of three shards and short times."""
+def build_fleet_spec(daemons: int = 3, mean_ms: float = 1) -> FleetSpec:
+    """Build the spec of a fleet with one front of three shards."""
     servers = [
         BackendSpec(
             name=f'raft-{lo}',
@@ -54,88 +54,92 @@
     )
 
 
-def a_running_fleet(rig: Rig, spec: FleetSpec) -> Fleet:
-    """Start a fleet, put its fronts in force, and await membership."""
+def start_configured_fleet(rig: Rig, spec: FleetSpec) -> Fleet:
+    """Start a fleet, activate its fronts and await membership."""
     fleet = empty_fleet(rig, spec).start_backends().start_daemons()
     document = {'version': 1, 'patches': [], **first_patch(fleet)}
     fleet.platform.write_document(document)
     await_version(fleet, 1)
-    await_states(fleet, 'alive')
+    await_state(fleet, 'alive')
     return fleet
 
 
-def members(operator: str) -> dict[str, dict]:
-    """Read what a daemon believes of each member."""
+def fetch_members(operator: str) -> dict[str, dict]:
+    """Return the members of the fleet as one daemon reports them."""
     body = http.get(operator, '/v1/members').body
     return {row['name']: row for row in body.get('members', ())}
 
 
-def states(fleet: Fleet, name: str) -> set[str]:
-    """Give the states in which the other living daemons hold one."""
+def fetch_states(fleet: Fleet, name: str) -> set[str]:
+    """Return the states of a daemon as the other daemons report them."""
     return {
-        members(process.ready['operator']).get(name, {}).get('state', '')
+        fetch_members(process.ready['operator']).get(name, {}).get('state', '')
         for process in fleet.living
         if process.name != name
     }
 
 
-def await_states(fleet: Fleet, wanted: str) -> None:
-    """Wait until all living daemons hold each other in one state."""
+def await_state(fleet: Fleet, expected: str) -> None:
+    """Wait until all running daemons report each other in one state."""
     names = [process.name for process in fleet.living]
     wait_until(
-        lambda: all(states(fleet, name) <= {wanted} for name in names),
-        CAP_S,
-        f'all to be {wanted}',
-        lambda: str({name: states(fleet, name) for name in names}),
+        lambda: all(fetch_states(fleet, name) <= {expected} for name in names),
+        TIMEOUT_S,
+        f'all daemons to be {expected}',
+        lambda: str({name: fetch_states(fleet, name) for name in names}),
     )
 
 
-def await_busy(fleet: Fleet) -> None:
+def await_busy_server(fleet: Fleet) -> None:
     """Wait until a backend server runs a request."""
     addresses = [each.ready['address'] for each in fleet.backends.values()]
     wait_until(
         lambda: any(
             http.get(address, '/v1/load').body['busy'] for address in addresses
         ),
-        CAP_S,
+        TIMEOUT_S,
         'a busy server',
     )
 
 
-def await_leaving(fleet: Fleet, name: str) -> None:
-    """Wait until a daemon itself says that it leaves."""
+def await_leaving_state(fleet: Fleet, name: str) -> None:
+    """Wait until a daemon reports itself as leaving."""
     operator = fleet.daemons[name].ready['operator']
     wait_until(
-        lambda: members(operator)[name]['state'] == 'leaving',
-        CAP_S,
+        lambda: fetch_members(operator)[name]['state'] == 'leaving',
+        TIMEOUT_S,
         f'{name} to leave',
     )
 
 
 def stop_and_restart(fleet: Fleet, name: str) -> int | None:
-    """Stop a daemon gracefully and start it again once it has ended.
+    """Stop a daemon gracefully and restart the daemon after its exit.
 
     Returns:
-        Its exit status.
+        Exit status of the stopped daemon.
     """
     process = fleet.daemons[name]
     process.terminate()
-    status = process.wait(CAP_S)
+    status = process.wait(TIMEOUT_S)
     fleet.start_daemons([fleet.daemon_spec(name)])
-    await_states(fleet, 'alive')
+    await_state(fleet, 'alive')
     return status
 
 
 @attrs.define(kw_only=True, eq=False)
 class Caller:
-    """Asks for entries, keeps the answer for its time, and queries.
+    """Caller that caches its entries until the TTL expires, and queries.
 
     Attributes:
-        answered: whole answers.
-        refusals: answers that the query was not run and may be sent again
-            after a time, as when servers are busy; done so, as callers may.
-        failures: everything else, a third refusal in a row too, and a
-            refused connection of an address from a valid answer.
+        addresses: caller addresses for the first request for entries.
+        region: region of the caller.
+        data_centre: data centre of the caller.
+        answered: number of complete answers.
+        refusals: number of queries that were shed and then retried.
+        failures: all other responses and connection errors, and the third
+            consecutive refusal.
+        used_addresses: caller addresses that received a query.
+        is_stopping: whether `run` returns after the current query.
     """
 
     addresses: list[str]
@@ -144,20 +148,20 @@
     answered: int = 0
     refusals: int = 0
     failures: list[str] = attrs.field(factory=list)
-    used: set[str] = attrs.field(factory=set)
-    stopping: bool = False
+    used_addresses: set[str] = attrs.field(factory=set)
+    is_stopping: bool = False
     _entries: list[str] = attrs.field(factory=list)
     _valid_until_ms: float = 0
-    _in_a_row: int = 0
+    _consecutive_refusals: int = 0
 
     def run(self) -> None:
-        """Query one after the other until told to stop."""
-        while not self.stopping:
+        """Send queries one after the other until `is_stopping` is set."""
+        while not self.is_stopping:
             self._refresh()
             self._query(self._entries[0])
 
     def _refresh(self) -> None:
-        now_ms = time.monotonic() * _MS
+        now_ms = time.monotonic() * _MS_PER_S
         if now_ms < self._valid_until_ms:
             return
         path = (
@@ -173,7 +177,7 @@
         self.failures.append('no entries')
 
     def _query(self, address: str) -> None:
-        self.used.add(address)
+        self.used_addresses.add(address)
         reply = http.post(
             address,
             '/v1/fronts/raft-search/query',
@@ -187,24 +191,24 @@
         )
         if reply.fine and len(reply.body['records']) == KEYS:
             self.answered += 1
-            self._in_a_row = 0
-        elif self._may_ask_again(reply):
+            self._consecutive_refusals = 0
+        elif self._is_retryable(reply):
             self.refusals += 1
-            self._in_a_row += 1
-            time.sleep(reply.body['retry_after_ms'] / _MS)
+            self._consecutive_refusals += 1
+            time.sleep(reply.body['retry_after_ms'] / _MS_PER_S)
         else:
             self.failures.append(f'{time.monotonic():.2f} {address}: {reply}')
 
-    def _may_ask_again(self, reply: http.HttpReply) -> bool:
-        if self._in_a_row + 1 >= _MOST_REFUSALS:
+    def _is_retryable(self, reply: http.HttpReply) -> bool:
+        if self._consecutive_refusals + 1 >= _MAX_CONSECUTIVE_REFUSALS:
             return False
         refused = reply.body.get('verdict') == 'not_run'
         return refused and reply.body.get('code') == 'shed'
 
 
 @contextmanager
-def callers(fleet: Fleet, count: int) -> Iterator[list[Caller]]:
-    """Run callers, spread over the data centres, for a block."""
+def run_callers(fleet: Fleet, count: int) -> Iterator[list[Caller]]:
+    """Run callers in all data centres for the duration of a block."""
     started = [
         Caller(
             addresses=list(fleet.callers),
@@ -220,11 +224,11 @@
         yield started
     finally:
         for caller in started:
-            caller.stopping = True
+            caller.is_stopping = True
         for ended in threads:
-            ended.join(CAP_S)
+            ended.join(TIMEOUT_S)
 
 
-def failures_of(running: list[Caller]) -> list[str]:
-    """Give what went wrong at any caller."""
+def list_failures(running: list[Caller]) -> list[str]:
+    """Return the failures of all callers."""
     return [failure for caller in running for failure in caller.failures]
--- a/packages/fennelfork-bench/tests/test_answers.py
+++ b/packages/fennelfork-bench/tests/test_answers.py
@@ -1,11 +1,11 @@
-"""Answers over separate processes while servers and homes fail."""
+"""Answers of a fleet while backend servers and home daemons fail."""
 
 import contextlib
 from collections.abc import Iterator
 from concurrent.futures import ThreadPoolExecutor
 
 import pytest
-from bench_builders_answers import KEYS, Small, small
+from bench_builders_answers import KEYS, SmallFleet, run_small_fleet
 
 from fennelfork_bench.rig._process import Process
 
@@ -13,137 +13,154 @@
 
 
 @pytest.fixture(scope='class')
-def fleet() -> Iterator[Small]:
-    """Give one small fleet to the tests of a class."""
-    yield from small()
+def fleet() -> Iterator[SmallFleet]:
+    """Yield a small fleet that the tests of a class share."""
+    yield from run_small_fleet()
 
 
 @pytest.fixture
-def rivals() -> Iterator[Small]:
-    """Give a fleet in which two daemons hand out the same slots."""
-    yield from small(rival=True)
+def two_home_fleet() -> Iterator[SmallFleet]:
+    """Yield a fleet in which two daemons schedule the same slots."""
+    yield from run_small_fleet(has_two_homes=True)
 
 
 class TestReplies:
-    """Replies that lie, cross, break off or never come."""
+    """Invalid, swapped, truncated and missing responses."""
 
     @pytest.mark.parametrize(
         'kind',
         ['cross', 'truncate', 'double', 'cut', 'lose_reply', 'mute'],
     )
-    def test_a_bad_reply_is_asked_for_again(
+    def test_bad_response_is_retried(
         self,
-        fleet: Small,
+        fleet: SmallFleet,
         kind: str,
     ) -> None:
-        """The answer is whole although the first replies are bad."""
+        """The answer is complete although the first response is faulty."""
         rule = {'kind': kind, 'limit': 1, 'call': 'search'}
-        fleet.faults(rules=[rule])
-        for at in range(4):
-            fleet.whole(at=at)
-        met = [
+        fleet.set_faults(rules=[rule])
+        for daemon_index in range(4):
+            fleet.query_complete(daemon_index=daemon_index)
+        injected = [
             event
             for server in fleet.servers
-            for event in fleet.events(server)
+            for event in fleet.fetch_events(server)
             if event['kind'] == 'fault' and event['detail'] == kind
         ]
-        assert met
-
-    def test_silent_connections_are_replaced(self, fleet: Small) -> None:
-        """All open connections go silent, the answers stay whole."""
-        fleet.faults()
-        for at in range(4):
-            fleet.whole(at=at)
-        fleet.faults(silence=True)
-        for at in range(4):
-            fleet.whole(at=at)
-
-    def test_a_frozen_server_is_gone_around(self, fleet: Small) -> None:
-        """One replica of each shard stands still, the other answers."""
+        assert injected
+
+    def test_unresponsive_connections_are_replaced(
+        self, fleet: SmallFleet
+    ) -> None:
+        """Answers are complete after all connections become unresponsive."""
+        fleet.set_faults()
+        for daemon_index in range(4):
+            fleet.query_complete(daemon_index=daemon_index)
+        fleet.set_faults(silence=True)
+        for daemon_index in range(4):
+            fleet.query_complete(daemon_index=daemon_index)
+
+    def test_frozen_server_is_bypassed(self, fleet: SmallFleet) -> None:
+        """Answers are complete while one replica of each shard is frozen."""
         for server in ('s0-0', 's1-0'):
-            fleet.order(server, 'faults', {'freeze_ms': 3000})
-        for at in range(6):
-            fleet.whole(at=at)
+            fleet.control_server(server, 'faults', {'freeze_ms': 3000})
+        for daemon_index in range(6):
+            fleet.query_complete(daemon_index=daemon_index)
 
 
 class TestServers:
-    """Servers that drain, or lose the snapshot."""
-
-    def test_a_draining_server_gets_no_work(self, fleet: Small) -> None:
-        """It refuses at most what was on its way, and starts nothing."""
-        fleet.order('s0-0', 'drain', {'draining': True})
-        before = _started(fleet, 's0-0')
-        for at in range(10):
-            fleet.whole(at=at)
-        assert _started(fleet, 's0-0') == before
-        fleet.order('s0-0', 'drain', {'draining': False})
-
-    def test_a_lost_snapshot_leads_to_one_rerun(self, fleet: Small) -> None:
-        """All servers move to snapshot 2 and drop 1: answers are of 2."""
+    """Backend servers that drain or drop the snapshot."""
+
+    def test_draining_server_starts_no_request(self, fleet: SmallFleet) -> None:
+        """A draining backend server starts no new request."""
+        fleet.control_server('s0-0', 'drain', {'draining': True})
+        before = _count_started(fleet, 's0-0')
+        for daemon_index in range(10):
+            fleet.query_complete(daemon_index=daemon_index)
+        assert _count_started(fleet, 's0-0') == before
+        fleet.control_server('s0-0', 'drain', {'draining': False})
+
+    def test_dropped_snapshot_is_replaced(self, fleet: SmallFleet) -> None:
+        """Answers use snapshot 2 after all servers have dropped snapshot 1."""
         for server in fleet.servers:
             half = KEYS // 2
             lo = half * int(server[1])
-            moved = {'version': 2, 'ranges': [[lo, lo + half]], 'keep': []}
-            fleet.order(server, 'snapshot', moved)
-        assert fleet.whole()['snapshot'] == 2
+            new_snapshot = {
+                'version': 2,
+                'ranges': [[lo, lo + half]],
+                'keep': [],
+            }
+            fleet.control_server(server, 'snapshot', new_snapshot)
+        assert fleet.query_complete()['snapshot'] == 2
 
 
 class TestHomes:
-    """Daemons that die, pause, or both think they are home."""
+    """Home daemons that are busy, paused or dead."""
 
-    def test_a_busy_home_is_waited_for(self, fleet: Small) -> None:
-        """Work that takes long is not handed to a second home as well."""
-        fleet.faults(rules=[{'kind': 'straggle', 'factor': 700}])
-        request_id = fleet.whole()['request_id']
-        fleet.faults()
+    def test_busy_home_keeps_its_sub_query(self, fleet: SmallFleet) -> None:
+        """A slow sub-query is not sent to a second home daemon."""
+        fleet.set_faults(rules=[{'kind': 'straggle', 'factor': 700}])
+        request_id = fleet.query_complete()['request_id']
+        fleet.set_faults()
         homes = {
             (event['sub_query'][:2], event['sub_query'].split('#')[1][:4])
             for server in fleet.servers
-            for event in fleet.events(server)
+            for event in fleet.fetch_events(server)
             if event['request_id'] == request_id
         }
         assert len(homes) == 2
 
-    def test_a_paused_home_is_gone_around(self, fleet: Small) -> None:
-        """Answers stay whole while it stands still and after it wakes."""
+    def test_paused_home_is_bypassed(self, fleet: SmallFleet) -> None:
+        """Answers are complete while a home is paused and after it resumes."""
         for paused in fleet.fleet.daemons.values():
             with contextlib.ExitStack() as stack:
                 stack.callback(paused.resume)
                 paused.pause()
-                _ask_others(fleet, paused)
-            for at in range(3):
-                fleet.whole(at=at)
+                _query_others(fleet, paused)
+            for daemon_index in range(3):
+                fleet.query_complete(daemon_index=daemon_index)
 
-    def test_a_dead_home_is_gone_around(self, fleet: Small) -> None:
-        """Answers stay whole through the daemons that are left."""
+    def test_dead_home_is_bypassed(self, fleet: SmallFleet) -> None:
+        """The remaining daemons return complete answers."""
         fleet.fleet.daemons['vm-2'].kill()
-        for at in range(6):
-            fleet.whole(at=at)
+        for daemon_index in range(6):
+            fleet.query_complete(daemon_index=daemon_index)
 
 
 class TestTwoHomes:
-    """Two daemons that both think they are home."""
+    """Two daemons that both act as home daemon of a shard."""
 
-    def test_servers_shed_and_answers_stay_whole(self, rivals: Small) -> None:
-        """More than all slots through both: sheds, and no other harm."""
-        rivals.faults(rules=[{'kind': 'straggle', 'factor': 20}])
+    def test_overload_is_shed_and_answers_are_complete(
+        self, two_home_fleet: SmallFleet
+    ) -> None:
+        """Servers shed the excess load, and all answers are complete."""
+        two_home_fleet.set_faults(rules=[{'kind': 'straggle', 'factor': 20}])
         with ThreadPoolExecutor(max_workers=40) as pool:
-            bodies = list(pool.map(lambda at: rivals.whole(at=at), range(80)))
+            bodies = list(
+                pool.map(
+                    lambda daemon_index: two_home_fleet.query_complete(
+                        daemon_index=daemon_index
+                    ),
+                    range(80),
+                )
+            )
         assert len(bodies) == 80
-        sheds = [
+        shed_events = [
             event
-            for server in rivals.servers
-            for event in rivals.events(server)
+            for server in two_home_fleet.servers
+            for event in two_home_fleet.fetch_events(server)
             if event['detail'] == 'shed'
         ]
-        assert sheds
+        assert shed_events
 
 
-def _ask_others(fleet: Small, paused: Process) -> None:
-    for at, process in enumerate(fleet.fleet.living):
+def _query_others(fleet: SmallFleet, paused: Process) -> None:
+    for daemon_index, process in enumerate(fleet.fleet.living):
         if process is not paused:
-            fleet.whole(at=at)
+            fleet.query_complete(daemon_index=daemon_index)
 
 
-def _started(fleet: Small, server: str) -> int:
-    return sum(event['kind'] == 'started' for event in fleet.events(server))
+def _count_started(fleet: SmallFleet, server: str) -> int:
+    return sum(
+        event['kind'] == 'started' for event in fleet.fetch_events(server)
+    )
--- a/packages/fennelfork-bench/tests/test_config_fleet.py
+++ b/packages/fennelfork-bench/tests/test_config_fleet.py
@@ -1,4 +1,4 @@
-"""The configuration of real daemons while the platform misbehaves."""
+"""Configuration of real daemons during faults of the platform."""
 
 import functools
 import json
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from bench_builders_platform import text
+from bench_builders_platform import encode_base64
 
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._config import await_version, send_patch, version
@@ -15,55 +15,60 @@
 from fennelfork_bench.rig._process import Rig, wait_until
 from fennelfork_bench.rig._specs import FleetSpec, daemon_specs
 
-_CAP_S = 20
-_DAEMONS = 4
-_ALL_AT_ONE = [1, 1, 1, 1]
+_TIMEOUT_S = 20
+_DAEMON_COUNT = 4
+_ALL_AT_FIRST = [1, 1, 1, 1]
 
 
 @pytest.fixture
 def fleet(rig: Rig) -> Fleet:
-    """Give four daemons without fronts, with version 1 in force on all."""
-    spec = FleetSpec(fronts=(), daemons=daemon_specs(_DAEMONS))
+    """Return four daemons without fronts at active version 1."""
+    spec = FleetSpec(fronts=(), daemons=daemon_specs(_DAEMON_COUNT))
     started = empty_fleet(rig, spec).start_daemons()
     assert _patch(started, 0).status == 200
     await_version(started, 1)
-    _await(lambda: _knows_all(started), 'all to know all')
+    _await_condition(
+        lambda: _know_each_other(started), 'all daemons to know each other'
+    )
     return started
 
 
-def _knows_all(fleet: Fleet) -> bool:
+def _know_each_other(fleet: Fleet) -> bool:
     pages = [
-        _page(fleet, '/v1/config/status', which) for which in range(_DAEMONS)
+        _get_page(fleet, '/v1/config/status', daemon_index)
+        for daemon_index in range(_DAEMON_COUNT)
     ]
-    return all(len(page['daemons']) == _DAEMONS for page in pages)
+    return all(len(page['daemons']) == _DAEMON_COUNT for page in pages)
 
 
 def _patch(
     fleet: Fleet,
     base: int,
-    which: int = 0,
+    daemon_index: int = 0,
     patch_id: str = '',
     weight: int = 0,
 ) -> http.HttpReply:
     patch = {'tenants': {'salvare': {'weight': weight or base + 1}}}
-    return send_patch(fleet.operators[which], patch, base, patch_id=patch_id)
+    return send_patch(
+        fleet.operators[daemon_index], patch, base, patch_id=patch_id
+    )
 
 
-def _enter_race(fleet: Fleet, base: int, number: int) -> http.HttpReply:
-    weight = 10 * base + number
-    return _patch(fleet, base, number % _DAEMONS, weight=weight)
+def _send_race_patch(fleet: Fleet, base: int, racer: int) -> http.HttpReply:
+    weight = 10 * base + racer
+    return _patch(fleet, base, racer % _DAEMON_COUNT, weight=weight)
 
 
-def _page(fleet: Fleet, path: str, which: int = 0) -> dict[str, Any]:
-    return http.get(fleet.operators[which], path).body
+def _get_page(fleet: Fleet, path: str, daemon_index: int = 0) -> dict[str, Any]:
+    return http.get(fleet.operators[daemon_index], path).body
 
 
 def _status(fleet: Fleet) -> dict[str, Any]:
-    return _page(fleet, '/v1/config/status')
+    return _get_page(fleet, '/v1/config/status')
 
 
-def _await(holds: Callable[[], Any], awaited: str) -> None:
-    wait_until(holds, _CAP_S, awaited)
+def _await_condition(condition: Callable[[], Any], awaited: str) -> None:
+    wait_until(condition, _TIMEOUT_S, awaited)
 
 
 def _versions(fleet: Fleet) -> list[int]:
@@ -72,7 +77,7 @@
 
 def _remove_document(fleet: Fleet) -> None:
     address = fleet.platform.key_value_address
-    body = {'key': text('/fennelfork/config')}
+    body = {'key': encode_base64('/fennelfork/config')}
     assert http.post(address, '/v3/kv/deleterange', body).fine
 
 
@@ -83,86 +88,98 @@
 
 @pytest.mark.process
 class TestOutage:
-    """The platform answers nothing."""
+    """Unavailable key-value service."""
 
-    def test_serving_goes_on_and_patches_are_refused(
+    def test_versions_stay_and_patches_are_refused(
         self,
         fleet: Fleet,
     ) -> None:
-        """Each daemon keeps its version; a patch was truly not run."""
+        """Daemons keep their version, and a refused patch is not applied."""
         fleet.platform.switch(down=True)
         reply = _patch(fleet, 1)
         assert reply.status == 503
         assert reply.body['verdict'] == 'not_run'
-        assert _versions(fleet) == _ALL_AT_ONE
+        assert _versions(fleet) == _ALL_AT_FIRST
         fleet.platform.switch(down=False)
-        _await(lambda: _patch(fleet, 1).fine, 'the platform to be back')
+        _await_condition(
+            lambda: _patch(fleet, 1).fine, 'the platform to be available'
+        )
         await_version(fleet, 2)
-        history = _page(fleet, '/v1/config/history')['patches']
+        history = _get_page(fleet, '/v1/config/history')['patches']
         assert [record['version'] for record in history] == [1, 2]
 
-    def test_daemon_that_starts_takes_the_document_from_peers(
+    def test_starting_daemon_reads_the_document_from_peers(
         self,
         fleet: Fleet,
     ) -> None:
-        """A start needs no key-value service while a peer lives."""
+        """A start needs no key-value service while a peer is alive."""
         fleet.platform.switch(down=True)
         fleet.daemons['vm-4'].kill()
         fleet.start_daemons([fleet.spec.daemons[3]])
-        _await(lambda: _versions(fleet) == _ALL_AT_ONE, 'the new daemon')
+        _await_condition(
+            lambda: _versions(fleet) == _ALL_AT_FIRST, 'the new daemon'
+        )
         restarted = _status(fleet)['daemons'][3]
         assert restarted['confirmed_age_ms'] is None
 
-    def test_return_brings_no_stampede(self, fleet: Fleet) -> None:
-        """The call log shows few calls in the first second after."""
+    def test_recovery_causes_no_request_burst(self, fleet: Fleet) -> None:
+        """Few calls are sent in the first second after an outage."""
         fleet.platform.switch(down=True)
-        began_ms = fleet.platform.log()['now_ms']
-        _await(lambda: len(_calls(fleet, began_ms)) >= 12, 'a few tries')
+        started_ms = fleet.platform.log()['now_ms']
+        _await_condition(
+            lambda: len(_list_calls(fleet, started_ms)) >= 12, 'a few attempts'
+        )
         fleet.platform.switch(down=False)
-        back_ms = fleet.platform.log()['now_ms']
-        _await(lambda: fleet.platform.log()['watching'] == 4, 'all watches')
-        first = [
+        restored_ms = fleet.platform.log()['now_ms']
+        _await_condition(
+            lambda: fleet.platform.log()['watching'] == 4, 'all watches'
+        )
+        first_calls = [
             call
-            for call in _calls(fleet, back_ms)
-            if call['at_ms'] < back_ms + 1000
+            for call in _list_calls(fleet, restored_ms)
+            if call['at_ms'] < restored_ms + 1000
         ]
-        assert len(first) <= 3 * _DAEMONS
+        assert len(first_calls) <= 3 * _DAEMON_COUNT
 
-    def test_refused_calls_are_few_and_refuse_the_patch(
+    def test_rate_limit_refuses_the_patch(
         self,
         fleet: Fleet,
     ) -> None:
-        """Refused by rate, daemons back off and say that nothing ran."""
+        """A rate-limited patch is refused as not run and later succeeds."""
         fleet.platform.switch(refuse=True)
         reply = _patch(fleet, 1)
         assert (reply.status, reply.body['verdict']) == (503, 'not_run')
         fleet.platform.switch(refuse=False)
-        _await(lambda: _patch(fleet, 1).fine, 'the platform to take calls')
+        _await_condition(
+            lambda: _patch(fleet, 1).fine, 'the platform to accept calls'
+        )
 
 
-def _calls(fleet: Fleet, since_ms: float) -> list[dict[str, Any]]:
+def _list_calls(fleet: Fleet, since_ms: float) -> list[dict[str, Any]]:
     calls: list[dict[str, Any]] = fleet.platform.log(since_ms)['calls']
     return calls
 
 
 @pytest.mark.process
 class TestLostReply:
-    """A write takes effect and its reply is lost."""
+    """Writes that take effect although the response is lost."""
 
     @pytest.mark.parametrize('lost', [1, 2])
     def test_patch_is_accepted_once(self, fleet: Fleet, lost: int) -> None:
-        """Reading back finds the patch; it made one version."""
+        """Reading the document detects the patch; one version is created."""
         fleet.platform.switch(lose_replies=lost)
         reply = _patch(fleet, 1, patch_id='mine')
         assert reply.status == 200
         assert reply.body['version'] == 2
-        again = _patch(fleet, 1, which=1, patch_id='mine')
+        again = _patch(fleet, 1, daemon_index=1, patch_id='mine')
         assert (again.status, again.body['version']) == (200, 2)
-        history = _page(fleet, '/v1/config/history')['patches']
+        history = _get_page(fleet, '/v1/config/history')['patches']
         assert [record['version'] for record in history] == [1, 2]
 
-    def test_slow_platform_refuses_and_later_takes(self, rig: Rig) -> None:
-        """Where reads time out nothing is written; the same id works later."""
+    def test_patch_succeeds_after_a_slow_platform_recovers(
+        self, rig: Rig
+    ) -> None:
+        """A patch refused after a read timeout can be sent again."""
         tables = {'timeouts': {'platform_ms': 300}}
         specs = daemon_specs(2, tables=tables)
         spec = FleetSpec(fronts=(), daemons=specs)
@@ -172,125 +189,132 @@
         reply = _patch(slow, 1, patch_id='late')
         assert (reply.status, reply.body['verdict']) == (503, 'not_run')
         slow.platform.switch(slow_ms=0)
-        settled = _patch(slow, 1, which=1, patch_id='late')
+        settled = _patch(slow, 1, daemon_index=1, patch_id='late')
         assert (settled.status, settled.body['version']) == (200, 2)
         await_version(slow, 2)
 
 
 @pytest.mark.process
 class TestRace:
-    """Operators patch the same version at once, through all daemons."""
+    """Concurrent patches of the same version through all daemons."""
 
-    def test_one_winner_a_version(self, fleet: Fleet) -> None:
-        """Each round has one winner; losers learn the version in force."""
+    def test_one_patch_wins_per_version(self, fleet: Fleet) -> None:
+        """One patch per round wins; the others get the active version."""
         with futures.ThreadPoolExecutor(8) as operators:
             for base in range(1, 6):
-                enter = functools.partial(_enter_race, fleet, base)
-                replies = list(operators.map(enter, range(8)))
+                send_race_patch = functools.partial(
+                    _send_race_patch, fleet, base
+                )
+                replies = list(operators.map(send_race_patch, range(8)))
                 losers = [reply for reply in replies if reply.status == 409]
                 assert len(losers) == 7
                 assert sum(reply.fine for reply in replies) == 1
                 assert {reply.body['version'] for reply in losers} == {base + 1}
                 assert all(reply.body['changes'] for reply in losers)
         await_version(fleet, 6)
-        history = _page(fleet, '/v1/config/history')['patches']
+        history = _get_page(fleet, '/v1/config/history')['patches']
         assert [record['version'] for record in history] == list(range(1, 7))
 
-    def test_paused_writer_does_no_harm_when_it_wakes(
+    def test_paused_writer_creates_no_second_version(
         self,
         fleet: Fleet,
     ) -> None:
-        """A writer stopped between read and write makes no second version."""
+        """A daemon paused between read and write does not overwrite a patch."""
         fleet.platform.switch(slow_ms=300)
-        began_ms = fleet.platform.log()['now_ms']
+        started_ms = fleet.platform.log()['now_ms']
         with futures.ThreadPoolExecutor(1) as operator:
             paused = operator.submit(_patch, fleet, 1, 0, 'paused', 9)
-            _await(lambda: _calls(fleet, began_ms), 'the writer to read')
+            _await_condition(
+                lambda: _list_calls(fleet, started_ms), 'the writer to read'
+            )
             fleet.daemons['vm-1'].pause()
             fleet.platform.switch(slow_ms=0)
-            other = _patch(fleet, 1, which=1, patch_id='other', weight=8)
+            other = _patch(fleet, 1, daemon_index=1, patch_id='other', weight=8)
             fleet.daemons['vm-1'].resume()
             late = paused.result()
-        settled = _patch(fleet, 1, which=2, patch_id='paused', weight=9)
+        settled = _patch(fleet, 1, daemon_index=2, patch_id='paused', weight=9)
         assert {other.status, settled.status} == {200, 409}
         assert (late.status, settled.status) != (200, 409)
         assert (late.body.get('verdict'), settled.status) != ('not_run', 200)
         await_version(fleet, 2)
-        history = _page(fleet, '/v1/config/history')['patches']
+        history = _get_page(fleet, '/v1/config/history')['patches']
         assert [record['version'] for record in history] == [1, 2]
 
 
 @pytest.mark.process
 class TestWrongValue:
-    """The platform shows what it should not."""
+    """Wrong configuration documents in the key-value service."""
 
-    def test_older_value_reverts_nothing(self, fleet: Fleet) -> None:
-        """An older document is reported, kept out, and not built upon."""
-        older = _page(fleet, '/v1/config')
+    def test_older_document_is_not_activated(self, fleet: Fleet) -> None:
+        """An older document is reported, and patches are refused."""
+        older_document = _get_page(fleet, '/v1/config')
         assert _patch(fleet, 1).fine
         await_version(fleet, 2)
-        fleet.platform.write_document(older)
-        _await(lambda: _has_anomaly(fleet, 'older'), 'the report')
+        fleet.platform.write_document(older_document)
+        _await_condition(lambda: _has_anomaly(fleet, 'older'), 'the report')
         assert _versions(fleet) == [2, 2, 2, 2]
         reply = _patch(fleet, 2)
         assert (reply.status, reply.body['verdict']) == (503, 'not_run')
         assert 'version 2 was already accepted' in reply.body['detail']
 
-    def test_emptied_platform_takes_the_document_back(
+    def test_emptied_platform_accepts_the_restored_document(
         self,
         fleet: Fleet,
     ) -> None:
-        """Patches wait until the document is put back, in any layout."""
+        """Patches are refused until the document is written again."""
         assert _patch(fleet, 1).fine
         await_version(fleet, 2)
-        held = _page(fleet, '/v1/config')
+        active_document = _get_page(fleet, '/v1/config')
         _remove_document(fleet)
-        _await(lambda: _has_anomaly(fleet, 'empty'), 'the report')
+        _await_condition(lambda: _has_anomaly(fleet, 'empty'), 'the report')
         assert _versions(fleet) == [2, 2, 2, 2]
         for base in (0, 2):
             reply = _patch(fleet, base)
             assert (reply.status, reply.body['verdict']) == (503, 'not_run')
-        fleet.platform.write_document(held)
-        _await(lambda: not _has_anomaly(fleet, 'empty'), 'the agreement')
+        fleet.platform.write_document(active_document)
+        _await_condition(
+            lambda: not _has_anomaly(fleet, 'empty'),
+            'the anomaly to be cleared',
+        )
         assert _patch(fleet, 2).body['version'] == 3
         await_version(fleet, 3)
 
-    def test_other_document_of_the_version_is_a_conflict(
+    def test_different_document_of_the_version_is_a_conflict(
         self,
         fleet: Fleet,
     ) -> None:
-        """Two documents of one version are reported, none is exchanged."""
-        held = _page(fleet, '/v1/config')
-        fleet.platform.write_document({**held, 'tenants': {}})
-        _await(lambda: _has_anomaly(fleet, 'conflict'), 'the report')
-        assert _page(fleet, '/v1/config') == held
-
-    def test_unreadable_value_is_reported(self, fleet: Fleet) -> None:
-        """What is no document is kept out, with its faults."""
+        """A second document of one version is reported and not activated."""
+        active_document = _get_page(fleet, '/v1/config')
+        fleet.platform.write_document({**active_document, 'tenants': {}})
+        _await_condition(lambda: _has_anomaly(fleet, 'conflict'), 'the report')
+        assert _get_page(fleet, '/v1/config') == active_document
+
+    def test_invalid_document_is_reported(self, fleet: Fleet) -> None:
+        """An invalid document is reported with its problems, not activated."""
         fleet.platform.write_document({'version': 9, 'nonsense': 1})
-        _await(lambda: _has_anomaly(fleet, 'invalid'), 'the report')
-        assert _versions(fleet) == _ALL_AT_ONE
-        shown = json.dumps(_status(fleet)['anomalies'])
-        assert 'nonsense' in shown
+        _await_condition(lambda: _has_anomaly(fleet, 'invalid'), 'the report')
+        assert _versions(fleet) == _ALL_AT_FIRST
+        status = json.dumps(_status(fleet)['anomalies'])
+        assert 'nonsense' in status
 
-    def test_silent_watch_is_made_up_for_by_reads(self, fleet: Fleet) -> None:
-        """A watch that stalls does not keep a version from coming."""
+    def test_reads_compensate_for_a_stalled_watch(self, fleet: Fleet) -> None:
+        """A new version becomes active although the watch is stalled."""
         fleet.platform.switch(stall_watches=True)
-        held = _page(fleet, '/v1/config')
-        fleet.platform.write_document({**held, 'version': 2})
+        active_document = _get_page(fleet, '/v1/config')
+        fleet.platform.write_document({**active_document, 'version': 2})
         await_version(fleet, 2)
 
 
 @pytest.mark.process
 class TestStatus:
-    """What operators see of the fleet."""
+    """Configuration status and problems for operators."""
 
-    def test_names_who_is_out_of_reach(self, fleet: Fleet) -> None:
-        """A killed daemon is listed with the reason, the rest with ages."""
+    def test_status_lists_unreachable_daemons(self, fleet: Fleet) -> None:
+        """A killed daemon is listed as unreached, the others with ages."""
         fleet.daemons['vm-2'].kill()
-        shown = _status(fleet)
-        assert shown['unreached'] == ['vm-2']
-        for daemon in shown['daemons']:
+        status = _status(fleet)
+        assert status['unreached'] == ['vm-2']
+        for daemon in status['daemons']:
             if daemon['name'] != 'vm-2':
                 assert daemon['config_version'] == 1
                 assert daemon['age_ms'] >= 0
@@ -308,7 +332,7 @@
         body: dict[str, Any],
         path: str,
     ) -> None:
-        """The author of a bad patch reads what is wrong and what is allowed."""
+        """An invalid patch is refused with paths and allowed values."""
         reply = send_patch(fleet.operators[0], body, 1)
         assert (reply.status, reply.body['verdict']) == (400, 'not_run')
         faults = reply.body['problems']
--- a/packages/fennelfork-bench/tests/test_rig_addresses.py
+++ b/packages/fennelfork-bench/tests/test_rig_addresses.py
@@ -1,10 +1,7 @@
-"""Addresses that processes of a rig are told to listen on.
+"""Reservation of listen addresses for processes of a rig.
 
-Seen: now and then a process of a fleet did not come up, and its rig gave up. An
-address was chosen by opening a listener there and closing it; until the process
-that was told of it listened, the system gave the port to the next that wanted
-any. Of 60 addresses chosen so, 3 to 9 went to 800 listeners opened after, and two
-of them might be one. A fleet of some 36 addresses failed so in about one of ten.
+Guards against the kernel assigning a reserved port to another listener before
+the process that the address is reserved for listens.
 """
 
 import contextlib
@@ -12,26 +9,28 @@
 
 from fennelfork_bench.rig._process import rig
 
-_ADDRESSES = 60
-_OTHERS = 800
+_ADDRESS_COUNT = 60
+_LISTENER_COUNT = 800
 
 
 class TestReservedAddresses:
-    """An address stays with whom it was given to."""
-
-    def test_others_get_other_ports(self) -> None:
-        """Neither another reservation nor a listener on any port takes it."""
-        with rig() as processes, contextlib.ExitStack() as others:
-            reserved = {processes.reserve_address() for _ in range(_ADDRESSES)}
-            assert len(reserved) == _ADDRESSES
-            taken = {
-                _address(others.enter_context(_listener(0)))
-                for _ in range(_OTHERS)
+    """Exclusive reservations of addresses."""
+
+    def test_reserved_ports_are_not_reassigned(self) -> None:
+        """Other reservations and listeners get different ports."""
+        with rig() as processes, contextlib.ExitStack() as open_listeners:
+            reserved = {
+                processes.reserve_address() for _ in range(_ADDRESS_COUNT)
+            }
+            assert len(reserved) == _ADDRESS_COUNT
+            assigned = {
+                _address(open_listeners.enter_context(_listener(0)))
+                for _ in range(_LISTENER_COUNT)
             }
-            assert not reserved & taken
+            assert not reserved & assigned
 
-    def test_can_be_listened_on(self) -> None:
-        """The process that was told of it gets it, also a second time."""
+    def test_reserved_address_allows_listening(self) -> None:
+        """A process can listen at the reserved address repeatedly."""
         with rig() as processes:
             address = processes.reserve_address()
             port = int(address.rpartition(':')[2])
--- a/packages/fennelfork-bench/tests/test_rig_fleet.py
+++ b/packages/fennelfork-bench/tests/test_rig_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of the rig: real daemons over the platform's stand-ins."""
+"""Fleet of real daemons with the platform stand-ins."""
 
 import pytest
 
@@ -20,20 +20,20 @@
 
 @pytest.fixture
 def fleet(rig: Rig) -> Fleet:
-    """Give two daemons and one front in force."""
+    """Return a fleet of two daemons with one active front."""
     return start_fleet(rig, small_fleet(2, seed=1))
 
 
-def _listed(fleet: Fleet) -> dict[str, str]:
+def _list_callers(fleet: Fleet) -> dict[str, str]:
     reply = http.get(fleet.platform.vm_list_address, '/v1/vms')
     return {vm['name']: vm['caller'] for vm in reply.body['vms']}
 
 
 class TestFleet:
-    """Starting, patching and replacing."""
+    """Start, configuration patches and replacement of daemons."""
 
-    def test_patch_comes_into_force_everywhere(self, fleet: Fleet) -> None:
-        """A patch taken by one daemon is waited for on all."""
+    def test_patch_is_activated_on_all_daemons(self, fleet: Fleet) -> None:
+        """A patch that one daemon accepts becomes active on all daemons."""
         reply = send_patch(fleet.operators[1], hedge_patch(7), 1)
         await_version(fleet, reply.body['version'])
         assert [version(each) for each in fleet.operators] == [2, 2]
@@ -42,34 +42,36 @@
         self,
         fleet: Fleet,
     ) -> None:
-        """A killed daemon vanishes from the list and comes back elsewhere."""
-        before = _listed(fleet)
+        """A killed daemon is unlisted, and its restart gets a new address."""
+        before = _list_callers(fleet)
         fleet.daemons['vm-1'].kill()
         fleet.list_vms()
-        assert set(_listed(fleet)) == {'vm-2'}
-        ended = fleet.daemons['vm-1']
-        told: list[bool] = []
+        assert set(_list_callers(fleet)) == {'vm-2'}
+        killed = fleet.daemons['vm-1']
+        were_replaced: list[bool] = []
         fleet.start_daemons(
             (fleet.daemon_spec('vm-1'),),
-            lambda process: told.append(fleet.daemons['vm-1'] is ended),
+            lambda process: were_replaced.append(
+                fleet.daemons['vm-1'] is killed
+            ),
         )
-        # Whoever notes its start does so before others ask it.
-        assert told == [True]
-        after = _listed(fleet)
+        # `on_ready` runs before the fleet refers to the new process.
+        assert were_replaced == [True]
+        after = _list_callers(fleet)
         assert after['vm-2'] == before['vm-2']
         assert after['vm-1'] == fleet.daemons['vm-1'].ready['caller']
 
-    def test_caller_finds_every_daemon_and_a_ticket(
+    def test_entries_name_all_daemons_and_a_ticket(
         self,
         fleet: Fleet,
     ) -> None:
-        """An entry answer names the daemons that are listed."""
+        """An entry answer contains all listed daemons and a ticket."""
         reply = Caller(seeds=tuple(fleet.callers)).entries()
-        named = {entry['address'] for entry in reply.body['entries']}
-        assert named == set(fleet.callers)
+        addresses = {entry['address'] for entry in reply.body['entries']}
+        assert addresses == set(fleet.callers)
         assert reply.body['ticket']
 
     def test_usage_of_a_daemon_is_read(self, fleet: Fleet) -> None:
-        """The kernel's figures are there for every daemon."""
+        """The resource usage of every daemon is available."""
         readings = [usage(process.pid) for process in fleet.living]
         assert all(reading.resident_mb > 10 for reading in readings)
--- a/packages/fennelfork-bench/tests/test_rig_process.py
+++ b/packages/fennelfork-bench/tests/test_rig_process.py
@@ -1,4 +1,4 @@
-"""Processes of the rig."""
+"""Start, stop and cleanup of processes of the rig."""
 
 import os
 import sys
@@ -20,10 +20,10 @@
 
 
 class TestRig:
-    """Starting and ending."""
+    """Life cycle of processes."""
 
-    def test_leaving_ends_every_process(self) -> None:
-        """No process and no file is left, also of a paused one."""
+    def test_exit_kills_every_process(self) -> None:
+        """The exit kills a paused process and removes the directory."""
         with rig() as started:
             process = started.start_module('vms', 'fennelfork_bench.vms')
             process.await_ready().pause()
@@ -31,21 +31,21 @@
         assert not _is_running(pid)
         assert not started.directory.exists()
 
-    def test_early_end_is_reported_with_its_errors(self, rig: Rig) -> None:
-        """The error names the process and shows what it wrote."""
+    def test_early_exit_is_reported_with_errors(self, rig: Rig) -> None:
+        """The error contains the process name and its standard error."""
         program = 'import sys; sys.exit("port is taken")'
         process = rig.start('broken', (sys.executable, '-c', program))
         with pytest.raises(RigError, match=r'broken.*port is taken'):
             process.await_ready()
 
     def test_terminate_is_graceful(self, rig: Rig) -> None:
-        """A stand-in ends with status 0 on SIGTERM."""
+        """A stand-in exits with status 0 on SIGTERM."""
         process = rig.start_module('vms', 'fennelfork_bench.vms')
         process.await_ready().terminate()
         assert process.wait(10) == 0
 
     def test_paused_process_answers_once_resumed(self, rig: Rig) -> None:
-        """A paused process keeps its connections but answers nothing."""
+        """A paused process accepts connections but sends no response."""
         process = rig.start_module('vms', 'fennelfork_bench.vms')
         address = process.await_ready().ready['address']
         process.pause()
--- a/packages/fennelfork-bench/tests/test_rig_settings.py
+++ b/packages/fennelfork-bench/tests/test_rig_settings.py
@@ -1,4 +1,4 @@
-"""Files that the rig writes."""
+"""Settings files that the rig generates."""
 
 import tomllib
 
@@ -7,10 +7,10 @@
 
 
 class TestWriteToml:
-    """Nested tables."""
+    """TOML output of nested tables."""
 
-    def test_reads_back_as_written(self) -> None:
-        """Plain entries and nested tables come back from the parser."""
+    def test_round_trip(self) -> None:
+        """Scalars, lists and nested tables survive a round trip."""
         tree = {
             'fronts': {
                 'a': {'keys': 5, 'shards': {'s0': {'list': ['x', 'y']}}},
@@ -23,8 +23,8 @@
 class TestSettings:
     """Settings of daemons."""
 
-    def test_own_tables_add_to_the_common_ones(self) -> None:
-        """A daemon's tables are merged into what the rig sets."""
+    def test_tables_of_a_daemon_override_defaults(self) -> None:
+        """Tables of a daemon are merged into the default tables."""
         spec = daemon_specs(2, tables={'listen': {'peer': '127.0.0.1:9'}})[1]
         read = tomllib.loads(settings_toml(spec, '127.0.0.1:1', '127.0.0.1:2'))
         assert read['daemon'] == {
--- a/packages/fennelfork-bench/tests/test_thin_path.py
+++ b/packages/fennelfork-bench/tests/test_thin_path.py
@@ -1,4 +1,4 @@
-"""A query over separate processes: caller, daemons, backend servers."""
+"""Query through daemon and backend server processes."""
 
 from typing import Any
 
@@ -35,7 +35,7 @@
     return FleetSpec(fronts=(front,), daemons=daemon_specs(3))
 
 
-def _ask(address: str, content: dict[str, Any]) -> http.HttpReply:
+def _query(address: str, content: dict[str, Any]) -> http.HttpReply:
     return http.post(
         address,
         '/v1/fronts/raft-search/query',
@@ -51,23 +51,25 @@
 
 @pytest.mark.process
 class TestThinPath:
-    """One query through a fleet of three daemons."""
+    """Queries to a fleet of three daemons."""
 
-    def test_each_daemon_answers_whole(self) -> None:
-        """Every daemon gives each record once; a bad query is named so."""
-        with rig() as own:
-            fleet = empty_fleet(own, _spec()).start_backends().start_daemons()
+    def test_each_daemon_returns_a_complete_answer(self) -> None:
+        """Each daemon returns every record, and an invalid query is refused."""
+        with rig() as processes:
+            fleet = (
+                empty_fleet(processes, _spec()).start_backends().start_daemons()
+            )
             document = {'version': 1, 'patches': [], **first_patch(fleet)}
             fleet.platform.write_document(document)
             await_version(fleet, 1)
             for address in fleet.callers:
-                reply = _ask(address, {})
+                reply = _query(address, {})
                 assert reply.status == 200, reply.body
                 keys = [record['key'] for record in reply.body['records']]
                 assert keys == list(range(_KEYS))
                 assert reply.body['coverage']['complete'] is True
                 assert reply.body['config_version'] == 1
-            invalid = _ask(fleet.callers[0], {'keys': 'abc'})
+            invalid = _query(fleet.callers[0], {'keys': 'abc'})
             assert (invalid.status, invalid.body['code']) == (
                 400,
                 'bad_request',
