--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_caller.py
@@ -75,8 +75,8 @@
             if reply.fine:
                 break
         if reply.fine:
-            entries = reply.body['entries']
-            self._entries = [entry['address'] for entry in entries]
+            listed = reply.body['entries']
+            self._entries = [entry['address'] for entry in listed]
             self._ticket = _parse_ticket(reply.body)
             ttl_s = reply.body['ttl_ms'] / _MS_PER_S
             self._expires_s = time.monotonic() + ttl_s
@@ -158,13 +158,13 @@
         return addresses[attempt % len(addresses)]
 
 
-def _parse_ticket(entries: Mapping[str, Any]) -> Ticket | None:
-    if not entries.get('ticket'):
+def _parse_ticket(answer: Mapping[str, Any]) -> Ticket | None:
+    if not answer.get('ticket'):
         return None
     return Ticket(
-        text=entries['ticket'],
-        serial=str(entries['ticket_serial']),
-        address=entries['ticket_address'],
+        text=answer['ticket'],
+        serial=str(answer['ticket_serial']),
+        address=answer['ticket_address'],
     )
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_config.py
@@ -94,10 +94,10 @@
         f'version {min_version} on all daemons',
         lambda: str(list(map(version, fleet.operators))),
     )
-    living = {process.name for process in fleet.living}
+    running = {process.name for process in fleet.living}
     wait_until(
         lambda: all(
-            living <= _configured_daemons(each) for each in fleet.operators
+            running <= _configured_daemons(each) for each in fleet.operators
         ),
         _ACTIVATION_TIMEOUT_S,
         'all daemons to list each other as configured',
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_serving.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_serving.py
@@ -97,7 +97,7 @@
     """Close the connection of a request without a response.
 
     Raises:
-        CutError: always, so that the server writes nothing.
+        ConnectionClosedError: always, to keep the server from writing.
     """
     environ['wsgi.input'].get_socket().shutdown(socket.SHUT_RDWR)
     raise ConnectionClosedError
--- a/packages/fennelfork-bench/tests/test_kv.py
+++ b/packages/fennelfork-bench/tests/test_kv.py
@@ -142,8 +142,8 @@
         """The fault revokes leases whose time to live has not expired."""
         lease = key_value.call('/v3/lease/grant', {'TTL': '600'}).body['ID']
         key_value.put('/held', 'mine', lease)
-        lapsed = key_value.call('/control/lapse', {})
-        assert lapsed.body == {'lapsed': 1}
+        response = key_value.call('/control/lapse', {})
+        assert response.body == {'lapsed': 1}
         assert not key_value.read_values('/held')
 
 
