--- a/packages/fennelfork-bench/src/fennelfork_bench/_vms_app.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/_vms_app.py
@@ -8,13 +8,13 @@
 
 from fennelfork import Clock
 from fennelfork_bench.rig._serving import (
-    Answer,
     Json,
+    Response,
     StartResponse,
     TooLargeError,
-    cut,
+    close_connection,
     read_json,
-    send,
+    send_response,
 )
 
 _MAX_BODY_BYTES: Final = 1_048_576
@@ -85,27 +85,31 @@
         try:
             body = read_json(environ, _MAX_BODY_BYTES)
         except (TooLargeError, ValueError) as error:
-            answer = Answer(status=_BAD_REQUEST, body={'detail': str(error)})
-            return send(answer, start_response)
-        return send(self._answer(environ, body), start_response)
+            answer = Response(status=_BAD_REQUEST, body={'detail': str(error)})
+            return send_response(answer, start_response)
+        return send_response(self._answer(environ, body), start_response)
 
-    def _answer(self, environ: Json, body: Json) -> Answer:
+    def _answer(self, environ: Json, body: Json) -> Response:
         route = f'{environ["REQUEST_METHOD"]} {environ["PATH_INFO"]}'
         if route == 'GET /v1/vms':
             self._vm_list.read_count += 1
             if self._vm_list.is_down:
-                cut(environ)
-            return Answer(status=_OK, body={'vms': self._vm_list.visible_vms()})
+                close_connection(environ)
+            return Response(
+                status=_OK, body={'vms': self._vm_list.visible_vms()}
+            )
         if route == 'PUT /control/vms':
             self._vm_list.set_vms(list(body.get('vms', ())))
-            return Answer(status=_OK, body={})
+            return Response(status=_OK, body={})
         if route == 'POST /control/faults':
             self._vm_list.lag_ms = body.get('lag_ms', self._vm_list.lag_ms)
             self._vm_list.is_down = body.get('down', self._vm_list.is_down)
-            return Answer(status=_OK, body={})
+            return Response(status=_OK, body={})
         if route == 'GET /control/log':
-            return Answer(status=_OK, body={'reads': self._vm_list.read_count})
-        return Answer(status='404 Not Found', body={'detail': route})
+            return Response(
+                status=_OK, body={'reads': self._vm_list.read_count}
+            )
+        return Response(status='404 Not Found', body={'detail': route})
 
 
 def application(clock: Clock, lag_ms: float = 0) -> Application:
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_check.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_check.py
@@ -6,7 +6,7 @@
 import attrs
 
 from fennelfork_bench.backend_server._records import record_at
-from fennelfork_bench.rig._caller import Asked
+from fennelfork_bench.rig._caller import RequestResult
 
 _FRONT_SEED: Final = 1
 _TOLERANCE: Final = 1e-6
@@ -27,7 +27,7 @@
     complete: bool = True
 
 
-def find_faults(asked: Asked, expected: ExpectedAnswer) -> list[str]:
+def find_faults(asked: RequestResult, expected: ExpectedAnswer) -> list[str]:
     """Return the faults of an answer; an empty list if it is correct.
 
     Args:
@@ -38,7 +38,7 @@
         Description of each fault.
     """
     body = asked.reply.body
-    if not asked.reply.fine:
+    if not asked.reply.is_success:
         return [f'no answer: {asked.reply.status} {body.get("detail", "")}']
     missing = _missing_keys(body['coverage'])
     checks = (
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_load.py
@@ -53,8 +53,8 @@
 
     def _run_caller(self, number: int) -> None:
         front, tenant = _TENANTS[number % len(_TENANTS)]
-        place = _LOCATIONS[number % len(_LOCATIONS)]
-        caller = Caller(seeds=self._seeds, place=place)
+        entry_query = _LOCATIONS[number % len(_LOCATIONS)]
+        caller = Caller(seeds=self._seeds, entry_query=entry_query)
         for _ in itertools.takewhile(self._is_running, itertools.count()):
             step = self.step
             key = self._randomness.randrange(KEYS)
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_run.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_run.py
@@ -10,7 +10,7 @@
 from fennelfork_bench.demo import _steps as demo_steps
 from fennelfork_bench.demo._fleet import demo_fleet
 from fennelfork_bench.demo._table import Step, steps_table
-from fennelfork_bench.rig._config import await_version, first_patch
+from fennelfork_bench.rig._config import await_version, build_initial_patch
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
 from fennelfork_bench.rig._process import RigError, rig
 from fennelfork_bench.rig._report import Arm, Report
@@ -95,7 +95,7 @@
 
 def _apply_first_patch(fleet: Fleet) -> None:
     path: Path = fleet.rig.directory / 'fronts.toml'
-    path.write_text(write_toml(first_patch(fleet)))
+    path.write_text(write_toml(build_initial_patch(fleet)))
     command = fleet.rig.start(
         'fennelfork-config-patch',
         (
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_steps.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_steps.py
@@ -20,7 +20,7 @@
 )
 from fennelfork_bench.demo._table import Step
 from fennelfork_bench.rig import _http as http
-from fennelfork_bench.rig._caller import Asked, Caller
+from fennelfork_bench.rig._caller import Caller, RequestResult
 from fennelfork_bench.rig._fleet import Fleet
 
 _LOOKUPS: Final = 20
@@ -39,14 +39,14 @@
     """
     step = Step(name='entries')
     caller = Caller(seeds=tuple(fleet.callers))
-    replies = [caller.entries()]
+    replies = [caller.fetch_entries()]
     while _listed_addresses(replies[-1]) != set(fleet.callers):
         if len(replies) == _MAX_ENTRY_REQUESTS:
             break
         time.sleep(_ENTRIES_PAUSE_S)
-        replies.append(caller.entries())
+        replies.append(caller.fetch_entries())
     reply = replies[-1]
-    asked = Asked(
+    asked = RequestResult(
         request_id='',
         reply=reply,
         attempts=len(replies),
@@ -97,7 +97,7 @@
     asked = caller.execute(SALVARE_FRONT, body)
     runs = _count_runs(fleet, asked.request_id)
     step.remark = f'{runs} run(s) in the logs of the backend servers'
-    faults = [] if asked.reply.fine else [_describe_refusal(asked)]
+    faults = [] if asked.reply.is_success else [_describe_refusal(asked)]
     if runs != 1:
         faults.append(f'ran {runs} times')
     step.add(asked, faults)
@@ -122,7 +122,7 @@
     load.step = steps[1]
     time.sleep(_PHASE_S)
     fleet.daemons['vm-2'].kill()
-    fleet.list_vms()
+    fleet.update_vm_list()
     load.step = steps[2]
     time.sleep(_PHASE_S)
     load.stop()
@@ -152,11 +152,11 @@
     return [partial_step, complete_step]
 
 
-def _listed_addresses(reply: http.HttpReply) -> set[str]:
+def _listed_addresses(reply: http.HttpResponse) -> set[str]:
     return {each['address'] for each in reply.body.get('entries', ())}
 
 
-def _describe_refusal(asked: Asked) -> str:
+def _describe_refusal(asked: RequestResult) -> str:
     body = asked.reply.body
     code_and_verdict = (
         f'{body.get("code", asked.reply.fault)}, {body.get("verdict")}'
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_table.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_table.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from fennelfork_bench.rig._caller import Asked
-from fennelfork_bench.rig._report import percentile, table
+from fennelfork_bench.rig._caller import RequestResult
+from fennelfork_bench.rig._report import format_table, percentile
 
 _COLUMNS: Final = (
     'step',
@@ -37,12 +37,12 @@
     """
 
     name: str
-    asked: list[Asked] = attrs.field(factory=list)
+    asked: list[RequestResult] = attrs.field(factory=list)
     faults: list[str] = attrs.field(factory=list)
     wrong_count: int = 0
     remark: str = ''
 
-    def add(self, asked: Asked, faults: list[str]) -> None:
+    def add(self, asked: RequestResult, faults: list[str]) -> None:
         """Record an answer and its faults."""
         self.asked.append(asked)
         self.faults.extend(f'{self.name}: {fault}' for fault in faults)
@@ -78,7 +78,7 @@
 
 def steps_table(steps: list[Step]) -> str:
     """Format the table of all steps."""
-    return table([list(_COLUMNS), *(step.row() for step in steps)])
+    return format_table([list(_COLUMNS), *(step.row() for step in steps)])
 
 
 def _join_distinct(numbers: list[int | None]) -> str:
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_config.py
@@ -83,7 +83,7 @@
         operator = rng.choice(fleet.operators)
         reply = send_patch(operator, hedge_patch(number + 1), base)
         accepted_ms = _CLOCK.now_ms()
-        if not reply.fine:
+        if not reply.is_success:
             raise RigError(
                 f'the daemon at {operator} refused the patch: {reply}'
             )
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_control.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_control.py
@@ -45,7 +45,7 @@
     with rig() as started:
         fleet = start_fleet(started, small_fleet(DEFAULT_DAEMONS, seed))
         time.sleep(_STARTUP_GOSSIP_S)
-        idle = cost_metrics(costs_over(fleet.living, _WINDOW_S))
+        idle = cost_metrics(costs_over(fleet.running_daemons, _WINDOW_S))
         patched = cost_metrics(_patched_costs(fleet))
     arms = (
         Arm(name='rest', metrics=idle),
@@ -59,20 +59,20 @@
 
 
 def _patched_costs(fleet: Fleet) -> list[Cost]:
-    before = read_costs(fleet.living)
+    before = read_costs(fleet.running_daemons)
     base = 1
     for number in range(_WINDOW_S // _PATCH_INTERVAL_S):
         started_ms = _CLOCK.now_ms()
         operator = fleet.operators[number % DEFAULT_DAEMONS]
         reply = send_patch(operator, hedge_patch(number + 1), base)
-        if not reply.fine:
+        if not reply.is_success:
             raise RigError(
                 f'the daemon at {operator} refused the patch: {reply}'
             )
         base = reply.body['version']
         elapsed_s = (_CLOCK.now_ms() - started_ms) / _MS_PER_S
         time.sleep(max(0, _PATCH_INTERVAL_S - elapsed_s))
-    return costs_between(before, read_costs(fleet.living))
+    return costs_between(before, read_costs(fleet.running_daemons))
 
 
 def _interpolated_costs(
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_cost.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_cost.py
@@ -11,7 +11,7 @@
 from fennelfork import system_clock
 from fennelfork_bench.rig._http import get_text
 from fennelfork_bench.rig._process import Process
-from fennelfork_bench.rig._usage import Usage, core_percent, usage
+from fennelfork_bench.rig._usage import Usage, core_percent, read_usage
 
 _CLOCK: Final = system_clock()
 _CONTROL_BYTES: Final = 'fennelfork_control_bytes_total'
@@ -95,7 +95,7 @@
     text = get_text(process.ready['operator'], '/metrics')
     return CostReading(
         at_ms=_CLOCK.now_ms(),
-        used=usage(process.pid),
+        used=read_usage(process.pid),
         control_bytes=sum_metric(text, _CONTROL_BYTES),
     )
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_document.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_document.py
@@ -18,7 +18,7 @@
     structure_document,
 )
 from fennelfork_bench.rig._report import Arm, Report
-from fennelfork_bench.rig._usage import usage
+from fennelfork_bench.rig._usage import read_usage
 
 _SERVERS: Final = (30, 310, 3100)
 _SERVERS_PER_SHARD: Final = 3
@@ -42,12 +42,12 @@
 
 def _arm(servers: int) -> Arm:
     gc.collect()
-    before_mb = usage(os.getpid()).resident_mb
+    before_mb = read_usage(os.getpid()).resident_mb
     raw = render_document(structure_document(document_tree(servers)).unwrap())
     state = config_state(system_clock())
     state.offer(raw, ConfigSource.PEER)
     gc.collect()
-    after_mb = usage(os.getpid()).resident_mb
+    after_mb = read_usage(os.getpid()).resident_mb
     return Arm(
         name=f'servers_{servers}',
         metrics={
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout.py
@@ -69,7 +69,7 @@
             seed=seed,
         )
         warm_up(fleet, load)
-        idle = idle_us_per_s(fleet.living, _IDLE_S)
+        idle = idle_us_per_s(fleet.running_daemons, _IDLE_S)
         return attrs.evolve(measure(fleet, load), idle_us_per_s=idle)
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fleet.py
@@ -7,7 +7,11 @@
 import attrs
 
 from fennelfork_bench.rig import _http as http
-from fennelfork_bench.rig._config import await_version, first_patch, version
+from fennelfork_bench.rig._config import (
+    await_version,
+    build_initial_patch,
+    version,
+)
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
 from fennelfork_bench.rig._process import Rig, RigError
 from fennelfork_bench.rig._specs import (
@@ -88,7 +92,7 @@
 
 def apply_hedge_policy(fleet: Fleet, hedge: dict[str, Any]) -> None:
     """Configure a hedge policy and wait until all daemons use it."""
-    patch = first_patch(fleet)
+    patch = build_initial_patch(fleet)
     patch['fronts'][FRONT]['hedge'] = hedge
     next_version = max(map(version, fleet.operators)) + 1
     document = {'version': max(next_version, 1), 'patches': [], **patch}
@@ -104,7 +108,7 @@
     """
     address = fleet.backends[server].ready['control']
     reply = http.post(address, '/control/faults', faults)
-    if not reply.fine:
+    if not reply.is_success:
         raise RigError(f'backend server {server!r} refused the faults: {reply}')
 
 
@@ -117,7 +121,7 @@
     for process in fleet.backends.values():
         address = process.ready['control']
         reply = http.get(address, '/control/log', _LOG_TIMEOUT_MS)
-        if not reply.fine:
+        if not reply.is_success:
             raise RigError(f'cannot read the log of {process.name}: {reply}')
         yield reply.body
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_load.py
@@ -94,7 +94,7 @@
         on_poll: function called repeatedly until the callers exit.
     """
     counts = sum_server_counts(fleet)
-    daemon_us = processor_us(fleet.living)
+    daemon_us = processor_us(fleet.running_daemons)
     server_us = processor_us(fleet.backends.values())
     started = start_callers(fleet.rig, load)
     while any(process.alive for process in started):
@@ -105,7 +105,7 @@
         required=tally.counts['offered'] * len(fleet.spec.fronts[0].shards),
         tally=tally,
         counts=sum_server_counts(fleet) - counts,
-        daemon_us=processor_us(fleet.living) - daemon_us,
+        daemon_us=processor_us(fleet.running_daemons) - daemon_us,
         server_us=processor_us(fleet.backends.values()) - server_us,
         load_average=os.getloadavg()[0],
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_membership.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_membership.py
@@ -56,7 +56,7 @@
 def _idle_metrics(fleet: Fleet) -> dict[str, float]:
     since_ms = _CLOCK.now_ms()
     reads_before = fleet.platform.vm_list_reads()
-    costs = costs_over(fleet.living, _IDLE_S)
+    costs = costs_over(fleet.running_daemons, _IDLE_S)
     log = fleet.platform.log(since_ms)
     reads = fleet.platform.vm_list_reads() - reads_before
     return {
@@ -70,7 +70,7 @@
 def _false_suspicion_metrics(
     fleet: Fleet, name: str, seconds: float
 ) -> dict[str, float]:
-    suspicions = watch_for_false_suspicions(fleet.living, seconds)
+    suspicions = watch_for_false_suspicions(fleet.running_daemons, seconds)
     suspected = {suspicion.subject for suspicion in suspicions}
     declared_dead = [
         suspicion for suspicion in suspicions if suspicion.state == 'dead'
@@ -97,10 +97,12 @@
 
 def _kill_metrics(fleet: Fleet) -> dict[str, float]:
     times_ms: list[float] = []
-    for process in fleet.living[:_KILLS]:
+    for process in fleet.running_daemons[:_KILLS]:
         process.kill()
         killed_ms = _CLOCK.now_ms()
-        times_ms += detection_times_ms(fleet.living, process.name, killed_ms)
+        times_ms += detection_times_ms(
+            fleet.running_daemons, process.name, killed_ms
+        )
     return {
         'kills': _KILLS,
         'notice_p50_ms': percentile(times_ms, _MEDIAN),
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once.py
@@ -100,15 +100,15 @@
         keys=_SIZE.keys,
     )
     faulty = attrs.evolve(normal, count=_FAULT_COUNT)
-    platform.switch(slow_ms=_RESPONSE_MS)
+    platform.set_faults(slow_ms=_RESPONSE_MS)
     writes_before = _count_writes(fleet)
     arm.normal.append(load.run(normal))
     arm.writes += _count_writes(fleet) - writes_before
-    platform.switch(down=True)
+    platform.set_faults(down=True)
     arm.unavailable.append(load.run(faulty))
-    platform.switch(down=False, slow_ms=_VERY_SLOW_MS)
+    platform.set_faults(down=False, slow_ms=_VERY_SLOW_MS)
     arm.slow.append(load.run(faulty))
-    platform.switch(slow_ms=_RESPONSE_MS)
+    platform.set_faults(slow_ms=_RESPONSE_MS)
     # Claims that timed out still take effect; wait for them before the next
     # arm.
     eventlet.sleep(2 * _VERY_SLOW_MS / _MS_PER_S)
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_claim.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_claim.py
@@ -48,7 +48,7 @@
             ],
         }
         reply = http.post(self.address, '/v3/kv/txn', body, _TIMEOUT_MS)
-        return reply.fine and bool(reply.body.get('succeeded'))
+        return reply.is_success and bool(reply.body.get('succeeded'))
 
 
 def _encoded(text: str) -> str:
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_load.py
@@ -96,7 +96,7 @@
         body = _body(request_id, ticket, key)
         reply = http.post(address, _PATH, body, _RESPONSE_TIMEOUT_MS)
         _record_reply(tally, request_id, reply)
-        if reply.fine:
+        if reply.is_success:
             elapsed_s = time.monotonic() - started_s
             tally.latencies_ms.append(elapsed_s * _MS_PER_S)
 
@@ -124,9 +124,9 @@
 
 
 def _record_reply(
-    tally: OnceTally, request_id: str, reply: http.HttpReply
+    tally: OnceTally, request_id: str, reply: http.HttpResponse
 ) -> None:
-    if reply.fine:
+    if reply.is_success:
         tally.outcomes['done'] += 1
     elif reply.body.get('verdict') == 'not_run':
         tally.outcomes['refused'] += 1
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_outage.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_outage.py
@@ -66,29 +66,29 @@
     fleet: Fleet, load: SteadyLoad, name: str
 ) -> dict[str, float]:
     from_ms = _CLOCK.now_ms()
-    fleet.platform.switch(**_FAULTS[name])
+    fleet.platform.set_faults(**_FAULTS[name])
     time.sleep(_RESTART_AFTER_S)
     refused = send_patch(fleet.operators[0], hedge_patch(2), 1)
     restart_ms = _restart_daemon(fleet)
     time.sleep(_OUTAGE_S - (_CLOCK.now_ms() - from_ms) / _MS_PER_S)
     recovered_ms = _CLOCK.now_ms()
-    fleet.platform.switch(down=False, slow_ms=0, refuse=False)
+    fleet.platform.set_faults(down=False, slow_ms=0, refuse=False)
     time.sleep(_RECOVERY_S)
     calls = fleet.platform.log(from_ms)['calls']
     samples = load.samples_between(from_ms, recovered_ms)
     accepted = send_patch(fleet.operators[0], hedge_patch(3), 1)
-    if accepted.fine:
+    if accepted.is_success:
         await_version(fleet, accepted.body['version'])
     return {
         **load_metrics(samples),
-        'patches_taken': int(refused.fine),
+        'patches_taken': int(refused.is_success),
         'restart_ms': restart_ms,
         'calls_while_away': _count_calls(calls, from_ms, recovered_ms),
         'calls_first_second': _count_calls(
             calls, recovered_ms, recovered_ms + _MS_PER_S
         ),
         'calls_after': _count_calls(calls, recovered_ms, _CLOCK.now_ms()),
-        'lost_patch': int(not accepted.fine),
+        'lost_patch': int(not accepted.is_success),
     }
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_patch_race.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_patch_race.py
@@ -75,7 +75,7 @@
         patch_id = f'{author}-{accepted_count + 1}'
         patch = {'tenants': {author: {'weight': accepted_count + 1}}}
         reply = send_patch(address, patch, base, author, patch_id)
-        if reply.fine:
+        if reply.is_success:
             accepted_count += 1
             log.accepted[patch_id] = reply.body[_VERSION]
         elif reply.status == _CONFLICT:
@@ -102,9 +102,9 @@
 
 def _lose_replies(fleet: Fleet, log: RaceLog) -> None:
     while not log.is_over:
-        fleet.platform.switch(lose_replies=1)
+        fleet.platform.set_faults(lose_replies=1)
         time.sleep(_LOSS_PAUSE_S)
-    fleet.platform.switch(lose_replies=0)
+    fleet.platform.set_faults(lose_replies=0)
 
 
 def _counts(fleet: Fleet, log: RaceLog) -> dict[str, float]:
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_processor_time.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_processor_time.py
@@ -5,14 +5,14 @@
 from typing import Final
 
 from fennelfork_bench.rig._process import Process
-from fennelfork_bench.rig._usage import usage
+from fennelfork_bench.rig._usage import read_usage
 
 _US_PER_MS: Final = 1000
 
 
 def processor_us(processes: Iterable[Process]) -> float:
     """Return the total processor time of running processes."""
-    return _US_PER_MS * sum(usage(each.pid).cpu_ms for each in processes)
+    return _US_PER_MS * sum(read_usage(each.pid).cpu_ms for each in processes)
 
 
 def idle_us_per_s(processes: Iterable[Process], duration_s: float) -> float:
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_steady_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_steady_load.py
@@ -12,7 +12,7 @@
 from fennelfork import system_clock
 from fennelfork_bench.demo._check import ExpectedAnswer, find_faults
 from fennelfork_bench.experiments._small_fleet import FRONT, KEYS
-from fennelfork_bench.rig._caller import Asked, Caller
+from fennelfork_bench.rig._caller import Caller, RequestResult
 from fennelfork_bench.rig._report import percentile
 
 _CLOCK: Final = system_clock()
@@ -31,13 +31,13 @@
     """
 
     at_ms: float
-    result: Asked
+    result: RequestResult
     faults: tuple[str, ...]
 
     @property
     def failed(self) -> bool:
         """Whether the request ended without a successful answer."""
-        return not self.result.reply.fine
+        return not self.result.reply.is_success
 
 
 @attrs.define(kw_only=True)
@@ -101,7 +101,7 @@
         'requests': len(samples),
         'failed': sum(sample.failed for sample in samples),
         'wrong': len(wrong),
-        'cut': sum(len(sample.result.cuts) for sample in samples),
+        'cut': sum(len(sample.result.connection_errors) for sample in samples),
         'p99_ms': percentile(times_ms, _P99) if times_ms else 0,
         **_failures_by_code(samples),
     }
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv.py
@@ -24,7 +24,7 @@
         writes_per_s: maximum rate of writes per second; 0 means no limit.
     """
     built = application(system_clock(), reads_per_s, writes_per_s)
-    eventlet.spawn(built.expire_forever)
+    eventlet.spawn(built.run_lease_expiry)
     serve(listen, built)
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_app.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_app.py
@@ -21,13 +21,13 @@
 from fennelfork_bench.kv_service._log import CallLog, CallRecord, Outcome
 from fennelfork_bench.kv_service._stream import WatchStreams
 from fennelfork_bench.rig._serving import (
-    Answer,
     Json,
+    Response,
     StartResponse,
     TooLargeError,
-    cut,
+    close_connection,
     read_json,
-    send,
+    send_response,
 )
 
 _MAX_BODY_BYTES: Final = 1_572_864
@@ -68,15 +68,17 @@
                 _INVALID_ARGUMENT,
                 'etcdserver: request is too large',
             )
-            return send(answer, start_response)
+            return send_response(answer, start_response)
         except ValueError as error:
             answer = build_error(_BAD_REQUEST, _INVALID_ARGUMENT, str(error))
-            return send(answer, start_response)
+            return send_response(answer, start_response)
         if path.startswith('/control/'):
-            return send(self._control.answer(environ, body), start_response)
+            return send_response(
+                self._control.answer(environ, body), start_response
+            )
         return self._handle_call(environ, body, start_response)
 
-    def expire_forever(self) -> None:
+    def run_lease_expiry(self) -> None:
         """Revoke expired leases in a loop that runs in a green thread."""
         for _ in itertools.count():
             self._service.leases.revoke_expired()
@@ -93,7 +95,7 @@
             eventlet.sleep(self._faults.slow_ms / _MS_PER_S)
         if self._faults.down:
             self._record_call(environ, Outcome.CUT)
-            cut(environ)
+            close_connection(environ)
         limiter = (
             self._write_limiter
             if path in WRITE_HANDLERS
@@ -101,7 +103,7 @@
         )
         if self._faults.refuse or not limiter.try_acquire():
             self._record_call(environ, Outcome.REFUSED)
-            return send(_build_rate_limit_error(), start_response)
+            return send_response(_build_rate_limit_error(), start_response)
         if path == _WATCH_PATH:
             self._record_call(environ, Outcome.DONE)
             environ['eventlet.minimum_write_chunk_size'] = 1
@@ -114,13 +116,13 @@
             and self._faults.consume_lost_reply()
         ):
             self._record_call(environ, Outcome.REPLY_LOST)
-            cut(environ)
+            close_connection(environ)
         self._record_call(
             environ, Outcome.DONE if has_succeeded else Outcome.REJECTED
         )
-        return send(answer, start_response)
+        return send_response(answer, start_response)
 
-    def _run_handler(self, path: str, body: Json) -> Answer:
+    def _run_handler(self, path: str, body: Json) -> Response:
         handler = READ_HANDLERS.get(path) or WRITE_HANDLERS.get(path)
         if handler is None:
             return build_error('404 Not Found', _INVALID_ARGUMENT, 'Not Found')
@@ -171,7 +173,7 @@
     )
 
 
-def _build_rate_limit_error() -> Answer:
+def _build_rate_limit_error() -> Response:
     return build_error(
         '429 Too Many Requests',
         _UNAVAILABLE,
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_control.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_control.py
@@ -10,7 +10,7 @@
 from fennelfork_bench.kv_service._handlers import KeyValueService, build_error
 from fennelfork_bench.kv_service._log import CallLog
 from fennelfork_bench.kv_service._store import EMPTY_BACKUP, Backup
-from fennelfork_bench.rig._serving import Answer, Json
+from fennelfork_bench.rig._serving import Json, Response
 
 _OK: Final = '200 OK'
 _INVALID_ARGUMENT: Final = 3
@@ -26,7 +26,7 @@
     _log: CallLog
     _backup: Backup = EMPTY_BACKUP
 
-    def answer(self, environ: Json, body: Json) -> Answer:
+    def answer(self, environ: Json, body: Json) -> Response:
         """Return the response to one request below `/control/`."""
         path = environ['PATH_INFO']
         handlers = {
@@ -40,14 +40,14 @@
         if path == '/control/log':
             query = parse_qs(environ.get('QUERY_STRING', ''))
             since_ms = float(query.get('since_ms', ['0'])[0])
-            return Answer(status=_OK, body=self._describe_state(since_ms))
+            return Response(status=_OK, body=self._describe_state(since_ms))
         if path not in handlers:
             return build_error(
                 '404 Not Found', _INVALID_ARGUMENT, 'no such control'
             )
-        return Answer(status=_OK, body=handlers[path]())
+        return Response(status=_OK, body=handlers[path]())
 
-    def _set_faults(self, body: Json) -> Answer:
+    def _set_faults(self, body: Json) -> Response:
         known = attrs.asdict(self._faults)
         unknown = sorted(set(body) - set(known))
         if unknown:
@@ -55,7 +55,7 @@
             return build_error('400 Bad Request', _INVALID_ARGUMENT, text)
         for name, setting in body.items():
             setattr(self._faults, name, setting)
-        return Answer(status=_OK, body=attrs.asdict(self._faults))
+        return Response(status=_OK, body=attrs.asdict(self._faults))
 
     def _revoke_leases(self) -> Json:
         return {'lapsed': self._service.leases.revoke_all()}
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_handlers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_handlers.py
@@ -12,7 +12,7 @@
 from fennelfork_bench.kv_service._messages import Operation, Transaction
 from fennelfork_bench.kv_service._store import KeyValueStore
 from fennelfork_bench.kv_service._watch import WatchHub
-from fennelfork_bench.rig._serving import Answer, Json
+from fennelfork_bench.rig._serving import Json, Response
 
 _OK: Final = '200 OK'
 _LEASE_ID: Final = 'ID'
@@ -37,12 +37,12 @@
     return KeyValueService(store=store, leases=leases, hub=hub)
 
 
-def handle_range(service: KeyValueService, body: Json) -> Answer:
+def handle_range(service: KeyValueService, body: Json) -> Response:
     """Handle `/v3/kv/range`."""
     return _run_operation(service, decoding.decode_range(body))
 
 
-def handle_put(service: KeyValueService, body: Json) -> Answer:
+def handle_put(service: KeyValueService, body: Json) -> Response:
     """Handle `/v3/kv/put`."""
     put = decoding.decode_put(body)
     if put.lease and service.leases.find_active(put.lease) is None:
@@ -50,12 +50,12 @@
     return _run_operation(service, put)
 
 
-def handle_delete(service: KeyValueService, body: Json) -> Answer:
+def handle_delete(service: KeyValueService, body: Json) -> Response:
     """Handle `/v3/kv/deleterange`."""
     return _run_operation(service, decoding.decode_delete(body))
 
 
-def handle_txn(service: KeyValueService, body: Json) -> Answer:
+def handle_txn(service: KeyValueService, body: Json) -> Response:
     """Handle `/v3/kv/txn`."""
     transaction = decoding.decode_transaction(body)
     for lease in {getattr(each, 'lease', 0) for each in transaction.success} - {
@@ -65,52 +65,54 @@
             return build_lease_error()
     reply = service.store.commit(transaction)
     revision = service.store.revision
-    return Answer(status=_OK, body=encoding.encode_transaction(reply, revision))
+    return Response(
+        status=_OK, body=encoding.encode_transaction(reply, revision)
+    )
 
 
-def handle_grant(service: KeyValueService, body: Json) -> Answer:
+def handle_grant(service: KeyValueService, body: Json) -> Response:
     """Handle `/v3/lease/grant`."""
     ttl_s = decoding.decode_int(body, 'TTL')
     if ttl_s < 1:
         raise decoding.BadRequestError('TTL: at least 1')
     lease = service.leases.grant(ttl_s, decoding.decode_int(body, _LEASE_ID))
     revision = service.store.revision
-    return Answer(
+    return Response(
         status=_OK,
         body=encoding.encode_lease(lease, lease.lease_id, revision),
     )
 
 
-def handle_revoke(service: KeyValueService, body: Json) -> Answer:
+def handle_revoke(service: KeyValueService, body: Json) -> Response:
     """Handle `/v3/lease/revoke`."""
     if not service.leases.revoke(decoding.decode_int(body, _LEASE_ID)):
         return build_lease_error()
-    return Answer(
+    return Response(
         status=_OK,
         body={'header': encoding.encode_header(service.store.revision)},
     )
 
 
-def handle_keep_alive(service: KeyValueService, body: Json) -> Answer:
+def handle_keep_alive(service: KeyValueService, body: Json) -> Response:
     """Handle `/v3/lease/keepalive` with a stream of one message."""
     lease_id = decoding.decode_int(body, _LEASE_ID)
     lease = service.leases.keep_alive(lease_id)
     revision = service.store.revision
-    return Answer(
+    return Response(
         status=_OK,
         body={'result': encoding.encode_lease(lease, lease_id, revision)},
     )
 
 
-def build_error(status: str, code: int, text: str) -> Answer:
+def build_error(status: str, code: int, text: str) -> Response:
     """Build an error response in the format of the etcd gateway."""
-    return Answer(
+    return Response(
         status=status,
         body={'error': text, 'code': code, 'message': text},
     )
 
 
-def build_lease_error() -> Answer:
+def build_lease_error() -> Response:
     """Build the error response for a lease that is not active."""
     return build_error(
         '404 Not Found',
@@ -119,7 +121,7 @@
     )
 
 
-Handler = Callable[[KeyValueService, Json], Answer]
+Handler = Callable[[KeyValueService, Json], Response]
 
 READ_HANDLERS: Final[dict[str, Handler]] = {
     '/v3/kv/range': handle_range,
@@ -135,11 +137,11 @@
 }
 
 
-def _run_operation(service: KeyValueService, operation: Operation) -> Answer:
+def _run_operation(service: KeyValueService, operation: Operation) -> Response:
     transaction = Transaction(compares=(), success=(operation,), failure=())
     reply = service.store.commit(transaction)
     header = encoding.encode_header(service.store.revision)
-    return Answer(
+    return Response(
         status=_OK,
         body={'header': header, **encoding.encode_reply(reply.replies[0])},
     )
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_stream.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_stream.py
@@ -15,9 +15,9 @@
 from fennelfork_bench.rig._serving import (
     Json,
     StartResponse,
-    cut,
+    close_connection,
     is_peer_closed,
-    send,
+    send_response,
 )
 
 _POLL_INTERVAL_S: Final = 0.005
@@ -46,7 +46,7 @@
             error_answer = build_error(
                 '400 Bad Request', _INVALID_ARGUMENT, str(error)
             )
-            return send(error_answer, start_response)
+            return send_response(error_answer, start_response)
         start_response('200 OK', [('Content-Type', 'application/json')])
         start_revision = decoding.decode_int(request, 'start_revision')
         if 0 < start_revision <= self._service.store.compacted_revision:
@@ -63,7 +63,7 @@
             self._service.hub.close(watch)
             raise
         self._service.hub.close(watch)
-        cut(environ)
+        close_connection(environ)
 
     def _generate_messages(
         self, environ: Json, watch: Watch
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_caller.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Asked:
+class RequestResult:
     """Outcome of one request after all of its attempts.
 
     Attributes:
@@ -29,10 +29,10 @@
     """
 
     request_id: str
-    reply: http.HttpReply
+    reply: http.HttpResponse
     attempts: int
     took_ms: float
-    cuts: tuple[str, ...] = ()
+    connection_errors: tuple[str, ...] = ()
 
 
 @attrs.frozen(kw_only=True)
@@ -56,25 +56,25 @@
 
     Attributes:
         seeds: caller addresses for the first request for entries.
-        place: query string of `GET /v1/entries`.
+        entry_query: query string of `GET /v1/entries`.
     """
 
     seeds: tuple[str, ...]
-    place: str = ''
+    entry_query: str = ''
     _entries: list[str] = attrs.field(factory=list)
     _ticket: Ticket | None = None
     _expires_s: float = 0
 
-    def entries(self) -> http.HttpReply:
+    def fetch_entries(self) -> http.HttpResponse:
         """Fetch and cache the entries; return the last response."""
-        reply = http.HttpReply(status=0, body={})
+        reply = http.HttpResponse(status=0, body={})
         for seed in (*self._entries, *self.seeds):
             reply = http.get(
-                seed, f'/v1/entries{self.place}', _ATTEMPT_TIMEOUT_MS
+                seed, f'/v1/entries{self.entry_query}', _ATTEMPT_TIMEOUT_MS
             )
-            if reply.fine:
+            if reply.is_success:
                 break
-        if reply.fine:
+        if reply.is_success:
             listed = reply.body['entries']
             self._entries = [entry['address'] for entry in listed]
             self._ticket = _parse_ticket(reply.body)
@@ -87,7 +87,7 @@
         front: str,
         body: Mapping[str, Any],
         retry_timeout_ms: float = _DEADLINE_MS,
-    ) -> Asked:
+    ) -> RequestResult:
         """Send a query and retry at other addresses until the timeout.
 
         Args:
@@ -103,23 +103,25 @@
             **body,
         }
         started_s = time.monotonic()
-        replies: list[http.HttpReply] = []
+        replies: list[http.HttpResponse] = []
         while not replies or _is_retryable(replies[-1]):
             if replies and _elapsed_ms(started_s) >= retry_timeout_ms:
                 break
             address = self._select_address(len(replies))
             replies.append(http.post(address, path, request))
-            if not replies[-1].fine:
+            if not replies[-1].is_success:
                 time.sleep(_RETRY_DELAY_S)
-        return Asked(
+        return RequestResult(
             request_id=request_id,
             reply=replies[-1],
             attempts=len(replies),
             took_ms=_elapsed_ms(started_s),
-            cuts=tuple(each.fault for each in replies if not each.status),
+            connection_errors=tuple(
+                each.fault for each in replies if not each.status
+            ),
         )
 
-    def execute(self, front: str, body: Mapping[str, Any]) -> Asked:
+    def execute(self, front: str, body: Mapping[str, Any]) -> RequestResult:
         """Send one attempt of a non-idempotent request.
 
         Args:
@@ -130,7 +132,7 @@
             RigError: if no daemon issued a ticket.
         """
         if time.monotonic() >= self._expires_s:
-            self.entries()
+            self.fetch_entries()
         ticket = self._ticket
         if ticket is None:
             raise RigError('no daemon issued a ticket')
@@ -144,7 +146,7 @@
         }
         path = f'/v1/fronts/{front}/execute'
         reply = http.post(ticket.address, path, request)
-        return Asked(
+        return RequestResult(
             request_id=request_id,
             reply=reply,
             attempts=1,
@@ -153,7 +155,7 @@
 
     def _select_address(self, attempt: int) -> str:
         if time.monotonic() >= self._expires_s:
-            self.entries()
+            self.fetch_entries()
         addresses = self._entries or list(self.seeds)
         return addresses[attempt % len(addresses)]
 
@@ -168,7 +170,7 @@
     )
 
 
-def _is_retryable(reply: http.HttpReply) -> bool:
+def _is_retryable(reply: http.HttpResponse) -> bool:
     # A problem without `retry_after_ms` is permanent.
     return not reply.status or 'retry_after_ms' in reply.body
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_config.py
@@ -31,13 +31,13 @@
     Raises:
         RigError: if the patch is refused or not activated in time.
     """
-    reply = send_patch(fleet.operators[0], first_patch(fleet), 0)
-    if not reply.fine:
+    reply = send_patch(fleet.operators[0], build_initial_patch(fleet), 0)
+    if not reply.is_success:
         raise RigError(f'the initial configuration patch was refused: {reply}')
     await_version(fleet, 1)
 
 
-def first_patch(fleet: Fleet) -> Any:
+def build_initial_patch(fleet: Fleet) -> Any:
     """Build the patch that creates every front of the spec."""
     addresses = {
         name: process.ready['address']
@@ -52,7 +52,7 @@
     base: int,
     author: str = 'rig',
     patch_id: str = '',
-) -> http.HttpReply:
+) -> http.HttpResponse:
     """Send one configuration patch to one daemon.
 
     Args:
@@ -74,7 +74,7 @@
 def version(operator: str) -> int:
     """Return the active version of one daemon; -1 without a response."""
     reply = http.get(operator, '/v1/config')
-    if not reply.fine:
+    if not reply.is_success:
         return -1
     return int(reply.body.get('version', -1))
 
@@ -94,7 +94,7 @@
         f'version {min_version} on all daemons',
         lambda: str(list(map(version, fleet.operators))),
     )
-    running = {process.name for process in fleet.living}
+    running = {process.name for process in fleet.running_daemons}
     wait_until(
         lambda: all(
             running <= _configured_daemons(each) for each in fleet.operators
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_fleet.py
@@ -30,19 +30,19 @@
     _leaving: set[str] = attrs.field(factory=set)
 
     @property
-    def living(self) -> list[Process]:
+    def running_daemons(self) -> list[Process]:
         """Daemons whose process is running."""
         return [each for each in self.daemons.values() if each.alive]
 
     @property
     def callers(self) -> list[str]:
         """Caller addresses of the running daemons."""
-        return [each.ready['caller'] for each in self.living]
+        return [each.ready['caller'] for each in self.running_daemons]
 
     @property
     def operators(self) -> list[str]:
         """Operator addresses of the running daemons."""
-        return [each.ready['operator'] for each in self.living]
+        return [each.ready['operator'] for each in self.running_daemons]
 
     def start_backends(self) -> Self:
         """Start every backend server and wait until all are ready."""
@@ -75,7 +75,7 @@
             on_ready(process)
             self.daemons[process.name] = process
             self._leaving.discard(process.name)
-        self.list_vms()
+        self.update_vm_list()
         self._await_members(started)
         return self
 
@@ -83,21 +83,23 @@
         """Return the spec of a daemon by name."""
         return next(each for each in self.spec.daemons if each.name == name)
 
-    def mark_leaving(self, name: str) -> None:
+    def list_as_leaving(self, name: str) -> None:
         """Report the VM of a daemon as leaving in the VM list."""
         self._leaving.add(name)
-        self.list_vms()
+        self.update_vm_list()
 
-    def list_vms(self) -> None:
+    def update_vm_list(self) -> None:
         """Update the VM list to the VMs of the running daemons."""
-        specs = [self.daemon_spec(each.name) for each in self.living]
-        self.platform.list_vms([self._describe_vm(spec) for spec in specs])
+        specs = [self.daemon_spec(each.name) for each in self.running_daemons]
+        self.platform.update_vm_list(
+            [self._describe_vm(spec) for spec in specs]
+        )
 
     def _await_members(self, started: list[Process]) -> None:
         """Wait until started daemons know each other and one older daemon."""
         names = {process.name for process in started}
         min_members = len(names)
-        if len(self.living) > min_members:
+        if len(self.running_daemons) > min_members:
             min_members += 1
         wait_until(
             lambda: all(
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_http.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_http.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class HttpReply:
+class HttpResponse:
     """HTTP response, or the error that prevented a response.
 
     Attributes:
@@ -29,7 +29,7 @@
     fault: str = ''
 
     @property
-    def fine(self) -> bool:
+    def is_success(self) -> bool:
         """Whether the response has a status code of success."""
         return 0 < self.status < _MIN_REDIRECT_STATUS
 
@@ -41,7 +41,9 @@
 )
 
 
-def get(address: str, path: str, timeout_ms: float = _TIMEOUT_MS) -> HttpReply:
+def get(
+    address: str, path: str, timeout_ms: float = _TIMEOUT_MS
+) -> HttpResponse:
     """Send a GET request; see `request`."""
     return request('GET', f'http://{address}{path}', None, timeout_ms)
 
@@ -64,12 +66,12 @@
     path: str,
     body: Mapping[str, Any],
     timeout_ms: float = _TIMEOUT_MS,
-) -> HttpReply:
+) -> HttpResponse:
     """Send a POST request; see `request`."""
     return request('POST', f'http://{address}{path}', body, timeout_ms)
 
 
-def put(address: str, path: str, body: Mapping[str, Any]) -> HttpReply:
+def put(address: str, path: str, body: Mapping[str, Any]) -> HttpResponse:
     """Send a PUT request; see `request`."""
     return request('PUT', f'http://{address}{path}', body)
 
@@ -79,7 +81,7 @@
     url: str,
     body: Mapping[str, Any] | None,
     timeout_ms: float = _TIMEOUT_MS,
-) -> HttpReply:
+) -> HttpResponse:
     """Send one HTTP request without retries.
 
     Args:
@@ -101,8 +103,8 @@
             timeout=timeout_ms / _MS_PER_S,
         )
     except urllib3.exceptions.HTTPError as error:
-        return HttpReply(status=0, body={}, fault=type(error).__name__)
-    return HttpReply(status=reply.status, body=_decode_object(reply.data))
+        return HttpResponse(status=0, body={}, fault=type(error).__name__)
+    return HttpResponse(status=reply.status, body=_decode_object(reply.data))
 
 
 def _decode_object(raw: bytes) -> dict[str, Any]:
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_platform.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_platform.py
@@ -32,14 +32,14 @@
         """Address of the VM list."""
         return self.vm_list.ready[_ADDRESS_KEY]
 
-    def switch(self, **faults: Any) -> None:
+    def set_faults(self, **faults: Any) -> None:
         """Set faults of the key-value service.
 
         Raises:
             RigError: if the service refuses the faults.
         """
         reply = http.post(self.key_value_address, '/control/faults', faults)
-        if not reply.fine:
+        if not reply.is_success:
             raise RigError(f'the faults {faults} were refused: {reply.body}')
 
     def log(self, since_ms: float = 0) -> dict[str, Any]:
@@ -52,7 +52,7 @@
         reply = http.get(self.vm_list_address, '/control/log')
         return int(reply.body['reads'])
 
-    def list_vms(self, vms: Sequence[Mapping[str, str]]) -> None:
+    def update_vm_list(self, vms: Sequence[Mapping[str, str]]) -> None:
         """Replace the VMs of the VM list."""
         http.put(self.vm_list_address, '/control/vms', {'vms': vms})
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_report.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_report.py
@@ -49,10 +49,10 @@
         rows = [['', *arm_names]]
         for name in dict.fromkeys(_metric_names(self.arms)):
             rows.append([name, *_format_metrics(self.arms, name)])
-        return '\n'.join((table(rows), *self.failures))
+        return '\n'.join((format_table(rows), *self.failures))
 
 
-def table(rows: list[list[str]]) -> str:
+def format_table(rows: list[list[str]]) -> str:
     """Format rows of equal length as aligned columns."""
     columns = zip(*rows, strict=True)
     widths = [max(map(len, column)) for column in columns]
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_serving.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_serving.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Answer:
+class Response:
     """Complete response of a stand-in."""
 
     status: str
@@ -82,7 +82,9 @@
     return body
 
 
-def send(answer: Answer, start_response: StartResponse) -> list[bytes]:
+def send_response(
+    answer: Response, start_response: StartResponse
+) -> list[bytes]:
     """Send a complete JSON response."""
     payload = json.dumps(answer.body, separators=(',', ':')).encode()
     headers = [
@@ -93,7 +95,7 @@
     return [payload]
 
 
-def cut(environ: Json) -> None:
+def close_connection(environ: Json) -> None:
     """Close the connection of a request without a response.
 
     Raises:
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_usage.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_usage.py
@@ -30,7 +30,7 @@
     private_mb: float = 0
 
 
-def usage(pid: int) -> Usage:
+def read_usage(pid: int) -> Usage:
     """Return the resource usage of a process.
 
     Raises:
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_caller.py
@@ -114,7 +114,7 @@
             body = {'key': key, 'action': 'issue', 'ticket': entry.ticket}
             end = self._send(asked, 'execute', body)
             step = once_caller.next_step(
-                to_caller_event(end), self._ticket_left_ms(entry)
+                build_caller_event(end), self._ticket_left_ms(entry)
             )
             next_entry = self._entry_for_retry(entry, step)
             if next_entry is None:
@@ -184,7 +184,7 @@
         return {'keys': self._randomness.sample(all_keys, _KEYS_PER_QUERY)}
 
 
-def to_caller_event(end: Ended) -> CallerEvent:
+def build_caller_event(end: Ended) -> CallerEvent:
     """Convert the end of an attempt to an event for `OnceCaller`."""
     if isinstance(end, ConnectRefused):
         return ConnectFailed()
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_config_versions.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_config_versions.py
@@ -21,7 +21,7 @@
     """Record the active version of a daemon if the daemon answers."""
     address = daemon.ready['operator']
     reply = http.get(address, '/v1/config', _REQUEST_TIMEOUT_MS)
-    if reply.fine and 'version' in reply.body:
+    if reply.is_success and 'version' in reply.body:
         text = json.dumps(reply.body, sort_keys=True).encode()
         recorder.record_event(
             VersionSeen(
@@ -44,7 +44,7 @@
         '/v3/kv/range',
         {'key': _CONFIG_KEY_BASE64},
     )
-    if not reply.fine or not reply.body.get('kvs'):
+    if not reply.is_success or not reply.body.get('kvs'):
         raise RigError(
             f'the key-value store has no configuration document: {reply}'
         )
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_entry.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_entry.py
@@ -63,7 +63,7 @@
             asked_ms = self._clock.now_ms()
             reply = http.get(address, '/v1/entries', _REQUEST_TIMEOUT_MS)
             # A leaving daemon lists other daemons but issues no ticket.
-            if reply.fine and reply.body['ticket']:
+            if reply.is_success and reply.body['ticket']:
                 return _parse_entry(reply.body, asked_ms)
         return None
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
@@ -41,7 +41,7 @@
     context.recorder.record_event(
         Killed(at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']),
     )
-    context.fleet.list_vms()
+    context.fleet.update_vm_list()
     return functools.partial(_restart, context, daemon)
 
 
@@ -58,7 +58,7 @@
 @inject.register
 def _inject_stop(fault: StopDaemon, context: RoundContext) -> Clear:
     daemon = _draw_daemon(context)
-    context.fleet.mark_leaving(daemon.name)
+    context.fleet.list_as_leaving(daemon.name)
     context.recorder.record_event(
         StopAsked(
             at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']
@@ -101,4 +101,4 @@
 
 
 def _draw_daemon(context: RoundContext) -> Process:
-    return context.randomness.choice(context.fleet.living)
+    return context.randomness.choice(context.fleet.running_daemons)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_platform.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_platform.py
@@ -40,9 +40,9 @@
     fault: PlatformFault, context: RoundContext
 ) -> Clear:
     platform = context.fleet.platform
-    platform.switch(**fault.switches)
+    platform.set_faults(**fault.switches)
     healthy = {name: _HEALTHY_SWITCHES[name] for name in fault.switches}
-    return functools.partial(platform.switch, **healthy)
+    return functools.partial(platform.set_faults, **healthy)
 
 
 @inject.register
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_operator.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_operator.py
@@ -17,7 +17,7 @@
     PatchUnknown,
 )
 from fennelfork_bench.rig import _config as rig_config
-from fennelfork_bench.rig._http import HttpReply
+from fennelfork_bench.rig._http import HttpResponse
 
 _MAX_ATTEMPTS: Final = 4
 _RETRY_DELAY_S: Final = 0.2
@@ -79,13 +79,13 @@
         )
         return self._classify_reply(patch_id, reply)
 
-    def _classify_reply(self, patch_id: str, reply: HttpReply) -> PatchEvent:
+    def _classify_reply(self, patch_id: str, reply: HttpResponse) -> PatchEvent:
         common_fields: dict[str, Any] = {
             'at_ms': self.recorder.now_ms(),
             'operator': self.name,
             'patch_id': patch_id,
         }
-        if reply.fine:
+        if reply.is_success:
             return PatchAccepted(**common_fields, version=reply.body['version'])
         if reply.body.get('verdict') == _NOT_RUN:
             return PatchRefused(**common_fields, code=reply.body['code'])
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_replies.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_replies.py
@@ -19,7 +19,7 @@
     RecordSeen,
     Refused,
 )
-from fennelfork_bench.rig._http import HttpReply
+from fennelfork_bench.rig._http import HttpResponse
 
 _MAX_EXCERPT_CHARS: Final = 300
 # Errors of the HTTP library that occur before any byte is sent.
@@ -28,7 +28,7 @@
 _Fields = dict[str, Any]
 
 
-def classify_reply(asked: Asked, reply: HttpReply, at_ms: float) -> Ended:
+def classify_reply(asked: Asked, reply: HttpResponse, at_ms: float) -> Ended:
     """Return the event that ends an attempt.
 
     Args:
@@ -43,7 +43,7 @@
         return kind(**common_fields, detail=reply.fault)
     parse = (
         functools.partial(_parse_answer, asked)
-        if reply.fine
+        if reply.is_success
         else _parse_refusal
     )
     return _parse_or_malformed(parse, reply, common_fields)
@@ -51,7 +51,7 @@
 
 def _parse_or_malformed(
     parse: Callable[[_Fields, _Fields], Ended],
-    reply: HttpReply,
+    reply: HttpResponse,
     common_fields: _Fields,
 ) -> Ended:
     try:
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_round_context.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_round_context.py
@@ -132,7 +132,7 @@
         return self.fleet.operators
 
     def _poll_versions(self) -> None:
-        for daemon in self.fleet.living:
+        for daemon in self.fleet.running_daemons:
             record_active_version(self.recorder, daemon)
         time.sleep(_POLL_INTERVAL_S)
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_servers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_servers.py
@@ -29,7 +29,7 @@
     """
     path = f'/control/{command}'
     reply = http.post(server.ready['control'], path, body)
-    if not reply.fine and server.wait(_EXIT_TIMEOUT_S) is None:
+    if not reply.is_success and server.wait(_EXIT_TIMEOUT_S) is None:
         raise RigError(f'{server.name} refused {command}: {reply}')
 
 
@@ -40,7 +40,7 @@
         RigError: if the log is unavailable or incomplete.
     """
     reply = http.get(server.ready['control'], '/control/log')
-    if not reply.fine or reply.body['dropped']:
+    if not reply.is_success or reply.body['dropped']:
         raise RigError(
             f'the log of {server.name} is not complete: {reply.fault}'
         )
--- a/packages/fennelfork-bench/tests/bench_builders_answers.py
+++ b/packages/fennelfork-bench/tests/bench_builders_answers.py
@@ -8,7 +8,7 @@
 
 from fennelfork_bench.experiments._fleet import inject_faults
 from fennelfork_bench.rig import _http as http
-from fennelfork_bench.rig._config import await_version, first_patch
+from fennelfork_bench.rig._config import await_version, build_initial_patch
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
 from fennelfork_bench.rig._process import rig
 from fennelfork_bench.rig._specs import (
@@ -35,7 +35,9 @@
         """Names of all backend servers."""
         return tuple(self.fleet.backends)
 
-    def query(self, *, daemon_index: int = 0, **changes: Any) -> http.HttpReply:
+    def query(
+        self, *, daemon_index: int = 0, **changes: Any
+    ) -> http.HttpResponse:
         """Send a query for all records to one daemon."""
         body = {
             'request_id': f'q{next(_REQUEST_NUMBERS)}',
@@ -72,7 +74,7 @@
         reply = http.post(
             self._control_address(server), f'/control/{name}', body
         )
-        assert reply.fine, reply
+        assert reply.is_success, reply
 
     def fetch_events(self, server: str) -> list[dict[str, Any]]:
         """Return the events in the log of one backend server."""
@@ -120,7 +122,7 @@
     spec = FleetSpec(fronts=(front,), daemons=daemons)
     with rig() as processes:
         fleet = empty_fleet(processes, spec).start_backends().start_daemons()
-        document = {'version': 1, 'patches': [], **first_patch(fleet)}
+        document = {'version': 1, 'patches': [], **build_initial_patch(fleet)}
         fleet.platform.write_document(document)
         await_version(fleet, 1)
         small_fleet = SmallFleet(fleet=fleet)
--- a/packages/fennelfork-bench/tests/bench_builders_fleet.py
+++ b/packages/fennelfork-bench/tests/bench_builders_fleet.py
@@ -8,7 +8,7 @@
 import attrs
 
 from fennelfork_bench.rig import _http as http
-from fennelfork_bench.rig._config import await_version, first_patch
+from fennelfork_bench.rig._config import await_version, build_initial_patch
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
 from fennelfork_bench.rig._process import Rig, wait_until
 from fennelfork_bench.rig._specs import (
@@ -57,7 +57,7 @@
 def start_configured_fleet(rig: Rig, spec: FleetSpec) -> Fleet:
     """Start a fleet, activate its fronts and await membership."""
     fleet = empty_fleet(rig, spec).start_backends().start_daemons()
-    document = {'version': 1, 'patches': [], **first_patch(fleet)}
+    document = {'version': 1, 'patches': [], **build_initial_patch(fleet)}
     fleet.platform.write_document(document)
     await_version(fleet, 1)
     await_state(fleet, 'alive')
@@ -74,14 +74,14 @@
     """Return the states of a daemon as the other daemons report them."""
     return {
         fetch_members(process.ready['operator']).get(name, {}).get('state', '')
-        for process in fleet.living
+        for process in fleet.running_daemons
         if process.name != name
     }
 
 
 def await_state(fleet: Fleet, expected: str) -> None:
     """Wait until all running daemons report each other in one state."""
-    names = [process.name for process in fleet.living]
+    names = [process.name for process in fleet.running_daemons]
     wait_until(
         lambda: all(fetch_states(fleet, name) <= {expected} for name in names),
         TIMEOUT_S,
@@ -169,7 +169,7 @@
         )
         for address in (*self._entries, *self.addresses):
             reply = http.get(address, path)
-            if reply.fine and reply.body['entries']:
+            if reply.is_success and reply.body['entries']:
                 entries = reply.body['entries']
                 self._entries = [entry['address'] for entry in entries]
                 self._valid_until_ms = now_ms + reply.body['ttl_ms']
@@ -189,7 +189,7 @@
                 'query': {},
             },
         )
-        if reply.fine and len(reply.body['records']) == KEYS:
+        if reply.is_success and len(reply.body['records']) == KEYS:
             self.answered += 1
             self._consecutive_refusals = 0
         elif self._is_retryable(reply):
@@ -199,7 +199,7 @@
         else:
             self.failures.append(f'{time.monotonic():.2f} {address}: {reply}')
 
-    def _is_retryable(self, reply: http.HttpReply) -> bool:
+    def _is_retryable(self, reply: http.HttpResponse) -> bool:
         if self._consecutive_refusals + 1 >= _MAX_CONSECUTIVE_REFUSALS:
             return False
         refused = reply.body.get('verdict') == 'not_run'
--- a/packages/fennelfork-bench/tests/bench_builders_fuzz.py
+++ b/packages/fennelfork-bench/tests/bench_builders_fuzz.py
@@ -81,7 +81,7 @@
     @property
     def daemon(self) -> Process:
         """Daemon under test."""
-        return self.fleet.living[0]
+        return self.fleet.running_daemons[0]
 
     def send(
         self,
--- a/packages/fennelfork-bench/tests/bench_builders_golden.py
+++ b/packages/fennelfork-bench/tests/bench_builders_golden.py
@@ -43,9 +43,9 @@
         interface: str,
         path: str,
         body: dict[str, Any],
-    ) -> http.HttpReply:
+    ) -> http.HttpResponse:
         """Send a request to the first daemon and record both messages."""
-        daemon = self.fleet.living[0]
+        daemon = self.fleet.running_daemons[0]
         address = daemon.ready[interface]
         self._lines.append(
             f'{party} -> daemon: POST {path} {_normalised_json(body)}'
--- a/packages/fennelfork-bench/tests/bench_builders_once.py
+++ b/packages/fennelfork-bench/tests/bench_builders_once.py
@@ -8,7 +8,7 @@
 
 from fennelfork.once import bind_request_id
 from fennelfork_bench.rig import _http as http
-from fennelfork_bench.rig._config import await_version, first_patch
+from fennelfork_bench.rig._config import await_version, build_initial_patch
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
 from fennelfork_bench.rig._process import Rig, wait_until
 from fennelfork_bench.rig._specs import (
@@ -54,7 +54,7 @@
 def start_once_fleet(rig: Rig, spec: FleetSpec) -> Fleet:
     """Start a fleet and wait until all daemons know each other."""
     fleet = empty_fleet(rig, spec).start_backends().start_daemons()
-    document = {'version': 1, 'patches': [], **first_patch(fleet)}
+    document = {'version': 1, 'patches': [], **build_initial_patch(fleet)}
     fleet.platform.write_document(document)
     await_version(fleet, 1)
     wait_until(
@@ -76,7 +76,7 @@
 class Caller:
     """Caller that records the answers to each request id."""
 
-    answers: list[tuple[str, http.HttpReply]] = attrs.field(factory=list)
+    answers: list[tuple[str, http.HttpResponse]] = attrs.field(factory=list)
     _serials: Any = attrs.field(factory=lambda: itertools.count(1))
 
     def ticket(self, address: str) -> str:
@@ -101,7 +101,7 @@
         address: str,
         request: dict[str, Any],
         timeout_ms: float = _TIMEOUT_MS,
-    ) -> http.HttpReply:
+    ) -> http.HttpResponse:
         """Send a request and record the answer."""
         reply = http.post(address, _PATH, request, timeout_ms)
         self.answers.append((request['request_id'], reply))
@@ -120,7 +120,7 @@
 def set_faults(fleet: Fleet, server: str, **settings: Any) -> None:
     """Inject faults into a backend server; no settings clear all faults."""
     reply = http.post(_address(fleet, server), '/control/faults', settings)
-    assert reply.fine, reply
+    assert reply.is_success, reply
 
 
 def count_events(fleet: Fleet, kind: str) -> Counter[str]:
--- a/packages/fennelfork-bench/tests/bench_builders_once_chaos.py
+++ b/packages/fennelfork-bench/tests/bench_builders_once_chaos.py
@@ -78,7 +78,7 @@
     def _ticket(self) -> str:
         while True:
             reply = http.get(self._address(), '/v1/entries', 500)
-            if reply.fine:
+            if reply.is_success:
                 return str(reply.body['ticket'])
             time.sleep(0.02)
 
@@ -94,12 +94,12 @@
     rng.choice(_FAULTS)(fleet, rng)
 
 
-def _caller_event(reply: http.HttpReply) -> CallerEvent:
+def _caller_event(reply: http.HttpResponse) -> CallerEvent:
     if reply.status == 0:
         # urllib3 raises NewConnectionError only if no connection was opened.
         opened = reply.fault != 'NewConnectionError'
         return AnswerLost() if opened else ConnectFailed()
-    if reply.fine:
+    if reply.is_success:
         return AnswerReceived(verdict=Verdict.RAN, has_outcome=True)
     return AnswerReceived(verdict=Verdict(reply.body['verdict']))
 
--- a/packages/fennelfork-bench/tests/bench_builders_platform.py
+++ b/packages/fennelfork-bench/tests/bench_builders_platform.py
@@ -56,11 +56,11 @@
         """Address of the stand-in."""
         return self.process.ready['address']
 
-    def call(self, path: str, body: dict[str, Any]) -> http.HttpReply:
+    def call(self, path: str, body: dict[str, Any]) -> http.HttpResponse:
         """Send one request."""
         return http.post(self.address, path, body)
 
-    def put(self, key: str, value: str, lease: str = '0') -> http.HttpReply:
+    def put(self, key: str, value: str, lease: str = '0') -> http.HttpResponse:
         """Write one key."""
         return self.call('/v3/kv/put', build_put(key, value, lease))
 
@@ -75,7 +75,7 @@
 
     def set_faults(self, **faults: Any) -> None:
         """Set faults of the stand-in."""
-        assert self.call('/control/faults', faults).fine
+        assert self.call('/control/faults', faults).is_success
 
     def fetch_call_log(self) -> dict[str, Any]:
         """Fetch the call log."""
--- a/packages/fennelfork-bench/tests/test_answers.py
+++ b/packages/fennelfork-bench/tests/test_answers.py
@@ -155,7 +155,7 @@
 
 
 def _query_others(fleet: SmallFleet, paused: Process) -> None:
-    for daemon_index, process in enumerate(fleet.fleet.living):
+    for daemon_index, process in enumerate(fleet.fleet.running_daemons):
         if process is not paused:
             fleet.query_complete(daemon_index=daemon_index)
 
--- a/packages/fennelfork-bench/tests/test_config_fleet.py
+++ b/packages/fennelfork-bench/tests/test_config_fleet.py
@@ -47,14 +47,14 @@
     daemon_index: int = 0,
     patch_id: str = '',
     weight: int = 0,
-) -> http.HttpReply:
+) -> http.HttpResponse:
     patch = {'tenants': {'salvare': {'weight': weight or base + 1}}}
     return send_patch(
         fleet.operators[daemon_index], patch, base, patch_id=patch_id
     )
 
 
-def _send_race_patch(fleet: Fleet, base: int, racer: int) -> http.HttpReply:
+def _send_race_patch(fleet: Fleet, base: int, racer: int) -> http.HttpResponse:
     weight = 10 * base + racer
     return _patch(fleet, base, racer % _DAEMON_COUNT, weight=weight)
 
@@ -78,7 +78,7 @@
 def _remove_document(fleet: Fleet) -> None:
     address = fleet.platform.key_value_address
     body = {'key': encode_base64('/fennelfork/config')}
-    assert http.post(address, '/v3/kv/deleterange', body).fine
+    assert http.post(address, '/v3/kv/deleterange', body).is_success
 
 
 def _has_anomaly(fleet: Fleet, outcome: str) -> bool:
@@ -95,14 +95,14 @@
         fleet: Fleet,
     ) -> None:
         """Daemons keep their version, and a refused patch is not applied."""
-        fleet.platform.switch(down=True)
+        fleet.platform.set_faults(down=True)
         reply = _patch(fleet, 1)
         assert reply.status == 503
         assert reply.body['verdict'] == 'not_run'
         assert _versions(fleet) == _ALL_AT_FIRST
-        fleet.platform.switch(down=False)
+        fleet.platform.set_faults(down=False)
         _await_condition(
-            lambda: _patch(fleet, 1).fine, 'the platform to be available'
+            lambda: _patch(fleet, 1).is_success, 'the platform to be available'
         )
         await_version(fleet, 2)
         history = _get_page(fleet, '/v1/config/history')['patches']
@@ -113,7 +113,7 @@
         fleet: Fleet,
     ) -> None:
         """A start needs no key-value service while a peer is alive."""
-        fleet.platform.switch(down=True)
+        fleet.platform.set_faults(down=True)
         fleet.daemons['vm-4'].kill()
         fleet.start_daemons([fleet.spec.daemons[3]])
         _await_condition(
@@ -124,12 +124,12 @@
 
     def test_recovery_causes_no_request_burst(self, fleet: Fleet) -> None:
         """Few calls are sent in the first second after an outage."""
-        fleet.platform.switch(down=True)
+        fleet.platform.set_faults(down=True)
         started_ms = fleet.platform.log()['now_ms']
         _await_condition(
             lambda: len(_list_calls(fleet, started_ms)) >= 12, 'a few attempts'
         )
-        fleet.platform.switch(down=False)
+        fleet.platform.set_faults(down=False)
         restored_ms = fleet.platform.log()['now_ms']
         _await_condition(
             lambda: fleet.platform.log()['watching'] == 4, 'all watches'
@@ -146,12 +146,12 @@
         fleet: Fleet,
     ) -> None:
         """A rate-limited patch is refused as not run and later succeeds."""
-        fleet.platform.switch(refuse=True)
+        fleet.platform.set_faults(refuse=True)
         reply = _patch(fleet, 1)
         assert (reply.status, reply.body['verdict']) == (503, 'not_run')
-        fleet.platform.switch(refuse=False)
+        fleet.platform.set_faults(refuse=False)
         _await_condition(
-            lambda: _patch(fleet, 1).fine, 'the platform to accept calls'
+            lambda: _patch(fleet, 1).is_success, 'the platform to accept calls'
         )
 
 
@@ -167,7 +167,7 @@
     @pytest.mark.parametrize('lost', [1, 2])
     def test_patch_is_accepted_once(self, fleet: Fleet, lost: int) -> None:
         """Reading the document detects the patch; one version is created."""
-        fleet.platform.switch(lose_replies=lost)
+        fleet.platform.set_faults(lose_replies=lost)
         reply = _patch(fleet, 1, patch_id='mine')
         assert reply.status == 200
         assert reply.body['version'] == 2
@@ -184,11 +184,11 @@
         specs = daemon_specs(2, tables=tables)
         spec = FleetSpec(fronts=(), daemons=specs)
         slow = empty_fleet(rig, spec).start_daemons()
-        assert _patch(slow, 0).fine
-        slow.platform.switch(slow_ms=700)
+        assert _patch(slow, 0).is_success
+        slow.platform.set_faults(slow_ms=700)
         reply = _patch(slow, 1, patch_id='late')
         assert (reply.status, reply.body['verdict']) == (503, 'not_run')
-        slow.platform.switch(slow_ms=0)
+        slow.platform.set_faults(slow_ms=0)
         settled = _patch(slow, 1, daemon_index=1, patch_id='late')
         assert (settled.status, settled.body['version']) == (200, 2)
         await_version(slow, 2)
@@ -208,7 +208,7 @@
                 replies = list(operators.map(send_race_patch, range(8)))
                 losers = [reply for reply in replies if reply.status == 409]
                 assert len(losers) == 7
-                assert sum(reply.fine for reply in replies) == 1
+                assert sum(reply.is_success for reply in replies) == 1
                 assert {reply.body['version'] for reply in losers} == {base + 1}
                 assert all(reply.body['changes'] for reply in losers)
         await_version(fleet, 6)
@@ -220,7 +220,7 @@
         fleet: Fleet,
     ) -> None:
         """A daemon paused between read and write does not overwrite a patch."""
-        fleet.platform.switch(slow_ms=300)
+        fleet.platform.set_faults(slow_ms=300)
         started_ms = fleet.platform.log()['now_ms']
         with futures.ThreadPoolExecutor(1) as operator:
             paused = operator.submit(_patch, fleet, 1, 0, 'paused', 9)
@@ -228,7 +228,7 @@
                 lambda: _list_calls(fleet, started_ms), 'the writer to read'
             )
             fleet.daemons['vm-1'].pause()
-            fleet.platform.switch(slow_ms=0)
+            fleet.platform.set_faults(slow_ms=0)
             other = _patch(fleet, 1, daemon_index=1, patch_id='other', weight=8)
             fleet.daemons['vm-1'].resume()
             late = paused.result()
@@ -248,7 +248,7 @@
     def test_older_document_is_not_activated(self, fleet: Fleet) -> None:
         """An older document is reported, and patches are refused."""
         older_document = _get_page(fleet, '/v1/config')
-        assert _patch(fleet, 1).fine
+        assert _patch(fleet, 1).is_success
         await_version(fleet, 2)
         fleet.platform.write_document(older_document)
         _await_condition(lambda: _has_anomaly(fleet, 'older'), 'the report')
@@ -262,7 +262,7 @@
         fleet: Fleet,
     ) -> None:
         """Patches are refused until the document is written again."""
-        assert _patch(fleet, 1).fine
+        assert _patch(fleet, 1).is_success
         await_version(fleet, 2)
         active_document = _get_page(fleet, '/v1/config')
         _remove_document(fleet)
@@ -299,7 +299,7 @@
 
     def test_reads_compensate_for_a_stalled_watch(self, fleet: Fleet) -> None:
         """A new version becomes active although the watch is stalled."""
-        fleet.platform.switch(stall_watches=True)
+        fleet.platform.set_faults(stall_watches=True)
         active_document = _get_page(fleet, '/v1/config')
         fleet.platform.write_document({**active_document, 'version': 2})
         await_version(fleet, 2)
--- a/packages/fennelfork-bench/tests/test_demo_check.py
+++ b/packages/fennelfork-bench/tests/test_demo_check.py
@@ -5,15 +5,15 @@
 
 from fennelfork_bench.backend_server._records import record_at
 from fennelfork_bench.demo._check import ExpectedAnswer, find_faults
-from fennelfork_bench.rig._caller import Asked
-from fennelfork_bench.rig._http import HttpReply
+from fennelfork_bench.rig._caller import RequestResult
+from fennelfork_bench.rig._http import HttpResponse
 
 _KEYS = 20
 _ALL = ExpectedAnswer(keys=_KEYS)
 _PARTIAL = ExpectedAnswer(keys=_KEYS, complete=False)
 
 
-def _asked(lo: int, hi: int, missing: list[dict[str, int]]) -> Asked:
+def _asked(lo: int, hi: int, missing: list[dict[str, int]]) -> RequestResult:
     records = [attrs.asdict(record_at(1, key, 3)) for key in range(lo, hi)]
     missing_keys = sum(each['hi'] - each['lo'] for each in missing)
     coverage = {
@@ -27,8 +27,8 @@
         'snapshot': 3,
         'coverage': coverage,
     }
-    reply = HttpReply(status=200, body=body)
-    return Asked(request_id='r1', reply=reply, attempts=1, took_ms=1)
+    reply = HttpResponse(status=200, body=body)
+    return RequestResult(request_id='r1', reply=reply, attempts=1, took_ms=1)
 
 
 class TestFaultsOf:
@@ -96,6 +96,8 @@
 
     def test_refusal_is_found(self) -> None:
         """A problem document instead of an answer is a fault."""
-        reply = HttpReply(status=503, body={'detail': 'busy'})
-        asked = Asked(request_id='r1', reply=reply, attempts=1, took_ms=1)
+        reply = HttpResponse(status=503, body={'detail': 'busy'})
+        asked = RequestResult(
+            request_id='r1', reply=reply, attempts=1, took_ms=1
+        )
         assert find_faults(asked, _ALL) == ['no answer: 503 busy']
--- a/packages/fennelfork-bench/tests/test_exp_parts.py
+++ b/packages/fennelfork-bench/tests/test_exp_parts.py
@@ -8,8 +8,8 @@
     sum_metric,
 )
 from fennelfork_bench.experiments._steady_load import Sample, load_metrics
-from fennelfork_bench.rig._caller import Asked
-from fennelfork_bench.rig._http import HttpReply
+from fennelfork_bench.rig._caller import RequestResult
+from fennelfork_bench.rig._http import HttpResponse
 from fennelfork_bench.rig._report import Arm, Report, percentile
 from fennelfork_bench.rig._usage import Usage
 
@@ -21,13 +21,15 @@
 """
 
 
-def _sample(status: int, faults: tuple[str, ...], cuts: int) -> Sample:
-    result = Asked(
+def _sample(
+    status: int, faults: tuple[str, ...], connection_errors: int
+) -> Sample:
+    result = RequestResult(
         request_id='r',
-        reply=HttpReply(status=status, body={}),
-        attempts=1 + cuts,
+        reply=HttpResponse(status=status, body={}),
+        attempts=1 + connection_errors,
         took_ms=5,
-        cuts=('ProtocolError',) * cuts,
+        connection_errors=('ProtocolError',) * connection_errors,
     )
     return Sample(at_ms=1, result=result, faults=faults)
 
--- a/packages/fennelfork-bench/tests/test_golden_operators.py
+++ b/packages/fennelfork-bench/tests/test_golden_operators.py
@@ -34,7 +34,7 @@
     def test_lost_reply(self, rig: Rig, snapshot) -> None:
         """A retried patch after a lost store response is applied once."""
         transcript = start_session(rig)
-        transcript.fleet.platform.switch(lose_replies=1)
+        transcript.fleet.platform.set_faults(lose_replies=1)
         transcript.call('ana', 'operator', _PATH, _patch('ana', 1, 2))
         transcript.call('ana', 'operator', _PATH, _patch('ana', 1, 2))
         assert transcript.text == snapshot
--- a/packages/fennelfork-bench/tests/test_golden_stop.py
+++ b/packages/fennelfork-bench/tests/test_golden_stop.py
@@ -35,7 +35,7 @@
     def test_query_in_progress(self, rig: Rig, snapshot) -> None:
         """The daemon leaves the entries, answers the query and exits."""
         transcript = start_session(rig, daemons=2)
-        leaving, staying = transcript.fleet.living
+        leaving, staying = transcript.fleet.running_daemons
         slow = {'kind': 'straggle', 'factor': 100}
         for server in transcript.fleet.backends.values():
             send_control_command(server, 'faults', {'rules': [slow]})
--- a/packages/fennelfork-bench/tests/test_kv.py
+++ b/packages/fennelfork-bench/tests/test_kv.py
@@ -185,7 +185,7 @@
         key_value.set_faults(lose_replies=1)
         assert key_value.put('/a', 'lost').status == 0
         assert key_value.read_values('/a') == ['lost']
-        assert key_value.put('/a', 'kept').fine
+        assert key_value.put('/a', 'kept').is_success
         outcomes = [
             each['outcome'] for each in key_value.fetch_call_log()['calls']
         ]
@@ -252,7 +252,9 @@
         )
         limited = KeyValueClient(process=process.await_ready())
         assert limited.put('/a', 'one').status == 429
-        assert limited.call('/v3/kv/range', {'key': encode_base64('/a')}).fine
+        assert limited.call(
+            '/v3/kv/range', {'key': encode_base64('/a')}
+        ).is_success
 
     def test_restore_brings_an_older_value_back(
         self,
--- a/packages/fennelfork-bench/tests/test_once_process.py
+++ b/packages/fennelfork-bench/tests/test_once_process.py
@@ -256,7 +256,7 @@
             here, there = fleet.callers
             request = caller.request(caller.ticket(here))
             drained = http.post(fleet.operators[0], '/v1/drain', {})
-            assert drained.fine, drained
+            assert drained.is_success, drained
             wait_until(
                 lambda: http.get(here, '/v1/entries').body['ticket'] is None,
                 _TIMEOUT_S,
--- a/packages/fennelfork-bench/tests/test_once_soak.py
+++ b/packages/fennelfork-bench/tests/test_once_soak.py
@@ -12,7 +12,7 @@
     Malformed,
     Refused,
 )
-from fennelfork_bench.soak._caller import to_caller_event
+from fennelfork_bench.soak._caller import build_caller_event
 
 _ATTEMPT = {'at_ms': 1.0, 'attempt': 'try-1'}
 _CUT = ConnectionCut(**_ATTEMPT, detail='reset')
@@ -51,11 +51,11 @@
     )
     def test_first_attempt(self, end: Ended, step: CallerStep) -> None:
         """Each outcome leads to the step in the operators' documentation."""
-        assert OnceCaller().next_step(to_caller_event(end), 1000) is step
+        assert OnceCaller().next_step(build_caller_event(end), 1000) is step
 
     def test_uncertainty_persists(self) -> None:
         """A refused connection after a cut connection allows no new ticket."""
         once = OnceCaller()
-        once.next_step(to_caller_event(_CUT), 1000)
-        step = once.next_step(to_caller_event(_UNSENT), 1000)
+        once.next_step(build_caller_event(_CUT), 1000)
+        step = once.next_step(build_caller_event(_UNSENT), 1000)
         assert step is CallerStep.ASK_AGAIN
--- a/packages/fennelfork-bench/tests/test_rig_fleet.py
+++ b/packages/fennelfork-bench/tests/test_rig_fleet.py
@@ -13,7 +13,7 @@
 )
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import Rig
-from fennelfork_bench.rig._usage import usage
+from fennelfork_bench.rig._usage import read_usage
 
 pytestmark = pytest.mark.process
 
@@ -45,7 +45,7 @@
         """A killed daemon is unlisted, and its restart gets a new address."""
         before = _list_callers(fleet)
         fleet.daemons['vm-1'].kill()
-        fleet.list_vms()
+        fleet.update_vm_list()
         assert set(_list_callers(fleet)) == {'vm-2'}
         killed = fleet.daemons['vm-1']
         were_replaced: list[bool] = []
@@ -66,12 +66,14 @@
         fleet: Fleet,
     ) -> None:
         """An entry answer contains all listed daemons and a ticket."""
-        reply = Caller(seeds=tuple(fleet.callers)).entries()
+        reply = Caller(seeds=tuple(fleet.callers)).fetch_entries()
         addresses = {entry['address'] for entry in reply.body['entries']}
         assert addresses == set(fleet.callers)
         assert reply.body['ticket']
 
     def test_usage_of_a_daemon_is_read(self, fleet: Fleet) -> None:
         """The resource usage of every daemon is available."""
-        readings = [usage(process.pid) for process in fleet.living]
+        readings = [
+            read_usage(process.pid) for process in fleet.running_daemons
+        ]
         assert all(reading.resident_mb > 10 for reading in readings)
--- a/packages/fennelfork-bench/tests/test_rig_process.py
+++ b/packages/fennelfork-bench/tests/test_rig_process.py
@@ -52,4 +52,4 @@
         paused = http.get(address, '/v1/vms', timeout_ms=200)
         process.resume()
         assert paused.fault == 'ReadTimeoutError'
-        assert http.get(address, '/v1/vms').fine
+        assert http.get(address, '/v1/vms').is_success
--- a/packages/fennelfork-bench/tests/test_rig_usage.py
+++ b/packages/fennelfork-bench/tests/test_rig_usage.py
@@ -2,7 +2,7 @@
 
 import os
 
-from fennelfork_bench.rig._usage import Usage, core_percent, usage
+from fennelfork_bench.rig._usage import Usage, core_percent, read_usage
 
 
 class TestUsage:
@@ -10,8 +10,8 @@
 
     def test_work_increases_cpu_time(self) -> None:
         """CPU time increases with work and memory readings are plausible."""
-        before = usage(os.getpid())
-        while usage(os.getpid()).cpu_ms < before.cpu_ms + 50:
+        before = read_usage(os.getpid())
+        while read_usage(os.getpid()).cpu_ms < before.cpu_ms + 50:
             sum(range(10_000))
         assert before.resident_mb > 1
         assert 1 < before.private_mb < before.resident_mb
--- a/packages/fennelfork-bench/tests/test_soak_replies.py
+++ b/packages/fennelfork-bench/tests/test_soak_replies.py
@@ -14,7 +14,7 @@
     ConnectRefused,
     Malformed,
 )
-from fennelfork_bench.rig._http import HttpReply
+from fennelfork_bench.rig._http import HttpResponse
 from fennelfork_bench.soak._replies import classify_reply
 
 _PARTIAL_ANSWER = {
@@ -50,20 +50,20 @@
     )
     def test_complete_reply(self, asked, status, body, expected) -> None:
         """A complete reply keeps every field that the checkers read."""
-        reply = HttpReply(status=status, body=body)
+        reply = HttpResponse(status=status, body=body)
         assert classify_reply(asked, reply, 150) == expected
 
     @pytest.mark.parametrize(
         ('reply', 'event_type'),
         [
-            (HttpReply(status=200, body=_PROBLEM), Malformed),
-            (HttpReply(status=500, body={}), Malformed),
+            (HttpResponse(status=200, body=_PROBLEM), Malformed),
+            (HttpResponse(status=500, body={}), Malformed),
             (
-                HttpReply(status=0, body={}, fault='NewConnectionError'),
+                HttpResponse(status=0, body={}, fault='NewConnectionError'),
                 ConnectRefused,
             ),
             (
-                HttpReply(status=0, body={}, fault='ReadTimeoutError'),
+                HttpResponse(status=0, body={}, fault='ReadTimeoutError'),
                 ConnectionCut,
             ),
         ],
--- a/packages/fennelfork-bench/tests/test_soak_servers.py
+++ b/packages/fennelfork-bench/tests/test_soak_servers.py
@@ -27,8 +27,8 @@
         server = rig.start_module('raft-a', 'fennelfork_bench.backend')
         server.await_ready()
         address = server.ready['address']
-        assert http.post(address, '/v1/search', _SEARCH).fine
-        assert http.post(address, '/v1/execute', _EXECUTE).fine
+        assert http.post(address, '/v1/search', _SEARCH).is_success
+        assert http.post(address, '/v1/execute', _EXECUTE).is_success
         send_control_command(server, 'drain', {'draining': True})
         http.post(address, '/v1/search', _SEARCH)
         kinds = [type(event) for event in server_events(server)]
--- a/packages/fennelfork-bench/tests/test_thin_path.py
+++ b/packages/fennelfork-bench/tests/test_thin_path.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fennelfork_bench.rig import _http as http
-from fennelfork_bench.rig._config import await_version, first_patch
+from fennelfork_bench.rig._config import await_version, build_initial_patch
 from fennelfork_bench.rig._fleet import empty_fleet
 from fennelfork_bench.rig._process import rig
 from fennelfork_bench.rig._specs import (
@@ -35,7 +35,7 @@
     return FleetSpec(fronts=(front,), daemons=daemon_specs(3))
 
 
-def _query(address: str, content: dict[str, Any]) -> http.HttpReply:
+def _query(address: str, content: dict[str, Any]) -> http.HttpResponse:
     return http.post(
         address,
         '/v1/fronts/raft-search/query',
@@ -59,7 +59,11 @@
             fleet = (
                 empty_fleet(processes, _spec()).start_backends().start_daemons()
             )
-            document = {'version': 1, 'patches': [], **first_patch(fleet)}
+            document = {
+                'version': 1,
+                'patches': [],
+                **build_initial_patch(fleet),
+            }
             fleet.platform.write_document(document)
             await_version(fleet, 1)
             for address in fleet.callers:
