--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_in_progress.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_in_progress.py
@@ -23,8 +23,8 @@
     count: int = 0
 
     @contextmanager
-    def count_one(self) -> Iterator[None]:
-        """Count one request as in progress within a `with` block."""
+    def count_request(self) -> Iterator[None]:
+        """Count a request as in progress within a `with` block."""
         self.begin()
         try:
             yield
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_activator.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_activator.py
@@ -25,14 +25,14 @@
 
     state: ConfigState
     on_activated: list[Callable[[], None]] = attrs.field(factory=list)
-    _board: Blackboard
+    _blackboard: Blackboard
     _log: StateLog
 
     def offer(self, raw: str | None, source: ConfigSource) -> OfferOutcome:
-        """Activate a document if it is newer; see `ConfigState.offer`."""
+        """Activate a newer configuration document; see `ConfigState.offer`."""
         outcome = self.state.offer(raw, source)
         if outcome is OfferOutcome.ACCEPTED:
-            self._publish()
+            self._publish_configuration()
         self._log_outcome(outcome, source)
         return outcome
 
@@ -42,19 +42,19 @@
         if outcome is OfferOutcome.CONFLICT:
             self._log_outcome(outcome, ConfigSource.PEER)
 
-    def _publish(self) -> None:
+    def _publish_configuration(self) -> None:
         active = self.state.active
         if active is None:
             return
-        board = self._board
-        board.document = active.document
-        board.config_hash = active.digest
-        board.local = attrs.evolve(
-            board.local,
+        blackboard = self._blackboard
+        blackboard.document = active.document
+        blackboard.config_hash = active.digest
+        blackboard.local = attrs.evolve(
+            blackboard.local,
             config_version=active.document.version,
             config_hash=active.digest,
         )
-        board.members[board.local.name] = board.local
+        blackboard.members[blackboard.local.name] = blackboard.local
         for listener in self.on_activated:
             listener()
 
@@ -71,10 +71,10 @@
         self._log.change(f'configuration of {source.value}', state)
 
 
-def config_activator(board: Blackboard, clock: Clock) -> ConfigActivator:
-    """Build the activator of a daemon without a configuration."""
+def config_activator(blackboard: Blackboard, clock: Clock) -> ConfigActivator:
+    """Build the activator of a daemon without a configuration document."""
     return ConfigActivator(
         state=config_state(clock),
-        board=board,
-        log=state_log(daemon=board.local.name),
+        blackboard=blackboard,
+        log=state_log(daemon=blackboard.local.name),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_status_collector.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_status_collector.py
@@ -48,9 +48,9 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigStatusCollector:
-    """Queries all members with bounded concurrency."""
+    """Queries the configuration status of all members concurrently."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _peers: PeerClient
     _timeout_ms: float
 
@@ -65,7 +65,7 @@
             self._queried_members(), key=lambda member: member.name
         )
         pool = eventlet.GreenPool(_MAX_CONCURRENT_CALLS)
-        return tuple(pool.imap(self._query, members))
+        return tuple(pool.imap(self._query_member, members))
 
     def highest_version(self) -> int:
         """Return the highest active version of the reachable daemons."""
@@ -75,11 +75,11 @@
     def _queried_members(self) -> Iterable[Member]:
         return [
             member
-            for member in self._board.members.values()
+            for member in self._blackboard.members.values()
             if member.state is not MemberStatus.DEAD
         ]
 
-    def _query(self, member: Member) -> DaemonConfigStatus:
+    def _query_member(self, member: Member) -> DaemonConfigStatus:
         request = peer.ConfigRequest(have_version=_MAX_VERSION)
         reply = self._peers.call(
             member.peer,
@@ -93,24 +93,24 @@
             state=member.state.value,
         )
         if is_successful(reply):
-            return _with_reply(member_status, reply.unwrap())
+            return _apply_status_reply(member_status, reply.unwrap())
         return attrs.evolve(member_status, failure=reply.failure().detail)
 
 
 def config_status_collector(
-    board: Blackboard,
+    blackboard: Blackboard,
     peers: PeerClient,
     settings: Settings,
 ) -> ConfigStatusCollector:
-    """Build the status collector of a daemon."""
+    """Build the collector of the configuration status of all daemons."""
     return ConfigStatusCollector(
-        board=board,
+        blackboard=blackboard,
         peers=peers,
         timeout_ms=settings.timeouts.peer_ms,
     )
 
 
-def _with_reply(
+def _apply_status_reply(
     member_status: DaemonConfigStatus, reply: Any
 ) -> DaemonConfigStatus:
     return attrs.evolve(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
@@ -28,7 +28,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteComponents:
-    """Components that the daemon adds to its APIs.
+    """Components that run non-idempotent requests.
 
     Attributes:
         api: caller API for non-idempotent requests.
@@ -42,46 +42,46 @@
 
 
 def execute_components(
-    board: Blackboard,
+    blackboard: Blackboard,
     clock: Clock,
     home: Home,
     settings: Settings,
     observer: Observer,
 ) -> ExecuteComponents:
-    """Build the components of a new incarnation.
+    """Build the components that run non-idempotent requests.
 
     Args:
-        board: blackboard of the daemon.
+        blackboard: facts that the components of the daemon share.
         clock: monotonic clock of the daemon.
-        home: home service of the same daemon.
+        home: service of this daemon that schedules the requests of shards.
         settings: settings of the daemon.
         observer: source of the metrics and of the ring of recent answers.
     """
-    gate = _new_gate(board.local.name, clock)
+    gate = _new_gate(blackboard.local.name, clock)
     service = ExecuteService(
         gate=gate,
         runner=ExecuteRunner(
             table=gate.table,
             clock=clock,
-            target_finder=home_target_finder(board, clock, home),
+            target_finder=home_target_finder(blackboard, clock, home),
             timeouts=ExecuteTimeouts(
                 probe_ms=settings.timeouts.connect_ms,
                 settle_ms=_SETTLE_MS,
             ),
             limit=_MAX_RUNNING,
         ),
-        board=board,
+        blackboard=blackboard,
         peers=PeerClient(),
         clock=clock,
     )
     return ExecuteComponents(
         api=ExecuteApi(
             service=service,
-            board=board,
+            blackboard=blackboard,
             clock=clock,
             settings=settings,
             observer=ExecuteObserver(
-                board=board,
+                blackboard=blackboard,
                 metrics=observer.metrics,
                 ring=observer.ring,
                 table=gate.table,
@@ -89,7 +89,7 @@
         ),
         issuer=TicketIssuer(
             gate=gate,
-            board=board,
+            blackboard=blackboard,
             lifetime_ms=settings.timeouts.entry_ttl_ms,
         ),
         peer=ExecutePeerHandler(service=service, clock=clock),
@@ -97,7 +97,7 @@
 
 
 def _new_gate(name: str, clock: Clock) -> OnceGate:
-    """Build a gate with a ticket key that is unique to this incarnation."""
+    """Build a gate with a ticket key that only this daemon process has."""
     rng = random.SystemRandom()
     incarnation = rng.getrandbits(_INCARNATION_BITS)
     key = ticket_key(name, incarnation, rng.randbytes(_SECRET_BYTES))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
@@ -19,7 +19,7 @@
 class ExecuteObserver:
     """Records the answers to non-idempotent requests."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _metrics: DaemonMetrics
     _ring: ExplainRing
     _table: OnceTable
@@ -32,13 +32,13 @@
     ) -> None:
         """Update the metrics and the ring of recent answers."""
         request = received.request
-        self._metrics.apply_configuration(self._board.document)
+        self._metrics.apply_configuration(self._blackboard.document)
         labels = self._metrics.labels(
             request.front,
             request.tenant,
             received.traffic_class,
         )
-        result_fields = _result_fields(result)
+        result_fields = _outcome_fields(result)
         verdict = Verdict(result_fields['verdict'])
         self._metrics.count_answer(labels, verdict, result_fields['outcome'])
         self._metrics.observe_execute(labels, took_ms)
@@ -56,7 +56,7 @@
         self._ring.store_trace(request.request_id, record)
 
 
-def _result_fields(result: Result[str, Failure]) -> dict[str, Any]:
+def _outcome_fields(result: Result[str, Failure]) -> dict[str, Any]:
     if isinstance(result, Failed):
         failure = result.failure()
         return {
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
@@ -10,14 +10,14 @@
 
 @attrs.frozen(kw_only=True)
 class TicketIssuer:
-    """Issues the tickets of this incarnation.
+    """Issues the tickets of this incarnation of the daemon.
 
     The lifetime of a ticket equals that of the entry answer, so a daemon that
     stops gracefully runs until all of its tickets have expired.
     """
 
     _gate: OnceGate
-    _board: Blackboard
+    _blackboard: Blackboard
     _lifetime_ms: int
 
     def ticket_fields(self) -> dict[str, Any]:
@@ -36,7 +36,7 @@
         return {
             'ticket': ticket.text,
             'ticket_serial': ticket.serial,
-            'ticket_address': self._board.local.caller,
+            'ticket_address': self._blackboard.local.caller,
             'ticket_ms': self._lifetime_ms,
         }
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_vm_list.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_vm_list.py
@@ -26,28 +26,28 @@
 class VmListReader:
     """Reads the VM list and sets the seeds of the membership controller."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _settings: Settings
     _controller: Membership
     _schedule: VmListSchedule
     _http: urllib3.PoolManager
 
     def run(self) -> None:
-        """Read the list periodically until the daemon stops."""
+        """Read the VM list periodically until the daemon stops."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             self.read()
-            eventlet.sleep(self._wait_ms() / _MS_PER_S)
+            eventlet.sleep(self._next_read_delay_ms() / _MS_PER_S)
 
     def read(self) -> None:
-        """Read the list once; a failed read keeps the previous seeds."""
+        """Read the VM list once; a failed read keeps the previous seeds."""
         seeds = self._fetch_seeds()
         self._schedule.record_read(succeeded=seeds is not None)
         if seeds is not None:
             self._controller.set_seeds(seeds)
 
-    def _wait_ms(self) -> float:
-        local = self._board.local
-        members = self._board.members
+    def _next_read_delay_ms(self) -> float:
+        local = self._blackboard.local
+        members = self._blackboard.members
         watchers = choose_watchers(local.data_centre, members.values())
         return self._schedule.wait_ms(
             is_alone=len(members) == 1,
@@ -77,14 +77,14 @@
 
 
 def vm_list_reader(
-    board: Blackboard,
+    blackboard: Blackboard,
     settings: Settings,
     controller: Membership,
     schedule: VmListSchedule,
 ) -> VmListReader:
     """Build the VM list reader of a daemon."""
     return VmListReader(
-        board=board,
+        blackboard=blackboard,
         settings=settings,
         controller=controller,
         schedule=schedule,
@@ -100,7 +100,7 @@
 
 
 def _parse_seed(vm: dict[str, Any]) -> Member:
-    """Convert one VM to a seed.
+    """Convert one VM of the VM list to a membership seed.
 
     The incarnation 0 lets claims of the daemon itself override the seed.
     """
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
@@ -13,7 +13,9 @@
     attempt_parts,
     route_caller_api,
 )
-from fennelfork_daemon.routes._build_crash_protection import crash_protection
+from fennelfork_daemon.routes._build_crash_protection import (
+    poison_request_protection,
+)
 from fennelfork_daemon.routes._common_parts import CommonParts, common_parts
 from fennelfork_daemon.routes._entries import RouteEntries
 from fennelfork_daemon.routes._follower import StoreFollower, store_follower
@@ -45,21 +47,23 @@
     """
     base = common_parts(settings, ports, log_output)
     reporter = StoreReporter(log=base.log, metrics=base.metrics)
-    availability = store_availability(base.board, base.clock, reporter)
+    availability = store_availability(base.blackboard, base.clock, reporter)
     base.metrics.export_store_age(lambda: availability.data_age_ms)
-    base.metrics.export_quarantine(base.board.quarantine)
+    base.metrics.export_quarantine(base.blackboard.quarantine)
     registration = Registration(
         store=ports.store,
-        board=base.board,
+        blackboard=base.blackboard,
         min_lease_ms=settings.least_lease_ms,
         availability=availability,
         clock=base.clock,
         reporter=reporter,
     )
     in_progress = InProgress()
-    follower = _follower(base, reporter, availability)
-    watch = crash_protection(base, registration, reporter, follower.polling)
-    calls = attempt_parts(base, watch)
+    follower = _build_follower(base, reporter, availability)
+    protection = poison_request_protection(
+        base, registration, reporter, follower.polling
+    )
+    calls = attempt_parts(base, protection)
     reload = SettingsReload(
         settings=settings,
         retry_budgets=base.retry_budgets,
@@ -67,21 +71,21 @@
         log=base.log,
     )
     return RouteService(
-        board=base.board,
-        entries=RouteEntries(board=base.board, rng=random.Random()),
+        blackboard=base.blackboard,
+        entries=RouteEntries(blackboard=base.blackboard, rng=random.Random()),
         settings=settings,
         face=route_caller_api(base, calls, availability),
         operator_api=operator_api(
             base.metrics,
-            base.board.quarantine,
-            watch.guard,
+            base.blackboard.quarantine,
+            protection.guard,
         ),
         follower=follower,
         background_tasks=(
             follower.run,
             registration.run,
             reload.run,
-            watch.publisher.run,
+            protection.publisher.run,
             lag_monitor(base.clock, base.limits, calls.reporter).run,
         ),
         pools=base.pools,
@@ -99,7 +103,7 @@
     )
 
 
-def _follower(
+def _build_follower(
     base: CommonParts,
     reporter: StoreReporter,
     availability: StoreAvailability,
@@ -107,7 +111,9 @@
     return store_follower(
         base.ports.store,
         availability,
-        UpdateApplier(board=base.board, reporter=reporter, pools=base.pools),
-        store_polling(base.board.fleet, base.settings.in_force_ms),
+        UpdateApplier(
+            blackboard=base.blackboard, reporter=reporter, pools=base.pools
+        ),
+        store_polling(base.blackboard.fleet, base.settings.in_force_ms),
         random.Random(),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_caller_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_caller_api.py
@@ -10,24 +10,26 @@
 )
 from fennelfork_daemon.routes._attempt_runner import AttemptParts
 from fennelfork_daemon.routes._availability import StoreAvailability
-from fennelfork_daemon.routes._build_crash_protection import CrashProtection
+from fennelfork_daemon.routes._build_crash_protection import (
+    PoisonRequestProtection,
+)
 from fennelfork_daemon.routes._caller_api import RouteCallerApi
 from fennelfork_daemon.routes._common_parts import CommonParts
 from fennelfork_daemon.routes._initial_routes import InitialRoutes
 
 
 def attempt_parts(
-    base: CommonParts, protection: CrashProtection
+    base: CommonParts, protection: PoisonRequestProtection
 ) -> AttemptParts:
     """Build the objects that the attempts of all requests share."""
     selector = Selector(
-        directory=base.board.directory,
-        states=base.board.states,
+        directory=base.blackboard.directory,
+        states=base.blackboard.states,
         distances=Distances(
             data_centre=base.settings.data_centre,
             region_of=base.settings.region_of,
         ),
-        shares=base.board.shares,
+        shares=base.blackboard.shares,
         clock=base.clock,
         rng=random.Random(),
     )
@@ -51,11 +53,11 @@
     Args:
         base: objects that all parts of the daemon share.
         parts: objects that the attempts of all requests share.
-        contact: state of the connection to the store.
+        availability: availability of the store.
     """
     return RouteCallerApi(
         initial_routes=InitialRoutes(
-            board=base.board,
+            blackboard=base.blackboard,
             availability=availability,
             clock=base.clock,
         ),
