--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
@@ -116,7 +116,7 @@
                 ShardName(front=front, shard=shard)
             )
             if runner is not None:
-                views.append(runner.scheduler.servers.view(shard))
+                views.append(runner.scheduler.servers.build_view(shard))
         return tuple(views)
 
     def _task(
--- a/packages/fennelfork/src/fennelfork/_blackboard.py
+++ b/packages/fennelfork/src/fennelfork/_blackboard.py
@@ -54,7 +54,7 @@
         """Version of the active configuration."""
         return self.document.version
 
-    def front(self, name: str) -> Front | None:
+    def find_front(self, name: str) -> Front | None:
         """Return the settings of a front, or none if the name is unknown."""
         return self.document.fronts.get(name)
 
--- a/packages/fennelfork/src/fennelfork/gather/_merge.py
+++ b/packages/fennelfork/src/fennelfork/gather/_merge.py
@@ -165,8 +165,8 @@
         whole: all keys of the front.
     """
     planned = [
-        _plan_sub_query(request_id, partition.snapshot, asked)
-        for asked in partition.assignments
+        _plan_sub_query(request_id, partition.snapshot, assignment)
+        for assignment in partition.assignments
     ]
     return Merge(
         full_range=full_range,
@@ -178,17 +178,17 @@
 def _plan_sub_query(
     request_id: str,
     snapshot: int,
-    asked: Assignment,
+    assignment: Assignment,
 ) -> PlannedSubQuery:
     """Plan a sub-query whose name is unique to its snapshot and range."""
-    span = asked.span
+    span = assignment.span
     expected = ExpectedReply(
         request_id=request_id,
-        sub_query=f'{asked.shard}@{snapshot}:{span.lo}-{span.hi}',
+        sub_query=f'{assignment.shard}@{snapshot}:{span.lo}-{span.hi}',
         snapshot=snapshot,
         span=span,
     )
-    return PlannedSubQuery(shard=asked.shard, expected=expected)
+    return PlannedSubQuery(shard=assignment.shard, expected=expected)
 
 
 def _part_start(part: Reply) -> int:
--- a/packages/fennelfork/src/fennelfork/home/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/home/_dispatch.py
@@ -53,7 +53,7 @@
     """Return how many slots of a server may be used."""
     now_ms = blackboard.clock.now_ms()
     if now_ms < server.overloaded_until_ms:
-        return blackboard.slots.busy(server.config.name)
+        return blackboard.slots.count_busy(server.config.name)
     return server.ejection.usable_slots(server.config.slots, now_ms)
 
 
@@ -61,7 +61,7 @@
     """Return how many slots of a server are free."""
     if not server.connections.has_capacity:
         return 0
-    busy = blackboard.slots.busy(server.config.name)
+    busy = blackboard.slots.count_busy(server.config.name)
     return max(0, usable_slots(blackboard, server) - busy)
 
 
@@ -131,7 +131,7 @@
     return Candidate(
         server=name,
         latency_ms=server.latency.mean_ms,
-        outstanding=blackboard.slots.busy(name),
+        outstanding=blackboard.slots.count_busy(name),
         slots=server.config.slots,
         warming=server.ejection.in_slow_start,
         tried=name in job.tried_servers,
--- a/packages/fennelfork/src/fennelfork/home/_fair.py
+++ b/packages/fennelfork/src/fennelfork/home/_fair.py
@@ -23,7 +23,7 @@
     tenants: Mapping[str, float] = attrs.field(factory=dict)
     classes: Mapping[str, float] = attrs.field(factory=dict)
 
-    def weight(self, flow: Flow) -> float:
+    def flow_weight(self, flow: Flow) -> float:
         """Return the weight of the tenant times that of the traffic class."""
         return self.tenants.get(
             flow.tenant,
@@ -50,11 +50,13 @@
     granted: dict[Flow, float] = {}
     remaining = capacity
     by_relative_rate = sorted(
-        offered, key=lambda flow: offered[flow] / shares.weight(flow)
+        offered, key=lambda flow: offered[flow] / shares.flow_weight(flow)
+    )
+    remaining_weight = sum(
+        shares.flow_weight(flow) for flow in by_relative_rate
     )
-    remaining_weight = sum(shares.weight(flow) for flow in by_relative_rate)
     for flow in by_relative_rate:
-        weight = shares.weight(flow)
+        weight = shares.flow_weight(flow)
         granted[flow] = min(
             offered[flow], remaining * weight / remaining_weight
         )
--- a/packages/fennelfork/src/fennelfork/home/_queue.py
+++ b/packages/fennelfork/src/fennelfork/home/_queue.py
@@ -133,7 +133,7 @@
             flow=flow,
         )
         before = own_queue.entries.bisect_left(probe) if own_queue else 0
-        own_weight = self.shares.weight(flow)
+        own_weight = self.shares.flow_weight(flow)
         others = sum(
             min(
                 len(other.entries),
@@ -158,7 +158,7 @@
         flow_queue = self._flows.get(flow)
         if flow_queue is None:
             flow_queue = _FlowQueue(
-                weight=self.shares.weight(flow), turn=self._virtual_time
+                weight=self.shares.flow_weight(flow), turn=self._virtual_time
             )
             self._flows[flow] = flow_queue
         elif not flow_queue.entries:
--- a/packages/fennelfork/src/fennelfork/home/_servers.py
+++ b/packages/fennelfork/src/fennelfork/home/_servers.py
@@ -31,7 +31,7 @@
             if server.accepts_work
         )
 
-    def view(self, shard: str) -> ShardView:
+    def build_view(self, shard: str) -> ShardView:
         """Return the snapshots that the available servers hold."""
         held: dict[int, list[SnapshotView]] = {}
         for server in self._blackboard.servers.values():
--- a/packages/fennelfork/src/fennelfork/home/_slots.py
+++ b/packages/fennelfork/src/fennelfork/home/_slots.py
@@ -19,7 +19,7 @@
         """Number of slots in use on all servers."""
         return len(self._server_of)
 
-    def busy(self, server: str) -> int:
+    def count_busy(self, server: str) -> int:
         """Return how many slots of a server are in use."""
         return len(self._held.get(server, ()))
 
--- a/packages/fennelfork/src/fennelfork/home/_status.py
+++ b/packages/fennelfork/src/fennelfork/home/_status.py
@@ -50,7 +50,7 @@
         ServerStatus(
             name=name,
             condition=_classify_condition(server, blackboard.clock.now_ms()),
-            busy=blackboard.slots.busy(name),
+            busy=blackboard.slots.count_busy(name),
             snapshots=tuple(held.version for held in server.snapshots),
         )
         for name, server in sorted(blackboard.servers.items())
--- a/packages/fennelfork/src/fennelfork/once/_state.py
+++ b/packages/fennelfork/src/fennelfork/once/_state.py
@@ -51,7 +51,7 @@
     return isinstance(state, Accepted | Sent)
 
 
-def conflict(state: OnceState) -> Failure:
+def build_conflict(state: OnceState) -> Failure:
     """Build the failure of an id that was used with other content."""
     failure = may_have_run(
         FailureCode.CONFLICT,
--- a/packages/fennelfork/src/fennelfork/once/_table.py
+++ b/packages/fennelfork/src/fennelfork/once/_table.py
@@ -30,7 +30,7 @@
     Ended,
     OnceState,
     Sent,
-    conflict,
+    build_conflict,
     is_open,
     outcome_too_long,
     ticket_closed,
@@ -117,7 +117,7 @@
         if entry is None:
             return self._admit_new(ticket, request)
         if entry.content_hash != request.content_hash:
-            return Failed(conflict(entry.state))
+            return Failed(build_conflict(entry.state))
         return Success(admit_duplicate(entry.state))
 
     def begin_send(self, request_id: str) -> Result[float, Failure]:
@@ -135,12 +135,12 @@
             return Failed(entry.state.failure)
         if not isinstance(entry.state, Accepted):
             raise ValueError(f'the request {request_id!r} was sent already')
-        left_ms = entry.expires_ms - self._clock.now_ms()
-        if left_ms <= 0:
+        remaining_ms = entry.expires_ms - self._clock.now_ms()
+        if remaining_ms <= 0:
             entry.state = Ended(failure=ticket_expired())
             return Failed(ticket_expired())
         entry.state = Sent()
-        return Success(left_ms)
+        return Success(remaining_ms)
 
     def revert_send(self, request_id: str) -> None:
         """Record that the backend server reported the request as not run."""
--- a/packages/fennelfork/src/fennelfork/once/_ticket.py
+++ b/packages/fennelfork/src/fennelfork/once/_ticket.py
@@ -76,7 +76,7 @@
     incarnation: int
     _secret: bytes = attrs.field(repr=False)
 
-    def mac(self, signed: str) -> str:
+    def compute_mac(self, signed: str) -> str:
         """Return the message authentication code of the text `signed`."""
         code = hmac.new(self._secret, signed.encode(), hashlib.sha256)
         return code.hexdigest()[:_MAC_CHARS]
@@ -127,7 +127,7 @@
         serial=serial,
         terms=ticket_terms,
         signed=signed,
-        mac=key.mac(signed),
+        mac=key.compute_mac(signed),
     )
 
 
@@ -168,7 +168,7 @@
     if ticket.terms.incarnation != key.incarnation:
         return Failed(unknown_outcome('the daemon of the ticket has restarted'))
     is_genuine = hmac.compare_digest(
-        key.mac(ticket.signed).encode(),
+        key.compute_mac(ticket.signed).encode(),
         ticket.mac.encode(),
     )
     if not is_genuine:
--- a/packages/fennelfork/src/fennelfork/routes/_attempt_outcome.py
+++ b/packages/fennelfork/src/fennelfork/routes/_attempt_outcome.py
@@ -45,17 +45,21 @@
 _MIN_CONNECT_MS: Final = 300.0
 
 
-def classify_failure(failure: Failure, left_ms: float) -> AttemptOutcome:
+def classify_failure(failure: Failure, remaining_ms: float) -> AttemptOutcome:
     """Return the outcome of a failed attempt.
 
     Args:
         failure: failure of the attempt.
-        left_ms: time between the start of the attempt and the deadline of the
+        remaining_ms: time between the start of the attempt and the deadline of the
             request.
     """
     unreached = failure.verdict is Verdict.NOT_RUN
-    hurried = left_ms < _MIN_CONNECT_MS
-    if unreached and hurried and failure.code is FailureCode.UNREACHABLE:
+    has_short_timeout = remaining_ms < _MIN_CONNECT_MS
+    if (
+        unreached
+        and has_short_timeout
+        and failure.code is FailureCode.UNREACHABLE
+    ):
         return Inconclusive()
     return Failed(failure=failure)
 
--- a/packages/fennelfork/src/fennelfork/routes/_concurrency.py
+++ b/packages/fennelfork/src/fennelfork/routes/_concurrency.py
@@ -131,29 +131,29 @@
         if not limit.in_flight and limit.limit >= _NO_LIMIT:
             self._limits.pop(services_of(route.target), None)
 
-    def record_outcome(self, ended: Dispatch[Any], took_ms: float) -> bool:
+    def record_outcome(self, dispatch: Dispatch[Any], took_ms: float) -> bool:
         """Adjust the limit of a route to the outcome of a request.
 
         Args:
-            ended: dispatch of the request.
+            dispatch: dispatch of the request.
             took_ms: time from the arrival of the request to its answer.
 
         Returns:
             Whether the limit has been decreased.
         """
-        limit = self.for_route(ended.route)
+        limit = self.for_route(dispatch.route)
         now_ms = self._clock.now_ms()
-        in_time = took_ms <= ended.route.latency_target_ms
-        if ended.is_sufficient and in_time:
+        in_time = took_ms <= dispatch.route.latency_target_ms
+        if dispatch.is_sufficient and in_time:
             limit.record_success(now_ms)
             return False
         # A rejected attempt made the request late or caused its failure.
         if any(
             sub_request.was_rejected
-            for sub_request in ended.sub_requests.values()
+            for sub_request in dispatch.sub_requests.values()
         ):
             return limit.record_overload(now_ms)
-        return ended.is_sufficient and limit.record_late_response(now_ms)
+        return dispatch.is_sufficient and limit.record_late_response(now_ms)
 
     def record_lag(self) -> None:
         """Record an overload signal for all services: this process lags."""
--- a/packages/fennelfork/src/fennelfork/routes/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/routes/_dispatch.py
@@ -186,8 +186,8 @@
         suspect_services: services whose servers crashed while they ran the
             same request; these services get the first attempts.
     """
-    came_ms, left_ms = times
-    timeout_ms = min(left_ms, route.timeout_ms)
+    came_ms, remaining_ms = times
+    timeout_ms = min(remaining_ms, route.timeout_ms)
     ordered = sorted(
         services, key=lambda service: service not in suspect_services
     )
--- a/packages/fennelfork/src/fennelfork/routes/_route.py
+++ b/packages/fennelfork/src/fennelfork/routes/_route.py
@@ -127,5 +127,5 @@
     """Return the number of responses that a successful answer requires."""
     if not isinstance(target, FanOut):
         return 1
-    wanted = len(target.services) * target.min_coverage
-    return max(1, math.ceil(wanted - _ROUNDING))
+    min_services = len(target.services) * target.min_coverage
+    return max(1, math.ceil(min_services - _ROUNDING))
--- a/packages/fennelfork/src/fennelfork/routes/_selection.py
+++ b/packages/fennelfork/src/fennelfork/routes/_selection.py
@@ -93,7 +93,7 @@
     _clock: Clock
     _rng: random.Random
 
-    def choose(self, wanted: SelectionCriteria) -> BackendServer | None:
+    def choose(self, criteria: SelectionCriteria) -> BackendServer | None:
         """Choose the server with the lowest expected latency.
 
         Servers at their concurrency limit are chosen only if no server is
@@ -102,22 +102,22 @@
         """
         servers = {
             server.incarnation: server
-            for server in self.directory.usable_servers(wanted.service)
-            if server.incarnation not in wanted.tried
+            for server in self.directory.usable_servers(criteria.service)
+            if server.incarnation not in criteria.tried
         }
         # The connection limit is the same for all servers of the service.
-        share = self.shares.connection_limit_for(wanted.service)
+        share = self.shares.connection_limit_for(criteria.service)
         by_availability: dict[_Availability, list[BackendServer]] = {}
         for server in servers.values():
-            availability = self._classify_availability(server, wanted, share)
+            availability = self._classify_availability(server, criteria, share)
             by_availability.setdefault(availability, []).append(server)
-        if wanted.only_healthy:
+        if criteria.only_healthy:
             by_availability.pop(_Availability.UNHEALTHY, None)
         if not by_availability:
             return None
         preferred = by_availability[min(by_availability)]
         chosen = choose_candidate(
-            self._build_candidates(preferred, wanted.latency_baseline),
+            self._build_candidates(preferred, criteria.latency_baseline),
             self._rng,
         )
         return None if chosen is None else servers[chosen.server]
@@ -125,14 +125,14 @@
     def _classify_availability(
         self,
         server: BackendServer,
-        wanted: SelectionCriteria,
+        criteria: SelectionCriteria,
         share: int,
     ) -> _Availability:
         state = self.states.for_incarnation(server.incarnation)
         now_ms = self._clock.now_ms()
         is_unresponsive = (
             state.unresponsive_ms(now_ms)
-            > wanted.latency_baseline.hedge_after_ms
+            > criteria.latency_baseline.hedge_after_ms
         )
         if is_unresponsive or state.ejection.is_ejected(now_ms):
             return _Availability.UNHEALTHY
--- a/packages/fennelfork/src/fennelfork/routes/_sender.py
+++ b/packages/fennelfork/src/fennelfork/routes/_sender.py
@@ -116,15 +116,15 @@
         again: waiting for a connection delays the sub-request, while giving
         up fails the whole request.
         """
-        wanted = SelectionCriteria(
+        criteria = SelectionCriteria(
             service=sub_request.service,
             tried=sub_request.tried,
             latency_baseline=self.latency_baseline,
             only_healthy=only_healthy,
         )
-        chosen = self._parts.selector.choose(wanted)
+        chosen = self._parts.selector.choose(criteria)
         if chosen is None and sub_request.readmit_unconnected():
-            chosen = self._parts.selector.choose(wanted)
+            chosen = self._parts.selector.choose(criteria)
         return chosen
 
     def _refuse(
--- a/packages/fennelfork/src/fennelfork/routes/_store_polling.py
+++ b/packages/fennelfork/src/fennelfork/routes/_store_polling.py
@@ -85,8 +85,8 @@
                 wait_ms=_RETRY_WATCH_MS, response_ms=response_ms
             )
         retry_ms = response_ms + STORE_RETRY_DELAY_MS + response_ms
-        left_ms = self._max_age_ms - age_ms - retry_ms - _MARGIN_MS
-        wait_ms = max(_MIN_WATCH_MS, left_ms)
+        remaining_ms = self._max_age_ms - age_ms - retry_ms - _MARGIN_MS
+        wait_ms = max(_MIN_WATCH_MS, remaining_ms)
         return WatchTimeouts(wait_ms=wait_ms, response_ms=response_ms)
 
     def listing_timeout_ms(self, failures: int) -> float:
