--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -12,9 +12,9 @@
     Membership,
     MembershipPolicy,
     SendProbe,
-    announce,
     announce_exit,
     announce_leave,
+    announce_local_member,
     leave_is_announced,
     membership,
 )
@@ -110,7 +110,7 @@
             config_version=blackboard.config_version,
             config_hash=blackboard.config_hash,
         )
-        announce(self.controller, announced)
+        announce_local_member(self.controller, announced)
 
     def _relay(self, name: str) -> bool:
         send = self.controller.relay(name, self._clock.now_ms())
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
@@ -7,7 +7,7 @@
 
 from fennelfork import Blackboard
 from fennelfork.config import Front, Shard
-from fennelfork.home import ServerStatus, route_homes
+from fennelfork.home import ServerStatus, group_shards_by_home
 from fennelfork.membership import Member
 
 JsonTree = dict[str, Any]
@@ -78,7 +78,9 @@
 ) -> dict[str, str]:
     return {
         shard: group.home.name
-        for group in route_homes(blackboard, name, front.shards, frozenset())
+        for group in group_shards_by_home(
+            blackboard, name, front.shards, frozenset()
+        )
         for shard in group.shards
     }
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
@@ -75,7 +75,7 @@
             _apply_update(update, self)
         self.blackboard.fleet.record_size(len(self.blackboard.members.entries))
         incarnations = self.blackboard.directory.incarnations
-        self.blackboard.states.keep(incarnations)
+        self.blackboard.states.retain(incarnations)
         self._pools.close_all_except(incarnations)
 
 
--- a/packages/fennelfork/src/fennelfork/home/_admission.py
+++ b/packages/fennelfork/src/fennelfork/home/_admission.py
@@ -22,8 +22,9 @@
 # Above 1, so that slots do not become idle; the resulting queue is subtracted
 # from the capacity.
 _TARGET_UTILISATION: Final = 1.05
-# Home daemons admit more than their level because root daemons already apply
-# the lowest level. A rejected sub-query wastes the others of its query.
+# Home daemons admit more than their admission level because root daemons
+# already apply the lowest level. A rejected sub-query wastes the other
+# sub-queries of its query.
 _LEVEL_MARGIN: Final = 1.15
 # Share of the remaining time that may be spent in the queue before the shard
 # counts as overloaded.
@@ -154,26 +155,26 @@
     def _record_arrival(self, arrival: Arrival, now_ms: float) -> None:
         rate = self._arrivals.get(arrival.flow)
         if rate is None:
-            self._sweep(now_ms)
+            self._remove_idle_flows(now_ms)
             rate = Rate(since_ms=now_ms, at_ms=now_ms)
             self._arrivals[arrival.flow] = rate
         rate.record(now_ms, arrival.weight)
 
-    def _sweep(self, now_ms: float) -> None:
+    def _remove_idle_flows(self, now_ms: float) -> None:
         """Remove idle flows each time that the number of flows doubles."""
         if len(self._arrivals) < self._next_sweep:
             return
-        self._forget(self._offered(now_ms))
+        self._remove_flows(self._compute_offered_rates(now_ms))
         self._next_sweep = max(_MIN_SWEEP_FLOWS, 2 * len(self._arrivals))
 
-    def _offered(self, now_ms: float) -> dict[Flow, float]:
+    def _compute_offered_rates(self, now_ms: float) -> dict[Flow, float]:
         return {
             flow: rate.per_ms(now_ms) for flow, rate in self._arrivals.items()
         }
 
     def _set_levels(self, load: LoadEstimate, now_ms: float) -> None:
         """Compute the admission level of each flow from its fair share."""
-        offered = self._offered(now_ms)
+        offered = self._compute_offered_rates(now_ms)
         capacity_per_ms = load.slots / self.service_ms
         excess_queued = max(
             0,
@@ -189,9 +190,9 @@
             flow: granted_rates[flow] / per_ms
             for flow, per_ms in offered.items()
         }
-        self._forget(offered)
+        self._remove_flows(offered)
 
-    def _forget(self, offered: dict[Flow, float]) -> None:
+    def _remove_flows(self, offered: dict[Flow, float]) -> None:
         for flow, per_ms in offered.items():
             if per_ms * _WINDOW_MS < _MIN_TRACKED_EVENTS:
                 self._arrivals.pop(flow)
--- a/packages/fennelfork/src/fennelfork/once/_gate.py
+++ b/packages/fennelfork/src/fennelfork/once/_gate.py
@@ -129,14 +129,15 @@
     def _route(
         self, ticket: Ticket
     ) -> Result[ExecuteLocally | ForwardToPeer, Failure]:
-        terms = ticket.terms
-        if terms.daemon != self._key.daemon:
+        ticket_terms = ticket.terms
+        if ticket_terms.daemon != self._key.daemon:
             return Success(
                 ForwardToPeer(
-                    daemon=terms.daemon, incarnation=terms.incarnation
+                    daemon=ticket_terms.daemon,
+                    incarnation=ticket_terms.incarnation,
                 ),
             )
-        if terms.incarnation != self._key.incarnation:
+        if ticket_terms.incarnation != self._key.incarnation:
             return Failed(
                 unknown_outcome('the daemon of the ticket has restarted')
             )
@@ -149,7 +150,7 @@
     rng: random.Random,
     limits: OnceLimits | None = None,
 ) -> OnceGate:
-    """Build the gate of a new incarnation.
+    """Build the ticket issuer and request table of a new incarnation.
 
     Args:
         key: secret key of the incarnation.
--- a/packages/fennelfork/src/fennelfork/once/_ticket.py
+++ b/packages/fennelfork/src/fennelfork/once/_ticket.py
@@ -70,20 +70,20 @@
 
 @attrs.frozen(kw_only=True)
 class TicketKey:
-    """Secret key of one incarnation, never stored and never sent."""
+    """Ticket signing key of one incarnation, never stored and never sent."""
 
     daemon: str
     incarnation: int
     _secret: bytes = attrs.field(repr=False)
 
-    def mac(self, signed: str) -> str:
-        """Return the message authentication code of `signed`."""
+    def compute_mac(self, signed: str) -> str:
+        """Return the message authentication code of the text `signed`."""
         code = hmac.new(self._secret, signed.encode(), hashlib.sha256)
         return code.hexdigest()[:_MAC_CHARS]
 
 
 def ticket_key(daemon: str, incarnation: int, secret: bytes) -> TicketKey:
-    """Build the key of an incarnation.
+    """Build the ticket signing key of one incarnation of a daemon.
 
     Args:
         daemon: name of the daemon.
@@ -109,25 +109,25 @@
     """Issue a ticket that expires after `lifetime_ms`.
 
     Args:
-        key: key of the issuing incarnation.
+        key: ticket signing key of the issuing incarnation.
         clock: monotonic clock of the incarnation.
         rng: source of the serial.
         lifetime_ms: time within which execution may start under the ticket.
     """
     issued_ms = math.floor(clock.now_ms())
-    terms = TicketTerms(
+    ticket_terms = TicketTerms(
         daemon=key.daemon,
         incarnation=key.incarnation,
         issued_ms=issued_ms,
         expires_ms=issued_ms + lifetime_ms,
     )
     serial = f'{rng.getrandbits(_SERIAL_BITS):024x}'
-    signed = _FIELD_SEPARATOR.join((serial, _encode(terms)))
+    signed = _FIELD_SEPARATOR.join((serial, _encode_terms(ticket_terms)))
     return Ticket(
         serial=serial,
-        terms=terms,
+        terms=ticket_terms,
         signed=signed,
-        mac=key.mac(signed),
+        mac=key.compute_mac(signed),
     )
 
 
@@ -144,11 +144,13 @@
         return Failed(unknown_outcome('the ticket is malformed'))
     serial, payload, mac = parts
     try:
-        terms = _decode(payload)
+        ticket_terms = _decode_terms(payload)
     except (ValueError, binascii.Error, cattrs.BaseValidationError):
         return Failed(unknown_outcome('the ticket is malformed'))
     signed = _FIELD_SEPARATOR.join((serial, payload))
-    return Success(Ticket(serial=serial, terms=terms, signed=signed, mac=mac))
+    return Success(
+        Ticket(serial=serial, terms=ticket_terms, signed=signed, mac=mac)
+    )
 
 
 def check_ticket(key: TicketKey, ticket: Ticket) -> Result[Ticket, Failure]:
@@ -166,7 +168,7 @@
     if ticket.terms.incarnation != key.incarnation:
         return Failed(unknown_outcome('the daemon of the ticket has restarted'))
     is_genuine = hmac.compare_digest(
-        key.mac(ticket.signed).encode(),
+        key.compute_mac(ticket.signed).encode(),
         ticket.mac.encode(),
     )
     if not is_genuine:
@@ -218,12 +220,12 @@
     return may_have_run(FailureCode.TICKET, detail)
 
 
-def _encode(terms: TicketTerms) -> str:
-    text = json.dumps(cattrs.unstructure(terms), separators=(',', ':'))
+def _encode_terms(ticket_terms: TicketTerms) -> str:
+    text = json.dumps(cattrs.unstructure(ticket_terms), separators=(',', ':'))
     return base64.urlsafe_b64encode(text.encode()).decode().rstrip('=')
 
 
-def _decode(payload: str) -> TicketTerms:
+def _decode_terms(payload: str) -> TicketTerms:
     padding = '=' * (-len(payload) % 4)
     raw = base64.urlsafe_b64decode(payload + padding)
     return cattrs.structure(json.loads(raw), TicketTerms)
--- a/packages/fennelfork/src/fennelfork/placement/_home_index.py
+++ b/packages/fennelfork/src/fennelfork/placement/_home_index.py
@@ -1,4 +1,7 @@
-"""Index of the home daemons of shards."""
+"""Index of home daemons.
+
+Home daemon: the daemon that schedules the requests of one shard.
+"""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from itertools import product
@@ -25,7 +28,7 @@
 
 @attrs.define(kw_only=True)
 class HomeIndex:
-    """Members grouped by state and data centre, with a cache of homes.
+    """Members by state and data centre, with a cache of home daemons.
 
     The index is valid for one membership; a change of the members requires a
     new index. The first look-up of a shard hashes each member of a data centre,
@@ -35,20 +38,20 @@
     _groups: Mapping[_Group, list[Member]]
     _cache: dict[_CacheKey, Member | None] = attrs.field(factory=dict)
 
-    def home(
+    def find_home(
         self,
         front: str,
         shard: str,
         data_centres: Sequence[str],
-        avoid: frozenset[str] = _NO_MEMBERS,
+        avoided_members: frozenset[str] = _NO_MEMBERS,
     ) -> Member | None:
         """Return the home daemon of a shard.
 
         Args:
             front: name of the search front.
             shard: name of the shard within the front.
-            data_centres: preferred data centres of the home, best first.
-            avoid: names of members to use only if no other member is usable.
+            data_centres: preferred data centres of the home daemon, best first.
+            avoided_members: names of members to use only if no other member is usable.
 
         Returns:
             The member with the highest weight among the alive members of the
@@ -59,9 +62,9 @@
         """
         cache_key = (front, shard, tuple(data_centres))
         best = self._cached_home(cache_key)
-        if best is None or best.name not in avoid:
+        if best is None or best.name not in avoided_members:
             return best
-        return self._find_home(cache_key, avoid) or best
+        return self._find_home(cache_key, avoided_members) or best
 
     def _cached_home(self, cache_key: _CacheKey) -> Member | None:
         if cache_key not in self._cache:
@@ -71,13 +74,13 @@
         return self._cache[cache_key]
 
     def _find_home(
-        self, cache_key: _CacheKey, avoid: frozenset[str]
+        self, cache_key: _CacheKey, avoided_members: frozenset[str]
     ) -> Member | None:
         front, shard, data_centres = cache_key
         key = weight_key(_PURPOSE, front, shard)
         for group in self._ordered_groups(data_centres):
             candidates = [
-                member for member in group if member.name not in avoid
+                member for member in group if member.name not in avoided_members
             ]
             if candidates:
                 return heaviest_member(key, candidates)
@@ -99,7 +102,7 @@
 
 
 def home_index(members: Iterable[Member]) -> HomeIndex:
-    """Build the index of the given members."""
+    """Build the index of home daemons from the members of the fleet."""
     groups: dict[_Group, list[Member]] = {}
     for member in members:
         key = (member.is_ready, member.state, member.data_centre)
--- a/packages/fennelfork/src/fennelfork/routes/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/routes/_dispatch.py
@@ -47,7 +47,7 @@
     Attributes:
         route: route of the request at the time of its arrival.
         latency_baseline: latency baseline of the route.
-        legs: sub-requests, by service.
+        sub_requests: sub-requests, by service.
         hedges: number of hedges that were sent.
         retries: number of retries that were sent.
     """
@@ -124,7 +124,7 @@
         return sends
 
     def send_hedges(self, now_ms: float) -> list[Send]:
-        """Send the hedges that are due."""
+        """Send the hedges of sub-requests that are due."""
         sends = []
         for sub_request in self.sub_requests.values():
             if sub_request.is_waiting and now_ms >= sub_request.hedge_at_ms:
@@ -148,7 +148,7 @@
         return None
 
     def next_timer_ms(self, now_ms: float) -> float:
-        """Return the next time at which hedges or the end may be due."""
+        """Return the next time at which hedges or the timeout may be due."""
         due = [
             sub_request.hedge_at_ms
             for sub_request in self.sub_requests.values()
@@ -174,7 +174,7 @@
     *,
     suspect_services: Collection[str] = (),
 ) -> Dispatch[_Part]:
-    """Create the dispatch of one request.
+    """Create the state that decides on the attempts of one request.
 
     Args:
         route: route of the request.
@@ -186,9 +186,11 @@
         suspect_services: services whose servers crashed while they ran the
             same request; these services get the first attempts.
     """
-    came_ms, left_ms = times
-    timeout_ms = min(left_ms, route.timeout_ms)
-    ordered = sorted(services, key=lambda one: one not in suspect_services)
+    came_ms, remaining_ms = times
+    timeout_ms = min(remaining_ms, route.timeout_ms)
+    ordered = sorted(
+        services, key=lambda service: service not in suspect_services
+    )
     return Dispatch(
         route=route,
         latency_baseline=latency_baseline,
--- a/packages/fennelfork/src/fennelfork/routes/_selection.py
+++ b/packages/fennelfork/src/fennelfork/routes/_selection.py
@@ -46,8 +46,11 @@
         """
         if self.is_local(data_centre):
             return 0
-        own = self.region_of.get(self.data_centre)
-        if own is not None and self.region_of.get(data_centre) == own:
+        own_region = self.region_of.get(self.data_centre)
+        if (
+            own_region is not None
+            and self.region_of.get(data_centre) == own_region
+        ):
             return _OTHER_DATA_CENTRE_MS
         return (
             _OTHER_REGION_MS + _OTHER_REGION_TARGET_FRACTION * latency_target_ms
@@ -90,7 +93,7 @@
     _clock: Clock
     _rng: random.Random
 
-    def choose(self, wanted: SelectionCriteria) -> BackendServer | None:
+    def choose(self, criteria: SelectionCriteria) -> BackendServer | None:
         """Choose the server with the lowest expected latency.
 
         Servers at their concurrency limit are chosen only if no server is
@@ -99,36 +102,37 @@
         """
         servers = {
             server.incarnation: server
-            for server in self.directory.usable(wanted.service)
-            if server.incarnation not in wanted.tried
+            for server in self.directory.usable_servers(criteria.service)
+            if server.incarnation not in criteria.tried
         }
         # The connection limit is the same for all servers of the service.
-        share = self.shares.limit_for(wanted.service)
+        share = self.shares.connection_limit_for(criteria.service)
         by_availability: dict[_Availability, list[BackendServer]] = {}
         for server in servers.values():
-            availability = self._availability(server, wanted, share)
+            availability = self._classify_availability(server, criteria, share)
             by_availability.setdefault(availability, []).append(server)
-        if wanted.only_healthy:
+        if criteria.only_healthy:
             by_availability.pop(_Availability.UNHEALTHY, None)
         if not by_availability:
             return None
         preferred = by_availability[min(by_availability)]
         chosen = choose_candidate(
-            self._candidates(preferred, wanted.latency_baseline), self._rng
+            self._build_candidates(preferred, criteria.latency_baseline),
+            self._rng,
         )
         return None if chosen is None else servers[chosen.server]
 
-    def _availability(
+    def _classify_availability(
         self,
         server: BackendServer,
-        wanted: SelectionCriteria,
+        criteria: SelectionCriteria,
         share: int,
     ) -> _Availability:
-        state = self.states.of(server.incarnation)
+        state = self.states.for_incarnation(server.incarnation)
         now_ms = self._clock.now_ms()
         is_unresponsive = (
             state.unresponsive_ms(now_ms)
-            > wanted.latency_baseline.hedge_after_ms
+            > criteria.latency_baseline.hedge_after_ms
         )
         if is_unresponsive or state.ejection.is_ejected(now_ms):
             return _Availability.UNHEALTHY
@@ -139,16 +143,16 @@
             return _Availability.BUSY
         return _Availability.AVAILABLE
 
-    def _candidates(
+    def _build_candidates(
         self,
         servers: list[BackendServer],
         latency_baseline: LatencyBaseline,
     ) -> Iterator[Candidate]:
         for server in servers:
-            state = self.states.of(server.incarnation)
-            yield self._candidate(server, state, latency_baseline)
+            state = self.states.for_incarnation(server.incarnation)
+            yield self._build_candidate(server, state, latency_baseline)
 
-    def _candidate(
+    def _build_candidate(
         self,
         server: BackendServer,
         state: ServerState,
--- a/packages/fennelfork/src/fennelfork/routes/_sender.py
+++ b/packages/fennelfork/src/fennelfork/routes/_sender.py
@@ -62,7 +62,7 @@
         """Send one attempt if the route, the servers and the budget allow it.
 
         Args:
-            leg: sub-request that the attempt belongs to.
+            sub_request: sub-request that the attempt belongs to.
             now_ms: current time.
             only_healthy: whether to send nothing rather than to use an
                 unhealthy server.
@@ -116,15 +116,15 @@
         again: waiting for a connection delays the sub-request, while giving
         up fails the whole request.
         """
-        wanted = SelectionCriteria(
+        criteria = SelectionCriteria(
             service=sub_request.service,
             tried=sub_request.tried,
             latency_baseline=self.latency_baseline,
             only_healthy=only_healthy,
         )
-        chosen = self._parts.selector.choose(wanted)
+        chosen = self._parts.selector.choose(criteria)
         if chosen is None and sub_request.readmit_unconnected():
-            chosen = self._parts.selector.choose(wanted)
+            chosen = self._parts.selector.choose(criteria)
         return chosen
 
     def _refuse(
