--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# `make demo` and `make test` set up .venv themselves; see README.md.
+# `make demo` and `make test` create .venv if needed; see README.md.
 PY := .venv/bin/python
 PACKAGES := fennelfork fennelfork-daemon fennelfork-cli fennelfork-bench
 WORKERS ?= 6
@@ -17,7 +17,7 @@
 	$(PY) -m mypy packages/fennelfork/src
 	.venv/bin/lint-imports
 
-# Tests listed there run by themselves, are printed, and do not fail the rest.
+# Tests in KNOWN-RED.txt run separately and do not fail the target.
 KNOWN_RED := $(shell sed -n 's/^\([^ \#|]*::[^ |]*\).*/\1/p' KNOWN-RED.txt 2>/dev/null)
 
 unit: .venv/.installed
@@ -27,7 +27,7 @@
 	$(PY) -m pytest -q $(KNOWN_RED) || echo "known red: the failure above is listed"
 endif
 
-# State machines and properties with 2,000 random examples each.
+# State machine and property tests with 2,000 random examples each.
 long: .venv/.installed
 	HYPOTHESIS_PROFILE=long $(PY) -m pytest -q -n $(WORKERS) --dist worksteal packages/fennelfork
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/_vms_app.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/_vms_app.py
@@ -56,12 +56,12 @@
     )
 
     def set_vms(self, vms: list[dict[str, Any]]) -> None:
-        """Replace the list."""
+        """Replace the VM list."""
         now_ms = self._clock.now_ms()
         self._history.append(VmListVersion(at_ms=now_ms, vms=vms))
 
     def visible_vms(self) -> list[dict[str, Any]]:
-        """Return the newest list older than the lag, else the first list."""
+        """Return the newest VM list older than the lag, else the first list."""
         horizon_ms = self._clock.now_ms() - self.lag_ms
         visible_vms: list[dict[str, Any]] = []
         for index, version in enumerate(self._history):
@@ -81,7 +81,7 @@
         environ: Json,
         start_response: StartResponse,
     ) -> Iterable[bytes]:
-        """Handle a request."""
+        """Handle one HTTP request."""
         try:
             body = read_json(environ, _MAX_BODY_BYTES)
         except (TooLargeError, ValueError) as error:
@@ -113,5 +113,5 @@
 
 
 def application(clock: Clock, lag_ms: float = 0) -> Application:
-    """Build the application with an empty list."""
+    """Build the application with an empty VM list."""
     return Application(vm_list=VmList(clock=clock, lag_ms=lag_ms))
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend.py
@@ -29,7 +29,7 @@
     """
     server_settings = read_settings(servers) if servers else (settings,)
     sys.stdout.write(
-        ready_line([start_server(each) for each in server_settings])
+        format_ready_line([start_server(each) for each in server_settings])
     )
     sys.stdout.flush()
     Event().wait()
@@ -43,7 +43,7 @@
     )
 
 
-def ready_line(addresses: list[Address]) -> str:
+def format_ready_line(addresses: list[Address]) -> str:
     """Format the JSON line that announces the addresses of the servers.
 
     `address` and `control` belong to the first server, as the interface page
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_app.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_app.py
@@ -18,11 +18,11 @@
 from fennelfork_bench.backend_server._control import ControlApp
 from fennelfork_bench.backend_server._delivery import ReplyFaults
 from fennelfork_bench.backend_server._engine import (
+    build_execute_subject,
+    build_search_subject,
     cancel,
     execute,
-    execute_subject,
     search,
-    search_subject,
     wait_while_frozen,
 )
 from fennelfork_bench.backend_server._faults import FaultRule
@@ -137,7 +137,7 @@
 ) -> Response | None:
     request = parse_message(body, SearchRequest)
     run = functools.partial(search, app.state, request)
-    return _run_request(app, connection, search_subject(request), run)
+    return _run_request(app, connection, build_search_subject(request), run)
 
 
 def _multi_search(
@@ -154,7 +154,7 @@
 ) -> Response | None:
     request = parse_message(body, ExecuteRequest)
     run = functools.partial(execute, app.state, request)
-    return _run_request(app, connection, execute_subject(request), run)
+    return _run_request(app, connection, build_execute_subject(request), run)
 
 
 def _run_request(
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_codec.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_codec.py
@@ -8,16 +8,18 @@
 _Message = TypeVar('_Message')
 
 
-def parse_message(body: bytes, kind: type[_Message]) -> _Message:
+def parse_message(body: bytes, message_class: type[_Message]) -> _Message:
     """Parse a JSON body as a message.
 
     Raises:
         ValueError: if the body is not valid JSON or not such a message.
     """
     try:
-        return cattrs.structure(json.loads(body), kind)
+        return cattrs.structure(json.loads(body), message_class)
     except (cattrs.BaseValidationError, TypeError, KeyError) as error:
-        raise ValueError(f'the body is not a {kind.__name__}') from error
+        raise ValueError(
+            f'the body is not a {message_class.__name__}'
+        ) from error
 
 
 def render_message(message: object) -> bytes:
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_control.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_control.py
@@ -13,7 +13,7 @@
 from fennelfork_bench.backend_server._connection import Listener
 from fennelfork_bench.backend_server._faults import FaultCommand
 from fennelfork_bench.backend_server._log_page import log_counts, log_page
-from fennelfork_bench.backend_server._reported_status import actual_health
+from fennelfork_bench.backend_server._reported_status import build_actual_health
 from fennelfork_bench.backend_server._response import (
     Response,
     StartResponse,
@@ -66,12 +66,12 @@
 
 def _set_snapshot(app: ControlApp, body: bytes) -> Response:
     app.state.snapshots.apply_command(parse_message(body, SnapshotCommand))
-    return json_response(actual_health(app.state))
+    return json_response(build_actual_health(app.state))
 
 
 def _set_draining(app: ControlApp, body: bytes) -> Response:
     app.state.draining = parse_message(body or b'{}', DrainCommand).draining
-    return json_response(actual_health(app.state))
+    return json_response(build_actual_health(app.state))
 
 
 def _get_counts(app: ControlApp, body: bytes) -> Response:
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_engine.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_engine.py
@@ -51,14 +51,14 @@
     """
     wanted = key_range(request.lo, request.hi)
     attempt = Attempt(
-        subject=search_subject(request),
+        subject=build_search_subject(request),
         deadline_ms=request.deadline_ms,
         faults=faults,
     )
     refusal = _refuse_search(state, request.snapshot, wanted)
     failure = refusal or _admit_and_run(state, attempt)
     if failure:
-        return _refused(state, attempt.subject, failure)
+        return _build_refusal(state, attempt.subject, failure)
     records = select_records(
         state.settings.front_seed,
         request.snapshot,
@@ -85,7 +85,7 @@
 ) -> Result[ExecuteReply, Failure]:
     """Run a non-idempotent request; the outcome contains the run count."""
     attempt = Attempt(
-        subject=execute_subject(request),
+        subject=build_execute_subject(request),
         deadline_ms=request.remaining_ms(state.clock.now_ms()),
         faults=faults,
     )
@@ -93,7 +93,7 @@
     refusal = _refuse_range(state, state.snapshots.newest_version, wanted)
     failure = refusal or _admit_and_run(state, attempt)
     if failure:
-        return _refused(state, attempt.subject, failure)
+        return _build_refusal(state, attempt.subject, failure)
     times_run = state.executed.get((request.key, request.action), 0) + 1
     state.executed[request.key, request.action] = times_run
     return Done(
@@ -121,7 +121,7 @@
         eventlet.sleep(_FREEZE_POLL_MS / _MS_PER_SECOND)
 
 
-def search_subject(request: SearchRequest) -> Subject:
+def build_search_subject(request: SearchRequest) -> Subject:
     """Return the log subject of a search."""
     return Subject(
         call=Call.SEARCH,
@@ -133,7 +133,7 @@
     )
 
 
-def execute_subject(request: ExecuteRequest) -> Subject:
+def build_execute_subject(request: ExecuteRequest) -> Subject:
     """Return the log subject of an execution."""
     return Subject(
         call=Call.EXECUTE,
@@ -201,7 +201,7 @@
     return None
 
 
-def _refused(
+def _build_refusal(
     state: ServerState,
     subject: Subject,
     failure: Failure,
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_history.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_history.py
@@ -40,11 +40,13 @@
     }
 
 
-def _received(common: dict[str, Any], line: _LogLine) -> ServerEvent:
+def _build_received_event(
+    common: dict[str, Any], line: _LogLine
+) -> ServerEvent:
     return WorkReceived(**common)
 
 
-def _started(common: dict[str, Any], line: _LogLine) -> ServerEvent:
+def _build_started_event(common: dict[str, Any], line: _LogLine) -> ServerEvent:
     if Call(line['call']) is Call.EXECUTE:
         return ExecuteRan(**common, key=line['key'], action=line['action'])
     return QueryRan(
@@ -55,22 +57,26 @@
     )
 
 
-def _refused(common: dict[str, Any], line: _LogLine) -> ServerEvent:
+def _build_refused_event(common: dict[str, Any], line: _LogLine) -> ServerEvent:
     return WorkRefused(**common, code=line['detail'])
 
 
-def _fault_injected(common: dict[str, Any], line: _LogLine) -> ServerEvent:
+def _build_fault_injected_event(
+    common: dict[str, Any], line: _LogLine
+) -> ServerEvent:
     return ReplySpoiled(**common, kind=line['detail'])
 
 
-def _cancelled(common: dict[str, Any], line: _LogLine) -> ServerEvent:
+def _build_cancelled_event(
+    common: dict[str, Any], line: _LogLine
+) -> ServerEvent:
     return WorkCancelled(**common)
 
 
 _EVENT_FACTORIES: Final[_EventFactories] = {
-    EventKind.RECEIVED: _received,
-    EventKind.STARTED: _started,
-    EventKind.REFUSED: _refused,
-    EventKind.FAULT: _fault_injected,
-    EventKind.CANCELLED: _cancelled,
+    EventKind.RECEIVED: _build_received_event,
+    EventKind.STARTED: _build_started_event,
+    EventKind.REFUSED: _build_refused_event,
+    EventKind.FAULT: _build_fault_injected_event,
+    EventKind.CANCELLED: _build_cancelled_event,
 }
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_log_page.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_log_page.py
@@ -63,11 +63,11 @@
         connections_refused=state.connections_refused,
         dropped=log.dropped,
         counts=dict(log.counts),
-        events=tuple(_log_line(event) for event in log.events),
+        events=tuple(_build_log_line(event) for event in log.events),
     )
 
 
-def _log_line(event: Event) -> LogLine:
+def _build_log_line(event: Event) -> LogLine:
     subject = event.subject
     return LogLine(
         at_ms=event.at_ms,
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_multi.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_multi.py
@@ -7,7 +7,7 @@
 from returns.pipeline import is_successful
 
 from fennelfork_bench.backend_server._delivery import ReplyFaults
-from fennelfork_bench.backend_server._engine import search, search_subject
+from fennelfork_bench.backend_server._engine import build_search_subject, search
 from fennelfork_bench.backend_server._log import EventKind
 from fennelfork_bench.backend_server._messages import (
     MultiSearchReply,
@@ -16,7 +16,7 @@
     SearchReply,
     SearchRequest,
 )
-from fennelfork_bench.backend_server._response import failure_problem
+from fennelfork_bench.backend_server._response import build_failure_problem
 from fennelfork_bench.backend_server._state import ServerState
 
 _MAX_SEARCHES: Final = 256
@@ -56,13 +56,13 @@
     def run_search(self, request: SearchRequest) -> SearchReply | Problem:
         """Run one search and return its reply or problem."""
         state = self._state
-        subject = search_subject(request)
+        subject = build_search_subject(request)
         state.log.add(EventKind.RECEIVED, subject)
         faults = state.faults.draw_faults(subject.call)
         outcome = search(state, request, faults)
         if not is_successful(outcome):
             held = state.snapshots.held_snapshots
-            return failure_problem(subject, outcome.failure(), held)
+            return build_failure_problem(subject, outcome.failure(), held)
         state.log.add(EventKind.REPLIED, subject)
         kinds = {rule.kind for rule in faults}
         return self._reply_faults.corrupt(outcome.unwrap(), kinds)
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_records.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_records.py
@@ -1,4 +1,4 @@
-"""Records of the stand-in, derived from front seed, key and snapshot."""
+"""Records of the stand-in, derived from the seed of the front."""
 
 from collections.abc import Iterable
 from typing import Final
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_reported_status.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_reported_status.py
@@ -46,21 +46,21 @@
         if now_ms - self._read_ms < self._state.health_fault.lag_ms:
             return
         self._read_ms = now_ms
-        self._health = actual_health(self._state)
-        self._load = actual_load(self._state)
+        self._health = build_actual_health(self._state)
+        self._load = build_actual_load(self._state)
 
 
 def reported_status(state: ServerState) -> ReportedStatus:
     """Build the reported status of a new server."""
     return ReportedStatus(
         state=state,
-        health=actual_health(state),
-        load=actual_load(state),
+        health=build_actual_health(state),
+        load=build_actual_load(state),
         read_ms=state.clock.now_ms(),
     )
 
 
-def actual_health(state: ServerState) -> Health:
+def build_actual_health(state: ServerState) -> Health:
     """Return the actual health of a server."""
     return Health(
         state=_state_name(state),
@@ -74,7 +74,7 @@
     )
 
 
-def actual_load(state: ServerState) -> Load:
+def build_actual_load(state: ServerState) -> Load:
     """Return the actual load of a server."""
     return Load(
         slots=state.slots.size,
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_response.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_response.py
@@ -54,10 +54,12 @@
     snapshots: tuple[HeldSnapshot, ...],
 ) -> Response:
     """Build the response to a failed request."""
-    return _problem_response(failure_problem(subject, failure, snapshots))
+    return _build_problem_response(
+        build_failure_problem(subject, failure, snapshots)
+    )
 
 
-def failure_problem(
+def build_failure_problem(
     subject: Subject,
     failure: Failure,
     snapshots: tuple[HeldSnapshot, ...],
@@ -79,7 +81,7 @@
 
 def bad_request_response(detail: str) -> Response:
     """Build the response to an invalid request."""
-    return _problem_response(
+    return _build_problem_response(
         Problem(
             title='bad request',
             status=http.HTTPStatus.BAD_REQUEST,
@@ -110,7 +112,7 @@
 ) -> Iterable[bytes]:
     """Start a WSGI response and return its body."""
     start_response(
-        f'{int(response.status)} {_phrase(response.status)}',
+        f'{int(response.status)} {_reason_phrase(response.status)}',
         [
             ('Content-Type', response.content_type),
             ('Content-Length', str(len(response.body))),
@@ -119,7 +121,7 @@
     return [response.body[: response.sent_bytes]]
 
 
-def _problem_response(problem: Problem) -> Response:
+def _build_problem_response(problem: Problem) -> Response:
     return Response(
         body=render_message(problem),
         status=problem.status,
@@ -127,7 +129,7 @@
     )
 
 
-def _phrase(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     if status == _CLIENT_CLOSED:
         return 'Client Closed Request'
     return http.HTTPStatus(status).phrase
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_client.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_client.py
@@ -34,14 +34,14 @@
 
     def send_query(self, number: int) -> QueryOutcome:
         """Send a query to a random entry address and return the outcome."""
-        query_event = self._query_event(number)
+        query_event = self._build_query_event(number)
         self._recorder.record_event(query_event)
         sleep(self._spec.link_ms / _MS_PER_SECOND)
         outcome = self._send(query_event)
         self._recorder.record_event(outcome.event)
         return outcome
 
-    def _query_event(self, number: int) -> QueryAsked:
+    def _build_query_event(self, number: int) -> QueryAsked:
         spec = self._spec
         request_id = f'{spec.caller}-{number}'
         return QueryAsked(
@@ -52,7 +52,7 @@
             daemon=self._randomness.choice(spec.entries.split(',')),
             entry_until_ms=self._recorder.now_ms() + _ENTRY_TTL_MS,
             front=spec.front,
-            query=_query(spec, self._randomness),
+            query=_build_query(spec, self._randomness),
             whole=spec.whole,
             floor=spec.floor,
         )
@@ -87,7 +87,7 @@
         return self._pools.request(
             'POST',
             f'http://{query_event.daemon}/v1/fronts/{spec.front}/query',
-            body=json.dumps(_request_body(spec, query_event)),
+            body=json.dumps(_build_request_body(spec, query_event)),
             headers={'Content-Type': 'application/json'},
             timeout=(spec.deadline_ms + _TIMEOUT_MARGIN_MS) / _MS_PER_SECOND,
         )
@@ -107,7 +107,7 @@
     )
 
 
-def _query(spec: LoadSpec, randomness: random.Random) -> str:
+def _build_query(spec: LoadSpec, randomness: random.Random) -> str:
     """Build a query for evenly spread keys, so that it reaches all shards."""
     step = max(1, spec.keys // spec.wanted)
     first = randomness.randrange(step)
@@ -115,7 +115,9 @@
     return json.dumps({'keys': keys})
 
 
-def _request_body(spec: LoadSpec, query_event: QueryAsked) -> dict[str, Any]:
+def _build_request_body(
+    spec: LoadSpec, query_event: QueryAsked
+) -> dict[str, Any]:
     mode = 'whole' if spec.whole else 'partial'
     return {
         'request_id': query_event.request_id,
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_group.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_group.py
@@ -31,7 +31,7 @@
         rig.start_module(
             f'caller-{number}',
             'fennelfork_bench.caller',
-            _options(_load_share(load, number, count)),
+            _format_options(_load_share(load, number, count)),
         )
         for number in range(count)
     ]
@@ -70,7 +70,7 @@
     )
 
 
-def _options(load: LoadSpec) -> list[str]:
+def _format_options(load: LoadSpec) -> list[str]:
     options = []
     for name, setting in attrs.asdict(load).items():
         option = name.strip('_').replace('_', '-')
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_load.py
@@ -12,8 +12,8 @@
 from fennelfork_bench.callers._reply import QueryOutcome
 from fennelfork_bench.callers._spec import LoadSpec
 from fennelfork_bench.callers._tally import Tally, add_latency
-from fennelfork_bench.callers._truth import front_truth
-from fennelfork_bench.checks._answer import check_own_answer
+from fennelfork_bench.callers._truth import build_front_truth
+from fennelfork_bench.checks._answer import check_answer_matches_request
 from fennelfork_bench.checks._base import Violation
 from fennelfork_bench.checks._coverage import check_coverage
 from fennelfork_bench.checks._snapshot import check_snapshot
@@ -111,9 +111,9 @@
 
 
 def _find_violations(spec: LoadSpec, history: History) -> list[Violation]:
-    truth = front_truth(spec.keys, spec.front_seed, spec.newest)
+    truth = build_front_truth(spec.keys, spec.front_seed, spec.newest)
     return [
         *check_snapshot(history, truth),
         *check_coverage(history, truth),
-        *check_own_answer(history, truth),
+        *check_answer_matches_request(history, truth),
     ]
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_reply.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_reply.py
@@ -85,12 +85,14 @@
         return QueryOutcome(event=event)
     work = reply['work']
     return QueryOutcome(
-        event=_answer_event(attempt, at_ms, reply),
+        event=_build_answer_event(attempt, at_ms, reply),
         work=Work(**{name: work[name] for name in attrs.fields_dict(Work)}),
     )
 
 
-def _answer_event(attempt: str, at_ms: float, reply: Any) -> QueryAnswered:
+def _build_answer_event(
+    attempt: str, at_ms: float, reply: Any
+) -> QueryAnswered:
     coverage = reply['coverage']
     return QueryAnswered(
         at_ms=at_ms,
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_tally.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_tally.py
@@ -15,7 +15,7 @@
 _PERCENT: Final = 100
 
 
-def _histogram() -> HdrHistogram:
+def _new_histogram() -> HdrHistogram:
     return HdrHistogram(_MIN_LATENCY_US, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS)
 
 
@@ -38,8 +38,8 @@
     coverage_sum: float = 0
     violations: list[str] = attrs.field(factory=list)
     span_ms: float = 0
-    answer_latency: HdrHistogram = attrs.field(factory=_histogram)
-    refusal_latency: HdrHistogram = attrs.field(factory=_histogram)
+    answer_latency: HdrHistogram = attrs.field(factory=_new_histogram)
+    refusal_latency: HdrHistogram = attrs.field(factory=_new_histogram)
 
     def answer_quantile_ms(self, fraction: float) -> float:
         """Return a quantile of the latency of answers in milliseconds."""
--- a/packages/fennelfork-bench/src/fennelfork_bench/callers/_truth.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/callers/_truth.py
@@ -14,7 +14,7 @@
 _CACHE_SIZE: Final = 256
 
 
-def front_truth(keys: int, front_seed: int, newest: int) -> ExpectedIndex:
+def build_front_truth(keys: int, front_seed: int, newest: int) -> ExpectedIndex:
     """Build the reference data of a front of backend server stand-ins.
 
     The stamp of a record is its text, which contains the key and the snapshot.
@@ -27,12 +27,14 @@
     return ExpectedIndex(
         keys=keys,
         snapshots=frozenset(range(1, newest + 1)),
-        stamps=functools.partial(_stamps, key_range(0, keys), front_seed),
+        stamps=functools.partial(
+            _compute_stamps, key_range(0, keys), front_seed
+        ),
     )
 
 
 @functools.lru_cache(_CACHE_SIZE)
-def _stamps(
+def _compute_stamps(
     key_space: KeyRange,
     front_seed: int,
     snapshot: int,
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_all.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_all.py
@@ -2,7 +2,7 @@
 
 import itertools
 
-from fennelfork_bench.checks._answer import check_own_answer
+from fennelfork_bench.checks._answer import check_answer_matches_request
 from fennelfork_bench.checks._base import ExpectedIndex, TimeLimits, Violation
 from fennelfork_bench.checks._config import check_active_configuration
 from fennelfork_bench.checks._coverage import check_coverage
@@ -20,7 +20,7 @@
     index: ExpectedIndex,
     limits: TimeLimits,
 ) -> tuple[Violation, ...]:
-    """Check every guarantee.
+    """Check every guarantee on a history.
 
     Args:
         history: all events of one test run.
@@ -33,7 +33,7 @@
     found = (
         check_snapshot(history, index),
         check_coverage(history, index),
-        check_own_answer(history, index),
+        check_answer_matches_request(history, index),
         check_refusal(history),
         check_at_most_once(history),
         check_drain(history, limits),
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_answer.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_answer.py
@@ -25,8 +25,8 @@
 _Runs = set[tuple[str, int, str]]
 
 
-def check_own_answer(
-    history: History, index: ExpectedIndex
+def check_answer_matches_request(
+    history: History, expected_index: ExpectedIndex
 ) -> tuple[Violation, ...]:
     """Find attempts without exactly one end or with a wrong answer."""
     attempts = caller_attempts(history)
@@ -35,16 +35,16 @@
         for run in history.of_type(ExecuteRan)
     }
     return (
-        *_unknown_answers(history, attempts),
+        *_find_unknown_answers(history, attempts),
         *(
-            _violation(attempt, detail)
+            _build_violation(attempt, detail)
             for attempt in attempts
-            for detail in _problems(attempt, runs, index)
+            for detail in _find_problems(attempt, runs, expected_index)
         ),
     )
 
 
-def _unknown_answers(
+def _find_unknown_answers(
     history: History,
     attempts: tuple[CallerAttempt, ...],
 ) -> Iterator[Violation]:
@@ -58,20 +58,22 @@
             )
 
 
-def _problems(
-    attempt: CallerAttempt, runs: _Runs, index: ExpectedIndex
+def _find_problems(
+    attempt: CallerAttempt, runs: _Runs, expected_index: ExpectedIndex
 ) -> Iterator[str]:
     if len(attempt.ends) != 1:
         yield f'{len(attempt.ends)} ends of one attempt, expected 1'
     for end in attempt.ends:
-        yield from _addressing_problems(attempt, end)
+        yield from _find_addressing_problems(attempt, end)
         if isinstance(attempt.asked, QueryAsked):
-            yield from _query_problems(attempt.asked, end, index)
+            yield from _find_query_problems(attempt.asked, end, expected_index)
         if isinstance(attempt.asked, ExecuteAsked):
-            yield from _execute_problems(attempt.asked, end, runs)
+            yield from _find_execute_problems(attempt.asked, end, runs)
 
 
-def _addressing_problems(attempt: CallerAttempt, end: Ended) -> Iterator[str]:
+def _find_addressing_problems(
+    attempt: CallerAttempt, end: Ended
+) -> Iterator[str]:
     if isinstance(end, Malformed):
         yield f'a malformed response: {end.detail}'
     if not isinstance(end, QueryAnswered | ExecuteAnswered | Refused):
@@ -80,10 +82,10 @@
         yield f'a response to the request {end.reply_to!r}'
 
 
-def _query_problems(
+def _find_query_problems(
     asked: QueryAsked,
     end: Ended,
-    index: ExpectedIndex,
+    expected_index: ExpectedIndex,
 ) -> Iterator[str]:
     if isinstance(end, ExecuteAnswered):
         yield 'a query received the answer of an execution'
@@ -92,7 +94,9 @@
     keys = [record.key for record in end.records]
     if len(keys) != len(set(keys)):
         yield 'the answer contains a duplicate record'
-    unexpected = set(keys).difference(index.stamps(end.snapshot, asked.query))
+    unexpected = set(keys).difference(
+        expected_index.stamps(end.snapshot, asked.query)
+    )
     if unexpected:
         yield f'records that do not match the query: {sorted(unexpected)}'
     if asked.whole and not end.complete:
@@ -101,7 +105,7 @@
         yield f'fraction {end.fraction} below the minimum {asked.floor}'
 
 
-def _execute_problems(
+def _find_execute_problems(
     asked: ExecuteAsked,
     end: Ended,
     runs: _Runs,
@@ -116,7 +120,7 @@
         yield 'an outcome of an execution that no server ran'
 
 
-def _violation(attempt: CallerAttempt, detail: str) -> Violation:
+def _build_violation(attempt: CallerAttempt, detail: str) -> Violation:
     return Violation(
         guarantee=Guarantee.OWN_ANSWER,
         detail=detail,
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_config.py
@@ -47,7 +47,7 @@
     for seen in history.of_type(VersionSeen):
         running_since_ms = _running_since_ms(starts, seen)
         yield from (
-            _violation(
+            _build_violation(
                 f'{seen.daemon} is still at version {seen.version}',
                 (accepted_patch, seen),
             )
@@ -81,7 +81,7 @@
         before = newest.setdefault(seen.daemon, seen)
         if seen.version < before.version:
             detail = f'{seen.daemon} reverted to version {seen.version}'
-            yield _violation(detail, (before, seen))
+            yield _build_violation(detail, (before, seen))
         else:
             newest[seen.daemon] = seen
 
@@ -95,7 +95,7 @@
         for end in attempt.ends:
             if _is_older(end, newest):
                 detail = f'an answer older than version {newest.version}'
-                yield _violation(detail, (newest, attempt.asked, end))
+                yield _build_violation(detail, (newest, attempt.asked, end))
 
 
 def _newest_before(
@@ -126,10 +126,10 @@
         other = first.setdefault(seen.version, seen)
         if other.digest != seen.digest:
             detail = f'two documents have the version {seen.version}'
-            yield _violation(detail, (other, seen))
+            yield _build_violation(detail, (other, seen))
 
 
-def _violation(detail: str, events: tuple[Event, ...]) -> Violation:
+def _build_violation(detail: str, events: tuple[Event, ...]) -> Violation:
     return Violation(
         guarantee=Guarantee.CONFIGURATION,
         detail=detail,
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_coverage.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_coverage.py
@@ -18,40 +18,45 @@
 
 
 def check_coverage(
-    history: History, index: ExpectedIndex
+    history: History, expected_index: ExpectedIndex
 ) -> tuple[Violation, ...]:
     """Find answers whose records contradict the reported coverage."""
     return check_replies(
         Guarantee.TRUE_COVERAGE,
         history,
-        lambda reply: _problems(reply, index),
+        lambda reply: _find_problems(reply, expected_index),
     )
 
 
-def _problems(reply: QueryReply, index: ExpectedIndex) -> Iterator[str]:
+def _find_problems(
+    reply: QueryReply, expected_index: ExpectedIndex
+) -> Iterator[str]:
     answer = reply.answer
-    yield from _summary_problems(answer, index)
+    yield from _find_summary_problems(answer, expected_index)
     returned_keys = {record.key for record in answer.records}
     claimed = sorted(key for key in returned_keys if _is_missing(key, answer))
     if claimed:
         yield f'contains records in ranges reported as missing: {claimed}'
     omitted = [
         key
-        for key in index.stamps(answer.snapshot, reply.asked.query)
+        for key in expected_index.stamps(answer.snapshot, reply.asked.query)
         if key not in returned_keys and not _is_missing(key, answer)
     ]
     if omitted:
         yield f'lacks records in ranges reported as covered: {omitted}'
 
 
-def _summary_problems(
-    answer: QueryAnswered, index: ExpectedIndex
+def _find_summary_problems(
+    answer: QueryAnswered, expected_index: ExpectedIndex
 ) -> Iterator[str]:
     if answer.complete == bool(answer.missing):
         yield f'complete={answer.complete} with missing {answer.missing}'
     missing_width = sum(part.width for part in answer.missing)
-    covered = index.keys - missing_width
-    if abs(answer.fraction * index.keys - covered) > _ROUNDING_TOLERANCE_KEYS:
+    covered = expected_index.keys - missing_width
+    if (
+        abs(answer.fraction * expected_index.keys - covered)
+        > _ROUNDING_TOLERANCE_KEYS
+    ):
         yield f'fraction {answer.fraction} with {covered} keys covered'
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_drain.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_drain.py
@@ -13,15 +13,17 @@
     return tuple(
         Violation(
             guarantee=Guarantee.DRAIN,
-            detail=f'request {work.at_ms - drain.at_ms:.0f} ms after the drain',
-            events=(drain, work),
+            detail=f'request {received.at_ms - drain.at_ms:.0f} ms after the drain',
+            events=(drain, received),
         )
         for drain in history.of_type(DrainAsked)
-        for work in history.of_type(WorkReceived)
-        if _is_late(drain, work, limits)
+        for received in history.of_type(WorkReceived)
+        if _is_past_drain_limit(drain, received, limits)
     )
 
 
-def _is_late(drain: DrainAsked, work: WorkReceived, limits: TimeLimits) -> bool:
+def _is_past_drain_limit(
+    drain: DrainAsked, received: WorkReceived, limits: TimeLimits
+) -> bool:
     due_ms = drain.at_ms + limits.drain_ms
-    return work.server == drain.server and work.at_ms > due_ms
+    return received.server == drain.server and received.at_ms > due_ms
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_patches.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_patches.py
@@ -21,7 +21,7 @@
         *(
             violation
             for read in history.of_type(DocumentRead)
-            for violation in _document_problems(history, read)
+            for violation in _find_document_problems(history, read)
         ),
     )
 
@@ -32,7 +32,7 @@
         other = first.setdefault(accepted.version, accepted)
         if other.patch_id != accepted.patch_id:
             detail = f'two patches became version {accepted.version}'
-            yield _violation(detail, (other, accepted))
+            yield _build_violation(detail, (other, accepted))
 
 
 def _find_repeated(history: History) -> Iterator[Violation]:
@@ -41,22 +41,24 @@
         other = first.setdefault(accepted.patch_id, accepted)
         if other.version != accepted.version:
             detail = f'patch {accepted.patch_id} has two versions'
-            yield _violation(detail, (other, accepted))
+            yield _build_violation(detail, (other, accepted))
 
 
-def _document_problems(
+def _find_document_problems(
     history: History,
     read: DocumentRead,
 ) -> Iterator[Violation]:
     for accepted in history.of_type(PatchAccepted):
         if accepted.at_ms <= read.at_ms and _is_lost(accepted, read):
-            yield _violation('an accepted patch is lost', (accepted, read))
+            yield _build_violation(
+                'an accepted patch is lost', (accepted, read)
+            )
     kept = {patch.patch_id for patch in read.patches}
     for refused in history.of_type(PatchRefused):
         if refused.patch_id in kept:
-            yield _violation('a refused patch is active', (refused, read))
+            yield _build_violation('a refused patch is active', (refused, read))
     if len(kept) != len(read.patches):
-        yield _violation('a patch was applied twice', (read,))
+        yield _build_violation('a patch was applied twice', (read,))
 
 
 def _is_lost(accepted: PatchAccepted, read: DocumentRead) -> bool:
@@ -72,7 +74,7 @@
     return expected not in read.patches
 
 
-def _violation(detail: str, events: tuple[Event, ...]) -> Violation:
+def _build_violation(detail: str, events: tuple[Event, ...]) -> Violation:
     return Violation(
         guarantee=Guarantee.CONFIGURATION,
         detail=detail,
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_refusal.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_refusal.py
@@ -26,17 +26,17 @@
         attempts_by_request.setdefault(attempt.asked.request_id, []).append(
             attempt
         )
-    runs = _runs_by_request(history)
-    return tuple(_violations(attempts_by_request, runs))
+    runs = _group_runs_by_request(history)
+    return tuple(_find_violations(attempts_by_request, runs))
 
 
-def _violations(
+def _find_violations(
     attempts_by_request: dict[str, list[CallerAttempt]],
     runs: dict[str, list[Event]],
 ) -> Iterator[Violation]:
     for request_id, attempts in attempts_by_request.items():
         ran = runs.get(request_id, [])
-        if ran and all(_says_not_run(attempt) for attempt in attempts):
+        if ran and all(_reports_not_run(attempt) for attempt in attempts):
             ends = [end for attempt in attempts for end in attempt.ends]
             yield Violation(
                 guarantee=Guarantee.TRUE_REFUSAL,
@@ -45,7 +45,7 @@
             )
 
 
-def _says_not_run(attempt: CallerAttempt) -> bool:
+def _reports_not_run(attempt: CallerAttempt) -> bool:
     return bool(attempt.ends) and all(
         isinstance(end, ConnectRefused)
         or (isinstance(end, Refused) and end.verdict is Verdict.NOT_RUN)
@@ -53,7 +53,7 @@
     )
 
 
-def _runs_by_request(history: History) -> dict[str, list[Event]]:
+def _group_runs_by_request(history: History) -> dict[str, list[Event]]:
     runs: dict[str, list[Event]] = {}
     for run in (*history.of_type(QueryRan), *history.of_type(ExecuteRan)):
         runs.setdefault(run.request_id, []).append(run)
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_snapshot.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_snapshot.py
@@ -16,22 +16,24 @@
 
 
 def check_snapshot(
-    history: History, index: ExpectedIndex
+    history: History, expected_index: ExpectedIndex
 ) -> tuple[Violation, ...]:
     """Find answers with records of a snapshot other than the reported one."""
     return check_replies(
         Guarantee.ONE_SNAPSHOT,
         history,
-        lambda reply: _problems(reply, index),
+        lambda reply: _find_problems(reply, expected_index),
     )
 
 
-def _problems(reply: QueryReply, index: ExpectedIndex) -> Iterator[str]:
+def _find_problems(
+    reply: QueryReply, expected_index: ExpectedIndex
+) -> Iterator[str]:
     answer = reply.answer
-    if answer.snapshot not in index.snapshots:
+    if answer.snapshot not in expected_index.snapshots:
         yield f'snapshot {answer.snapshot} never existed'
         return
-    stamps = index.stamps(answer.snapshot, _MATCH_ALL_QUERY)
+    stamps = expected_index.stamps(answer.snapshot, _MATCH_ALL_QUERY)
     mismatched = [
         record.key
         for record in answer.records
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_stop.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_stop.py
@@ -35,40 +35,46 @@
         violation
         for stop in history.of_type(StopAsked)
         for violation in (
-            *_exit_problems(history, stop),
-            *_find_cut_requests(attempts, stop),
+            *_find_exit_problems(history, stop),
+            *_find_interrupted_requests(attempts, stop),
         )
     )
 
 
-def _exit_problems(history: History, stop: StopAsked) -> Iterator[Violation]:
+def _find_exit_problems(
+    history: History, stop: StopAsked
+) -> Iterator[Violation]:
     ends = [
         end
         for end in history.of_type(DaemonEvent)
         if end.daemon == stop.daemon and isinstance(end, Exited | Killed)
     ]
     if not ends:
-        yield _violation('the daemon never exited', (stop,))
+        yield _build_violation('the daemon never exited', (stop,))
     if any(isinstance(end, Killed) for end in ends):
         return
     for end in ends:
         if isinstance(end, Exited) and end.status:
             detail = f'the daemon exited with status {end.status}'
-            yield _violation(detail, (stop, end))
+            yield _build_violation(detail, (stop, end))
 
 
-def _find_cut_requests(
+def _find_interrupted_requests(
     attempts: tuple[CallerAttempt, ...],
     stop: StopAsked,
 ) -> Iterator[Violation]:
     for attempt in attempts:
-        cuts = [end for end in attempt.ends if _is_cut(attempt, end, stop)]
-        for end in cuts:
+        interrupted_ends = [
+            end for end in attempt.ends if _is_interrupted(attempt, end, stop)
+        ]
+        for end in interrupted_ends:
             detail = f'a request was interrupted: {type(end).__name__}'
-            yield _violation(detail, (stop, attempt.asked, end))
+            yield _build_violation(detail, (stop, attempt.asked, end))
 
 
-def _is_cut(attempt: CallerAttempt, end: Ended, stop: StopAsked) -> bool:
+def _is_interrupted(
+    attempt: CallerAttempt, end: Ended, stop: StopAsked
+) -> bool:
     asked = attempt.asked
     if asked.daemon != stop.daemon or end.at_ms < stop.at_ms:
         return False
@@ -78,7 +84,7 @@
     return is_abandoned and asked.at_ms < stop.at_ms
 
 
-def _violation(detail: str, events: tuple[Event, ...]) -> Violation:
+def _build_violation(detail: str, events: tuple[Event, ...]) -> Violation:
     return Violation(
         guarantee=Guarantee.GRACEFUL_STOP,
         detail=detail,
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_fleet.py
@@ -33,8 +33,8 @@
     """
     return FleetSpec(
         fronts=(
-            _front(SALVARE_FRONT, 'certificate', seed),
-            _front(CEDOLE_FRONT, 'payout', seed),
+            _build_front(SALVARE_FRONT, 'certificate', seed),
+            _build_front(CEDOLE_FRONT, 'payout', seed),
         ),
         daemons=daemon_specs(
             3,
@@ -43,15 +43,15 @@
     )
 
 
-def _front(name: str, stem: str, seed: int) -> FrontSpec:
+def _build_front(name: str, stem: str, seed: int) -> FrontSpec:
     shards: tuple[ShardSpec, ...] = (
-        shard_spec(f'{stem}-low', 2, _server(0, _HALF, seed)),
-        shard_spec(f'{stem}-high', 1, _server(_HALF, KEYS, seed)),
+        shard_spec(f'{stem}-low', 2, _build_server(0, _HALF, seed)),
+        shard_spec(f'{stem}-high', 1, _build_server(_HALF, KEYS, seed)),
     )
     return FrontSpec(name=name, keys=KEYS, shards=shards, hedge=dict(_HEDGE))
 
 
-def _server(lo: int, hi: int, seed: int) -> BackendSpec:
+def _build_server(lo: int, hi: int, seed: int) -> BackendSpec:
     return BackendSpec(
         name='',
         lo=lo,
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_run.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_run.py
@@ -9,7 +9,7 @@
 
 from fennelfork_bench.demo import _steps as demo_steps
 from fennelfork_bench.demo._fleet import demo_fleet
-from fennelfork_bench.demo._table import Step, steps_table
+from fennelfork_bench.demo._table import Step, format_steps_table
 from fennelfork_bench.rig._config import await_version, build_initial_patch
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
 from fennelfork_bench.rig._process import RigError, rig
@@ -46,7 +46,7 @@
         )
         listed_steps = list(self.steps)
         return '\n'.join(
-            (steps_table(listed_steps), conclusion, *self.failures)
+            (format_steps_table(listed_steps), conclusion, *self.failures)
         )
 
     def to_json(self) -> str:
--- a/packages/fennelfork-bench/src/fennelfork_bench/demo/_table.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/demo/_table.py
@@ -76,7 +76,7 @@
         ]
 
 
-def steps_table(steps: list[Step]) -> str:
+def format_steps_table(steps: list[Step]) -> str:
     """Format the table of all steps."""
     return format_table([list(_COLUMNS), *(step.row() for step in steps)])
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_config.py
@@ -12,10 +12,10 @@
 from fennelfork_bench.experiments._small_fleet import (
     DEFAULT_DAEMONS,
     SIZES,
-    hedge_patch,
+    build_hedge_patch,
     small_fleet,
 )
-from fennelfork_bench.rig._config import send_patch, start_fleet, version
+from fennelfork_bench.rig._config import fetch_version, send_patch, start_fleet
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import RigError, rig
 from fennelfork_bench.rig._report import Arm, Report, percentile
@@ -81,7 +81,7 @@
     base = 1
     for number in range(_PATCHES):
         operator = rng.choice(fleet.operators)
-        reply = send_patch(operator, hedge_patch(number + 1), base)
+        reply = send_patch(operator, build_hedge_patch(number + 1), base)
         accepted_ms = _CLOCK.now_ms()
         if not reply.is_success:
             raise RigError(
@@ -113,7 +113,7 @@
 ) -> float:
     elapsed_ms: float = 0
     while elapsed_ms < _POLL_TIMEOUT_MS:
-        active_version = version(operator)
+        active_version = fetch_version(operator)
         elapsed_ms = _CLOCK.now_ms() - accepted_ms
         if active_version >= expected_version:
             return elapsed_ms
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_control.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_control.py
@@ -6,14 +6,14 @@
 from fennelfork import system_clock
 from fennelfork_bench.experiments._cost import (
     Cost,
-    cost_metrics,
-    costs_between,
-    costs_over,
+    collect_cost_metrics,
+    compute_costs,
+    measure_costs,
     read_costs,
 )
 from fennelfork_bench.experiments._small_fleet import (
     DEFAULT_DAEMONS,
-    hedge_patch,
+    build_hedge_patch,
     small_fleet,
 )
 from fennelfork_bench.rig._config import send_patch, start_fleet
@@ -45,8 +45,10 @@
     with rig() as started:
         fleet = start_fleet(started, small_fleet(DEFAULT_DAEMONS, seed))
         time.sleep(_STARTUP_GOSSIP_S)
-        idle = cost_metrics(costs_over(fleet.running_daemons, _WINDOW_S))
-        patched = cost_metrics(_patched_costs(fleet))
+        idle = collect_cost_metrics(
+            measure_costs(fleet.running_daemons, _WINDOW_S)
+        )
+        patched = collect_cost_metrics(_patched_costs(fleet))
     arms = (
         Arm(name='rest', metrics=idle),
         Arm(name='patch_each_2_s', metrics=patched),
@@ -64,7 +66,7 @@
     for number in range(_WINDOW_S // _PATCH_INTERVAL_S):
         started_ms = _CLOCK.now_ms()
         operator = fleet.operators[number % DEFAULT_DAEMONS]
-        reply = send_patch(operator, hedge_patch(number + 1), base)
+        reply = send_patch(operator, build_hedge_patch(number + 1), base)
         if not reply.is_success:
             raise RigError(
                 f'the daemon at {operator} refused the patch: {reply}'
@@ -72,7 +74,7 @@
         base = reply.body['version']
         elapsed_s = (_CLOCK.now_ms() - started_ms) / _MS_PER_S
         time.sleep(max(0, _PATCH_INTERVAL_S - elapsed_s))
-    return costs_between(before, read_costs(fleet.running_daemons))
+    return compute_costs(before, read_costs(fleet.running_daemons))
 
 
 def _interpolated_costs(
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_cost.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_cost.py
@@ -48,14 +48,14 @@
     return [_read_cost(each) for each in daemons]
 
 
-def costs_over(daemons: Sequence[Process], seconds: float) -> list[Cost]:
+def measure_costs(daemons: Sequence[Process], seconds: float) -> list[Cost]:
     """Measure the costs of every daemon while the experiment sleeps."""
     before = read_costs(daemons)
     time.sleep(seconds)
-    return costs_between(before, read_costs(daemons))
+    return compute_costs(before, read_costs(daemons))
 
 
-def costs_between(
+def compute_costs(
     before: Sequence[CostReading],
     after: Sequence[CostReading],
 ) -> list[Cost]:
@@ -63,7 +63,7 @@
     return list(map(_cost_between, before, after))
 
 
-def cost_metrics(costs: Sequence[Cost]) -> dict[str, float]:
+def collect_cost_metrics(costs: Sequence[Cost]) -> dict[str, float]:
     """Return the mean, the median and the maximum of each cost.
 
     Only two daemons of a data centre watch the platform, so in a large fleet
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_document.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_document.py
@@ -36,14 +36,16 @@
     Args:
         seed: unused seed; the documents do not depend on randomness.
     """
-    arms = tuple(_arm(servers) for servers in _SERVERS)
+    arms = tuple(_build_arm(servers) for servers in _SERVERS)
     return Report(experiment='document', seed=seed, arms=arms)
 
 
-def _arm(servers: int) -> Arm:
+def _build_arm(servers: int) -> Arm:
     gc.collect()
     before_mb = read_usage(os.getpid()).resident_mb
-    raw = render_document(structure_document(document_tree(servers)).unwrap())
+    raw = render_document(
+        structure_document(build_document_tree(servers)).unwrap()
+    )
     state = config_state(system_clock())
     state.offer(raw, ConfigSource.PEER)
     gc.collect()
@@ -58,7 +60,7 @@
                 lambda: render_document(state.parsed.document),
             ),
             'digest_ms': _median_ms(lambda: digest(raw)),
-            'take_next_ms': _activate_next_ms(document_tree(servers)),
+            'take_next_ms': _activate_next_ms(build_document_tree(servers)),
             'resident_growth_mb': after_mb - before_mb,
         },
     )
@@ -78,7 +80,7 @@
     return statistics.median(times_ms[1:])
 
 
-def document_tree(servers: int) -> dict[str, Any]:
+def build_document_tree(servers: int) -> dict[str, Any]:
     """Build a configuration document with a full patch history.
 
     Args:
@@ -88,22 +90,22 @@
     fronts = max(1, shards // _SHARDS_PER_FRONT)
     return {
         'version': _PATCHES,
-        'patches': [_patch(number) for number in range(1, _PATCHES + 1)],
+        'patches': [_build_patch(number) for number in range(1, _PATCHES + 1)],
         'fronts': {
             f'front-{number}': {
                 'keys': 1_000_000,
-                'shards': _shards(shards // fronts),
+                'shards': _build_shards(shards // fronts),
             }
             for number in range(fronts)
         },
     }
 
 
-def _shards(count: int) -> dict[str, Any]:
-    return {f'shard-{number}': _shard(number) for number in range(count)}
+def _build_shards(count: int) -> dict[str, Any]:
+    return {f'shard-{number}': _build_shard(number) for number in range(count)}
 
 
-def _shard(number: int) -> dict[str, Any]:
+def _build_shard(number: int) -> dict[str, Any]:
     return {
         'servers': {
             f'server-{number}-{index}': {
@@ -118,7 +120,7 @@
     }
 
 
-def _patch(number: int) -> dict[str, Any]:
+def _build_patch(number: int) -> dict[str, Any]:
     return {
         'id': f'patch-{number:020}',
         'version': number,
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout.py
@@ -6,20 +6,20 @@
 import attrs
 import numpy as np
 
-from fennelfork_bench.experiments._fanout_server import batch_arms
+from fennelfork_bench.experiments._fanout_server import measure_batch_arms
 from fennelfork_bench.experiments._fleet import FrontSize, start_front_fleet
 from fennelfork_bench.experiments._load import (
     LoadResult,
     collect_violations,
     front_load_spec,
-    measure,
+    measure_load,
     warm_up,
 )
 from fennelfork_bench.experiments._metrics import (
-    latency_metrics,
-    outcome_metrics,
+    collect_latency_metrics,
+    collect_outcome_metrics,
 )
-from fennelfork_bench.experiments._processor_time import idle_us_per_s
+from fennelfork_bench.experiments._processor_time import measure_idle_us_per_s
 from fennelfork_bench.rig._process import rig
 from fennelfork_bench.rig._report import Arm, Report
 
@@ -38,9 +38,9 @@
     for fan_out in _FAN_OUTS:
         for mode, measured in measurements.items():
             measured.append(_measure(fan_out, mode, seed))
-            arms.append(_arm(f'{mode}@{fan_out}', measured[-1]))
+            arms.append(_build_arm(f'{mode}@{fan_out}', measured[-1]))
     with rig() as own:
-        batches = batch_arms(own)
+        batches = measure_batch_arms(own)
     return Report(
         experiment='fanout',
         seed=seed,
@@ -69,16 +69,16 @@
             seed=seed,
         )
         warm_up(fleet, load)
-        idle = idle_us_per_s(fleet.running_daemons, _IDLE_S)
-        return attrs.evolve(measure(fleet, load), idle_us_per_s=idle)
+        idle = measure_idle_us_per_s(fleet.running_daemons, _IDLE_S)
+        return attrs.evolve(measure_load(fleet, load), idle_us_per_s=idle)
 
 
-def _arm(name: str, measured: LoadResult) -> Arm:
+def _build_arm(name: str, measured: LoadResult) -> Arm:
     return Arm(
         name=name,
         metrics={
-            **latency_metrics(measured.tally),
-            **outcome_metrics(measured),
+            **collect_latency_metrics(measured.tally),
+            **collect_outcome_metrics(measured),
             'daemon_us_per_query': _us_per_query(measured),
             'daemon_us_per_sub_query': measured.busy_us / measured.required,
             'idle_us_per_s': measured.idle_us_per_s,
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout_server.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fanout_server.py
@@ -6,7 +6,7 @@
 
 import urllib3
 
-from fennelfork_bench.experiments._processor_time import processor_us
+from fennelfork_bench.experiments._processor_time import read_processor_us
 from fennelfork_bench.rig._process import Process, Rig, RigError
 from fennelfork_bench.rig._report import Arm
 
@@ -25,7 +25,7 @@
 )
 
 
-def batch_arms(rig: Rig) -> list[Arm]:
+def measure_batch_arms(rig: Rig) -> list[Arm]:
     """Measure the client and the server for each batch size.
 
     The client is the current process, so its processor time covers nothing
@@ -40,11 +40,11 @@
         _OPTIONS,
     ).await_ready()
     _send_batches(server, 1)
-    return [_arm(server, batch) for batch in _BATCHES]
+    return [_build_arm(server, batch) for batch in _BATCHES]
 
 
-def _arm(server: Process, batch: int) -> Arm:
-    server_us = processor_us((server,))
+def _build_arm(server: Process, batch: int) -> Arm:
+    server_us = read_processor_us((server,))
     client_started_s = time.process_time()
     _send_batches(server, batch)
     client_us = (time.process_time() - client_started_s) * _US_PER_S
@@ -53,7 +53,9 @@
         name=f'server batch {batch}',
         metrics={
             'client_us_per_sub_query': client_us / searches,
-            'server_us_per_sub_query': (processor_us((server,)) - server_us)
+            'server_us_per_sub_query': (
+                read_processor_us((server,)) - server_us
+            )
             / searches,
         },
     )
@@ -66,7 +68,7 @@
         reply = pool.request(
             'POST',
             '/v1/multi-search',
-            body=json.dumps({'searches': _searches(number, batch)}),
+            body=json.dumps({'searches': _build_searches(number, batch)}),
         )
         response_body = json.loads(reply.data)
         is_complete = reply.status == _HTTP_OK and all(
@@ -78,7 +80,7 @@
             )
 
 
-def _searches(number: int, batch: int) -> list[dict[str, object]]:
+def _build_searches(number: int, batch: int) -> list[dict[str, object]]:
     return [
         {
             'request_id': f'batch-{batch}-{number}',
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_fleet.py
@@ -10,7 +10,7 @@
 from fennelfork_bench.rig._config import (
     await_version,
     build_initial_patch,
-    version,
+    fetch_version,
 )
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
 from fennelfork_bench.rig._process import Rig, RigError
@@ -80,7 +80,9 @@
         seed: seed of the service times.
         tables: settings tables that all daemons share.
     """
-    front = FrontSpec(name=FRONT, keys=size.keys, shards=_shards(size, seed))
+    front = FrontSpec(
+        name=FRONT, keys=size.keys, shards=_build_shards(size, seed)
+    )
     spec = FleetSpec(
         fronts=(front,),
         daemons=daemon_specs(size.daemons, tables=tables),
@@ -94,7 +96,7 @@
     """Configure a hedge policy and wait until all daemons use it."""
     patch = build_initial_patch(fleet)
     patch['fronts'][FRONT]['hedge'] = hedge
-    next_version = max(map(version, fleet.operators)) + 1
+    next_version = max(map(fetch_version, fleet.operators)) + 1
     document = {'version': max(next_version, 1), 'patches': [], **patch}
     fleet.platform.write_document(document)
     await_version(fleet, document['version'])
@@ -135,7 +137,7 @@
     return total
 
 
-def _shards(size: FrontSize, seed: int) -> tuple[ShardSpec, ...]:
+def _build_shards(size: FrontSize, seed: int) -> tuple[ShardSpec, ...]:
     return tuple(
         shard_spec(
             f's{index}',
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_load.py
@@ -12,7 +12,7 @@
 from fennelfork_bench.callers._spec import LoadSpec
 from fennelfork_bench.callers._tally import Tally, merge_sequential
 from fennelfork_bench.experiments._fleet import FrontSize, sum_server_counts
-from fennelfork_bench.experiments._processor_time import processor_us
+from fennelfork_bench.experiments._processor_time import read_processor_us
 from fennelfork_bench.rig._fleet import Fleet
 
 _CALLER_LINK_MS: Final = 3
@@ -81,7 +81,7 @@
     await_callers(start_callers(fleet.rig, warm), warm)
 
 
-def measure(
+def measure_load(
     fleet: Fleet,
     load: LoadSpec,
     on_poll: Callable[[], object] = bool,
@@ -94,8 +94,8 @@
         on_poll: function called repeatedly until the callers exit.
     """
     counts = sum_server_counts(fleet)
-    daemon_us = processor_us(fleet.running_daemons)
-    server_us = processor_us(fleet.backends.values())
+    daemon_us = read_processor_us(fleet.running_daemons)
+    server_us = read_processor_us(fleet.backends.values())
     started = start_callers(fleet.rig, load)
     while any(process.alive for process in started):
         on_poll()
@@ -105,8 +105,8 @@
         required=tally.counts['offered'] * len(fleet.spec.fronts[0].shards),
         tally=tally,
         counts=sum_server_counts(fleet) - counts,
-        daemon_us=processor_us(fleet.running_daemons) - daemon_us,
-        server_us=processor_us(fleet.backends.values()) - server_us,
+        daemon_us=read_processor_us(fleet.running_daemons) - daemon_us,
+        server_us=read_processor_us(fleet.backends.values()) - server_us,
         load_average=os.getloadavg()[0],
     )
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_members.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_members.py
@@ -29,13 +29,13 @@
     state: str
 
 
-def member_states(operator: str) -> dict[str, str]:
+def fetch_member_states(operator: str) -> dict[str, str]:
     """Return the state of each member in the view of one daemon."""
     members = http.get(operator, '/v1/members').body.get('members', ())
     return {member['name']: member['state'] for member in members}
 
 
-def detection_times_ms(
+def measure_detection_times_ms(
     observers: Sequence[Process],
     killed: str,
     since_ms: float,
@@ -83,7 +83,9 @@
 def _false_suspicions(observer: Process) -> set[FalseSuspicion]:
     return {
         FalseSuspicion(observer=observer.name, subject=subject, state=state)
-        for subject, state in member_states(observer.ready['operator']).items()
+        for subject, state in fetch_member_states(
+            observer.ready['operator']
+        ).items()
         if state != _ALIVE
     }
 
@@ -95,7 +97,7 @@
 ) -> float:
     elapsed_ms: float = 0
     while elapsed_ms < _POLL_TIMEOUT_MS:
-        state = member_states(observer.ready['operator']).get(killed, '')
+        state = fetch_member_states(observer.ready['operator']).get(killed, '')
         elapsed_ms = _CLOCK.now_ms() - since_ms
         if state not in _SERVING_STATES:
             return elapsed_ms
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_membership.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_membership.py
@@ -6,9 +6,12 @@
 from typing import Final
 
 from fennelfork import system_clock
-from fennelfork_bench.experiments._cost import cost_metrics, costs_over
+from fennelfork_bench.experiments._cost import (
+    collect_cost_metrics,
+    measure_costs,
+)
 from fennelfork_bench.experiments._members import (
-    detection_times_ms,
+    measure_detection_times_ms,
     watch_for_false_suspicions,
 )
 from fennelfork_bench.experiments._small_fleet import SIZES, small_fleet
@@ -35,11 +38,11 @@
     Args:
         seed: seed of the service times.
     """
-    arms = tuple(_arm(size, seed) for size in SIZES)
+    arms = tuple(_build_arm(size, seed) for size in SIZES)
     return Report(experiment='membership', seed=seed, arms=arms)
 
 
-def _arm(size: int, seed: int) -> Arm:
+def _build_arm(size: int, seed: int) -> Arm:
     with rig() as started:
         fleet = start_fleet(started, small_fleet(size, seed))
         time.sleep(_STARTUP_GOSSIP_S)
@@ -55,12 +58,12 @@
 
 def _idle_metrics(fleet: Fleet) -> dict[str, float]:
     since_ms = _CLOCK.now_ms()
-    reads_before = fleet.platform.vm_list_reads()
-    costs = costs_over(fleet.running_daemons, _IDLE_S)
+    reads_before = fleet.platform.count_vm_list_reads()
+    costs = measure_costs(fleet.running_daemons, _IDLE_S)
     log = fleet.platform.log(since_ms)
-    reads = fleet.platform.vm_list_reads() - reads_before
+    reads = fleet.platform.count_vm_list_reads() - reads_before
     return {
-        **cost_metrics(costs),
+        **collect_cost_metrics(costs),
         'watches': log['watching'],
         'key_value_calls_per_s': len(log['calls']) / _IDLE_S,
         'vm_list_reads_per_s': reads / _IDLE_S,
@@ -100,7 +103,7 @@
     for process in fleet.running_daemons[:_KILLS]:
         process.kill()
         killed_ms = _CLOCK.now_ms()
-        times_ms += detection_times_ms(
+        times_ms += measure_detection_times_ms(
             fleet.running_daemons, process.name, killed_ms
         )
     return {
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_metrics.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_metrics.py
@@ -28,7 +28,7 @@
 }
 
 
-def latency_metrics(tally: Tally) -> dict[str, float]:
+def collect_latency_metrics(tally: Tally) -> dict[str, float]:
     """Return the median, p99 and p99.9 latency of answers."""
     return {
         'p50_ms': tally.answer_quantile_ms(_MEDIAN),
@@ -42,7 +42,7 @@
     return tally.refusal_quantile_ms(_P99)
 
 
-def outcome_metrics(measured: LoadResult) -> dict[str, float]:
+def collect_outcome_metrics(measured: LoadResult) -> dict[str, float]:
     """Return the number of requests per outcome and the machine load."""
     tally = measured.tally
     return {
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once.py
@@ -19,7 +19,7 @@
     start_front_fleet,
 )
 from fennelfork_bench.experiments._once_claim import Claims
-from fennelfork_bench.experiments._once_cost import memory_costs
+from fennelfork_bench.experiments._once_cost import measure_memory_costs
 from fennelfork_bench.experiments._once_load import (
     LoadPhase,
     OnceLoad,
@@ -70,8 +70,8 @@
         experiment='once',
         seed=seed,
         arms=(
-            *(_arm(name, arm) for name, arm in measured.items()),
-            Arm(name='memory', metrics=memory_costs(seed)),
+            *(_build_arm(name, arm) for name, arm in measured.items()),
+            Arm(name='memory', metrics=measure_memory_costs(seed)),
         ),
         failures=tuple(_failures(started, measured)),
     )
@@ -128,7 +128,7 @@
     )
 
 
-def _arm(name: str, measured: _ArmResult) -> Arm:
+def _build_arm(name: str, measured: _ArmResult) -> Arm:
     latencies = [
         latency for tally in measured.normal for latency in tally.latencies_ms
     ]
@@ -149,7 +149,9 @@
 
 def _shares(phase: str, tallies: list[OnceTally]) -> dict[str, Any]:
     return {
-        f'{phase}_{outcome}': sum(tally.share(outcome) for tally in tallies)
+        f'{phase}_{outcome}': sum(
+            tally.outcome_fraction(outcome) for tally in tallies
+        )
         / len(tallies)
         for outcome in ('refused', 'in_doubt')
     }
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_claim.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_claim.py
@@ -28,7 +28,7 @@
             Whether the write of the claim is confirmed. After a lost response
             the claim is not read back, because the service is unavailable.
         """
-        encoded_key = _encoded(f'{_PREFIX}{request_id}')
+        encoded_key = _encode_base64(f'{_PREFIX}{request_id}')
         body = {
             'compare': [
                 {
@@ -42,7 +42,7 @@
                 {
                     'request_put': {
                         'key': encoded_key,
-                        'value': _encoded('bench'),
+                        'value': _encode_base64('bench'),
                     }
                 },
             ],
@@ -51,5 +51,5 @@
         return reply.is_success and bool(reply.body.get('succeeded'))
 
 
-def _encoded(text: str) -> str:
+def _encode_base64(text: str) -> str:
     return base64.b64encode(text.encode()).decode()
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_cost.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_cost.py
@@ -23,15 +23,15 @@
 _OUTCOME: Final = 'certificate-0000004096'
 
 
-def memory_costs(seed: int) -> dict[str, float]:
+def measure_memory_costs(seed: int) -> dict[str, float]:
     """Measure the time of ticket operations and the memory per request id.
 
     Args:
         seed: seed of the ticket serials.
     """
-    gate = _gate(seed)
+    gate = _build_gate(seed)
     issue_us = _time_us(lambda: gate.issue(_LIFETIME_MS))
-    requests = [_request(gate, number) for number in range(_REQUESTS)]
+    requests = [_build_request(gate, number) for number in range(_REQUESTS)]
     fresh = iter(requests)
     admit_us = _time_us(lambda: _run_request(gate, next(fresh)))
     repeated = iter(requests)
@@ -45,10 +45,10 @@
 
 
 def _bytes_per_id(seed: int) -> float:
-    gate = _gate(seed)
+    gate = _build_gate(seed)
     tracemalloc.start()
     for number in range(_REQUESTS):
-        _run_request(gate, _request(gate, number))
+        _run_request(gate, _build_request(gate, number))
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return held / _REQUESTS
@@ -67,7 +67,7 @@
     gate.table.record_outcome(request.request_id, f'{_OUTCOME}-{request.key}')
 
 
-def _gate(seed: int) -> OnceGate:
+def _build_gate(seed: int) -> OnceGate:
     rng = random.Random(seed)
     key = ticket_key('vm-1', 1, rng.randbytes(_SECRET_BYTES))
     return once_gate(
@@ -75,7 +75,7 @@
     )
 
 
-def _request(gate: OnceGate, number: int) -> ExecuteRequest:
+def _build_request(gate: OnceGate, number: int) -> ExecuteRequest:
     ticket = gate.issue(_LIFETIME_MS)
     text = '' if ticket is None else ticket.text
     return ExecuteRequest(
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_once_load.py
@@ -1,4 +1,4 @@
-"""Load of the experiment `once`: execute requests at a steady rate."""
+"""Load of the experiment `once`: non-idempotent requests at a steady rate."""
 
 import random
 import time
@@ -47,8 +47,8 @@
         """Number of requests."""
         return self.outcomes.total()
 
-    def share(self, outcome: str) -> float:
-        """Return the share of requests with an outcome."""
+    def outcome_fraction(self, outcome: str) -> float:
+        """Return the fraction of requests that had an outcome."""
         return self.outcomes[outcome] / max(self.total, 1)
 
 
@@ -93,7 +93,7 @@
             tally.outcomes['refused'] += 1
             tally.refused.add(request_id)
             return
-        body = _body(request_id, ticket, key)
+        body = _build_body(request_id, ticket, key)
         reply = http.post(address, _PATH, body, _RESPONSE_TIMEOUT_MS)
         _record_reply(tally, request_id, reply)
         if reply.is_success:
@@ -111,7 +111,7 @@
         return str(entries['ticket'])
 
 
-def _body(request_id: str, ticket: str, key: int) -> dict[str, Any]:
+def _build_body(request_id: str, ticket: str, key: int) -> dict[str, Any]:
     return {
         'request_id': request_id,
         'ticket': ticket,
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_outage.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_outage.py
@@ -6,12 +6,12 @@
 from fennelfork import system_clock
 from fennelfork_bench.experiments._small_fleet import (
     DEFAULT_DAEMONS,
-    hedge_patch,
+    build_hedge_patch,
     small_fleet,
 )
 from fennelfork_bench.experiments._steady_load import (
     SteadyLoad,
-    load_metrics,
+    collect_load_metrics,
     steady_load,
 )
 from fennelfork_bench.rig._config import (
@@ -42,7 +42,7 @@
     Args:
         seed: seed of the requested keys and of the service times.
     """
-    arms = tuple(_arm(name, seed) for name in _FAULTS)
+    arms = tuple(_build_arm(name, seed) for name in _FAULTS)
     failures = tuple(
         f'{arm.name}: {name} is {arm.metrics[name]:.0f}'
         for arm in arms
@@ -52,7 +52,7 @@
     return Report(experiment='outage', seed=seed, arms=arms, failures=failures)
 
 
-def _arm(name: str, seed: int) -> Arm:
+def _build_arm(name: str, seed: int) -> Arm:
     with rig() as started:
         fleet = start_fleet(started, small_fleet(DEFAULT_DAEMONS, seed))
         load = steady_load(fleet.callers, seed)
@@ -68,7 +68,7 @@
     from_ms = _CLOCK.now_ms()
     fleet.platform.set_faults(**_FAULTS[name])
     time.sleep(_RESTART_AFTER_S)
-    refused = send_patch(fleet.operators[0], hedge_patch(2), 1)
+    refused = send_patch(fleet.operators[0], build_hedge_patch(2), 1)
     restart_ms = _restart_daemon(fleet)
     time.sleep(_OUTAGE_S - (_CLOCK.now_ms() - from_ms) / _MS_PER_S)
     recovered_ms = _CLOCK.now_ms()
@@ -76,11 +76,11 @@
     time.sleep(_RECOVERY_S)
     calls = fleet.platform.log(from_ms)['calls']
     samples = load.samples_between(from_ms, recovered_ms)
-    accepted = send_patch(fleet.operators[0], hedge_patch(3), 1)
+    accepted = send_patch(fleet.operators[0], build_hedge_patch(3), 1)
     if accepted.is_success:
         await_version(fleet, accepted.body['version'])
     return {
-        **load_metrics(samples),
+        **collect_load_metrics(samples),
         'patches_taken': int(refused.is_success),
         'restart_ms': restart_ms,
         'calls_while_away': _count_calls(calls, from_ms, recovered_ms),
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_overload.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_overload.py
@@ -14,12 +14,12 @@
     LoadResult,
     collect_violations,
     front_load_spec,
-    measure,
+    measure_load,
     warm_up,
 )
 from fennelfork_bench.experiments._metrics import (
-    latency_metrics,
-    outcome_metrics,
+    collect_latency_metrics,
+    collect_outcome_metrics,
     refusal_p99_ms,
 )
 from fennelfork_bench.history._event import Event
@@ -47,7 +47,7 @@
     return Report(
         experiment='overload',
         seed=seed,
-        arms=_arms(measured),
+        arms=_build_arms(measured),
         failures=(
             *collect_violations(measured),
             *false_refusals,
@@ -71,7 +71,7 @@
     )
     if factor == 1:
         warm_up(fleet, load)
-    return measure(fleet, load)
+    return measure_load(fleet, load)
 
 
 def _false_refusals(
@@ -92,22 +92,22 @@
             yield f'not checked: {page["name"]} dropped {page["dropped"]}'
 
 
-def _arms(measured: list[LoadResult]) -> tuple[Arm, ...]:
+def _build_arms(measured: list[LoadResult]) -> tuple[Arm, ...]:
     baseline_per_s = measured[0].tally.per_second('complete')
     return tuple(
-        _arm(factor, result, baseline_per_s)
+        _build_arm(factor, result, baseline_per_s)
         for factor, result in zip(_FACTORS, measured, strict=True)
     )
 
 
-def _arm(factor: int, measured: LoadResult, baseline_per_s: float) -> Arm:
+def _build_arm(factor: int, measured: LoadResult, baseline_per_s: float) -> Arm:
     tally = measured.tally
     goodput = tally.per_second('complete')
     return Arm(
         name=f'{factor}x',
         metrics={
-            **latency_metrics(tally),
-            **outcome_metrics(measured),
+            **collect_latency_metrics(tally),
+            **collect_outcome_metrics(measured),
             'goodput_per_s': goodput,
             'goodput_of_1x': goodput / max(baseline_per_s, 1),
             'refusal_p99_ms': refusal_p99_ms(tally),
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_patch_race.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_patch_race.py
@@ -9,7 +9,11 @@
 import eventlet
 
 from fennelfork_bench.rig import _http as http
-from fennelfork_bench.rig._config import await_version, send_patch, version
+from fennelfork_bench.rig._config import (
+    await_version,
+    fetch_version,
+    send_patch,
+)
 from fennelfork_bench.rig._fleet import Fleet
 
 _OPERATORS: Final = 8
@@ -93,7 +97,7 @@
     rng = random.Random(_INITIAL_VERSION)
     while not log.is_over:
         operator = rng.choice(operators)
-        current = version(operator)
+        current = fetch_version(operator)
         if 0 <= current < highest[operator]:
             log.reverted += 1
         highest[operator] = max(highest[operator], current)
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_processor_time.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_processor_time.py
@@ -10,12 +10,14 @@
 _US_PER_MS: Final = 1000
 
 
-def processor_us(processes: Iterable[Process]) -> float:
+def read_processor_us(processes: Iterable[Process]) -> float:
     """Return the total processor time of running processes."""
     return _US_PER_MS * sum(read_usage(each.pid).cpu_ms for each in processes)
 
 
-def idle_us_per_s(processes: Iterable[Process], duration_s: float) -> float:
+def measure_idle_us_per_s(
+    processes: Iterable[Process], duration_s: float
+) -> float:
     """Measure the processor time per second of idle processes.
 
     Args:
@@ -23,6 +25,6 @@
         span_s: length of the measurement.
     """
     running = list(processes)
-    before = processor_us(running)
+    before = read_processor_us(running)
     time.sleep(duration_s)
-    return (processor_us(running) - before) / duration_s
+    return (read_processor_us(running) - before) / duration_s
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_silent.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_silent.py
@@ -16,14 +16,14 @@
     LoadResult,
     collect_violations,
     front_load_spec,
-    measure,
+    measure_load,
     warm_up,
 )
 from fennelfork_bench.experiments._metrics import (
     NO_HEDGE,
     QUANTILE_HEDGE,
-    latency_metrics,
-    outcome_metrics,
+    collect_latency_metrics,
+    collect_outcome_metrics,
 )
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import rig
@@ -61,7 +61,7 @@
     return Report(
         experiment='silent',
         seed=seed,
-        arms=tuple(map(_arm, _CASES, measured)),
+        arms=tuple(map(_build_arm, _CASES, measured)),
         failures=collect_violations(measured),
     )
 
@@ -78,7 +78,7 @@
         seed=seed,
     )
     warm_up(fleet, load)
-    return measure(fleet, load, _silence_injector(fleet, case))
+    return measure_load(fleet, load, _silence_injector(fleet, case))
 
 
 def _silence_injector(fleet: Fleet, case: _Case) -> Callable[[], object]:
@@ -88,13 +88,13 @@
     return lambda: inject_faults(fleet, next(servers), silence=True)
 
 
-def _arm(case: _Case, measured: LoadResult) -> Arm:
+def _build_arm(case: _Case, measured: LoadResult) -> Arm:
     tally = measured.tally
     return Arm(
         name=case.name,
         metrics={
-            **latency_metrics(tally),
-            **outcome_metrics(measured),
+            **collect_latency_metrics(tally),
+            **collect_outcome_metrics(measured),
             'not_complete': tally.counts['offered'] - tally.counts['complete'],
             'extra_load': measured.extra_load,
         },
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_slots.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_slots.py
@@ -7,12 +7,12 @@
 from fennelfork_bench.experiments._load import (
     LoadResult,
     front_load_spec,
-    measure,
+    measure_load,
     warm_up,
 )
 from fennelfork_bench.experiments._metrics import (
-    latency_metrics,
-    outcome_metrics,
+    collect_latency_metrics,
+    collect_outcome_metrics,
 )
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import rig
@@ -41,7 +41,7 @@
         for load_share in _LOADS:
             for name, fleet in fleets:
                 measured = _measure(fleet, load_share, seed)
-                arms.append(_arm(f'{name}@{load_share}', measured))
+                arms.append(_build_arm(f'{name}@{load_share}', measured))
                 failures.extend(measured.tally.violations)
     return Report(
         experiment='slots',
@@ -68,16 +68,16 @@
         seed=seed,
     )
     warm_up(fleet, load)
-    return measure(fleet, load)
+    return measure_load(fleet, load)
 
 
-def _arm(name: str, measured: LoadResult) -> Arm:
+def _build_arm(name: str, measured: LoadResult) -> Arm:
     tally = measured.tally
     return Arm(
         name=name,
         metrics={
-            **latency_metrics(tally),
-            **outcome_metrics(measured),
+            **collect_latency_metrics(tally),
+            **collect_outcome_metrics(measured),
             'sheds_per_sub_query': measured.sheds_per_sub_query,
             'goodput_per_s': tally.per_second('complete'),
             'daemon_us_per_query': measured.daemon_us / tally.counts['offered'],
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_small_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_small_fleet.py
@@ -39,6 +39,6 @@
     )
 
 
-def hedge_patch(delay_ms: int) -> dict[str, Any]:
+def build_hedge_patch(delay_ms: int) -> dict[str, Any]:
     """Build a patch that sets the hedge delay of the front."""
     return {'fronts': {FRONT: {'hedge': {'delay_ms': delay_ms}}}}
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_steady_load.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_steady_load.py
@@ -68,7 +68,7 @@
         caller = Caller(seeds=self._seeds)
         for _ in itertools.takewhile(self._is_running, itertools.count()):
             key = self._rng.randrange(KEYS)
-            result = caller.query(FRONT, _lookup(key))
+            result = caller.query(FRONT, _build_lookup(key))
             expected = ExpectedAnswer(keys=KEYS, wanted=frozenset((key,)))
             self.samples.append(
                 Sample(
@@ -88,7 +88,7 @@
     return SteadyLoad(seeds=tuple(seeds), rng=random.Random(seed))
 
 
-def load_metrics(samples: list[Sample]) -> dict[str, float]:
+def collect_load_metrics(samples: list[Sample]) -> dict[str, float]:
     """Return the metrics of completed requests.
 
     Returns:
@@ -113,7 +113,7 @@
     return {f'failed_{code}': count for code, count in codes.items()}
 
 
-def _lookup(key: int) -> dict[str, object]:
+def _build_lookup(key: int) -> dict[str, object]:
     return {
         'tenant': 'salvare-pe-ape',
         'class': 'lookup',
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_stop.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_stop.py
@@ -12,7 +12,7 @@
 )
 from fennelfork_bench.experiments._steady_load import (
     SteadyLoad,
-    load_metrics,
+    collect_load_metrics,
     steady_load,
 )
 from fennelfork_bench.rig._config import await_version, start_fleet
@@ -62,7 +62,7 @@
     from_ms = _CLOCK.now_ms()
     time.sleep(_BASELINE_S)
     samples = load.samples_between(from_ms, _CLOCK.now_ms())
-    return Arm(name='rest', metrics=load_metrics(samples))
+    return Arm(name='rest', metrics=collect_load_metrics(samples))
 
 
 def _rolling_arm(fleet: Fleet, load: SteadyLoad) -> Arm:
@@ -74,7 +74,7 @@
     return Arm(
         name='rolling_restart',
         metrics={
-            **load_metrics(samples),
+            **collect_load_metrics(samples),
             'restarts': len(fleet.spec.daemons),
             'unclean_exits': restarts.unclean_exits,
             'slowest_stop_ms': restarts.slowest_stop_ms,
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_tail.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_tail.py
@@ -12,7 +12,7 @@
     LoadResult,
     collect_violations,
     front_load_spec,
-    measure,
+    measure_load,
     merge_rounds,
     warm_up,
 )
@@ -20,8 +20,8 @@
     FIXED_HEDGE,
     NO_HEDGE,
     QUANTILE_HEDGE,
-    latency_metrics,
-    outcome_metrics,
+    collect_latency_metrics,
+    collect_outcome_metrics,
 )
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import rig
@@ -51,7 +51,7 @@
     return Report(
         experiment='tail',
         seed=seed,
-        arms=_arms(rounds),
+        arms=_build_arms(rounds),
         failures=collect_violations(
             itertools.chain.from_iterable(rounds.values())
         ),
@@ -69,28 +69,28 @@
         seed=seed + turn,
     )
     warm_up(fleet, load)
-    return measure(fleet, load)
+    return measure_load(fleet, load)
 
 
-def _arms(rounds: dict[str, list[LoadResult]]) -> tuple[Arm, ...]:
-    baseline_p99_ms = latency_metrics(merge_rounds(rounds['none']).tally)[
-        'p99_ms'
-    ]
+def _build_arms(rounds: dict[str, list[LoadResult]]) -> tuple[Arm, ...]:
+    baseline_p99_ms = collect_latency_metrics(
+        merge_rounds(rounds['none']).tally
+    )['p99_ms']
     return tuple(
-        _arm(policy, merge_rounds(parts), baseline_p99_ms)
+        _build_arm(policy, merge_rounds(parts), baseline_p99_ms)
         for policy, parts in rounds.items()
     )
 
 
-def _arm(name: str, measured: LoadResult, baseline_p99_ms: float) -> Arm:
+def _build_arm(name: str, measured: LoadResult, baseline_p99_ms: float) -> Arm:
     tally = measured.tally
-    latency = latency_metrics(tally)
+    latency = collect_latency_metrics(tally)
     return Arm(
         name=name,
         metrics={
             **latency,
             'p99_of_none': latency['p99_ms'] / max(baseline_p99_ms, 1),
-            **outcome_metrics(measured),
+            **collect_outcome_metrics(measured),
             'extra_load': measured.extra_load,
             'hedges_per_sub_query': tally.counts['hedges'] / measured.required,
         },
--- a/packages/fennelfork-bench/src/fennelfork_bench/history/_daemon.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/history/_daemon.py
@@ -18,7 +18,7 @@
 
 @attrs.frozen(kw_only=True)
 class Started(DaemonEvent):
-    """The daemon reported that it is ready."""
+    """The daemon reported readiness."""
 
 
 @attrs.frozen(kw_only=True)
--- a/packages/fennelfork-bench/src/fennelfork_bench/history/_history.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/history/_history.py
@@ -36,9 +36,11 @@
 
     events: tuple[Event, ...]
 
-    def of_type(self, kind: type[EventT]) -> tuple[EventT, ...]:
+    def of_type(self, event_class: type[EventT]) -> tuple[EventT, ...]:
         """Return the events of a class and its subclasses."""
-        return tuple(event for event in self.events if isinstance(event, kind))
+        return tuple(
+            event for event in self.events if isinstance(event, event_class)
+        )
 
 
 @attrs.define(kw_only=True)
--- a/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_messages.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/kv_service/_messages.py
@@ -97,7 +97,7 @@
 
 @attrs.frozen(kw_only=True)
 class Transaction:
-    """Operations to run if all comparisons hold, and those to run if not."""
+    """Operations that run if all comparisons hold, else other operations."""
 
     compares: tuple[Compare, ...]
     success: tuple[Operation, ...]
--- a/packages/fennelfork-bench/src/fennelfork_bench/modules.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/modules.py
@@ -30,7 +30,7 @@
     """
     head, _, rest = page.partition(_START)
     _, _, tail = rest.partition(_END)
-    lists = '\n'.join(map(_package_list, _PACKAGES))
+    lists = '\n'.join(map(_format_package_list, _PACKAGES))
     return ''.join((head, _START, lists, _END, tail))
 
 
@@ -41,7 +41,7 @@
     sys.stdout.write(f'{_PAGE.name} written\n')
 
 
-def _package_list(package: str) -> str:
+def _format_package_list(package: str) -> str:
     name = package.replace('-', '_')
     folder = _ROOT / 'packages' / package / 'src' / name
     lines = (
@@ -49,13 +49,13 @@
         '',
         '| folder or module | what it is |',
         '| --- | --- |',
-        *_rows(folder),
+        *_format_rows(folder),
         '',
     )
     return ''.join(f'{line}\n' for line in lines)
 
 
-def _rows(folder: pathlib.Path) -> Iterator[str]:
+def _format_rows(folder: pathlib.Path) -> Iterator[str]:
     for package_init in sorted(folder.glob('*/__init__.py')):
         yield f'| `{package_init.parent.name}/` | {_first_line(package_init)} |'
     for module in sorted(folder.glob('*.py')):
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_caller.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_caller.py
@@ -25,7 +25,7 @@
         reply: response to the last attempt.
         attempts: number of attempts that were sent.
         took_ms: time from the first attempt to the last response.
-        cuts: connection errors of the attempts without a response.
+        connection_errors: connection errors of the attempts without a response.
     """
 
     request_id: str
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_config.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_config.py
@@ -7,7 +7,7 @@
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
 from fennelfork_bench.rig._process import Rig, RigError, wait_until
-from fennelfork_bench.rig._specs import FleetSpec, front_patch
+from fennelfork_bench.rig._specs import FleetSpec, build_front_patch
 
 _ACTIVATION_TIMEOUT_S: Final = 30
 _patch_numbers: Final = itertools.count(1)
@@ -43,7 +43,7 @@
         name: process.ready['address']
         for name, process in fleet.backends.items()
     }
-    return front_patch(fleet.spec.fronts, addresses)
+    return build_front_patch(fleet.spec.fronts, addresses)
 
 
 def send_patch(
@@ -71,7 +71,7 @@
     return http.post(operator, '/v1/config/patch', body)
 
 
-def version(operator: str) -> int:
+def fetch_version(operator: str) -> int:
     """Return the active version of one daemon; -1 without a response."""
     reply = http.get(operator, '/v1/config')
     if not reply.is_success:
@@ -89,10 +89,10 @@
         RigError: if a condition does not hold within 30 s.
     """
     wait_until(
-        lambda: min(map(version, fleet.operators)) >= min_version,
+        lambda: min(map(fetch_version, fleet.operators)) >= min_version,
         _ACTIVATION_TIMEOUT_S,
         f'version {min_version} on all daemons',
-        lambda: str(list(map(version, fleet.operators))),
+        lambda: str(list(map(fetch_version, fleet.operators))),
     )
     running = {process.name for process in fleet.running_daemons}
     wait_until(
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_fleet.py
@@ -8,14 +8,14 @@
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._platform import Platform, start_platform
 from fennelfork_bench.rig._process import Process, Rig, wait_until
-from fennelfork_bench.rig._settings import settings_toml
+from fennelfork_bench.rig._settings import format_settings_toml
 from fennelfork_bench.rig._specs import BackendSpec, DaemonSpec, FleetSpec
 
 _START_TIMEOUT_S: Final = 60
 
 
 def _ignore_ready(process: Process) -> None:
-    """Ignore that a daemon is ready."""
+    """Do nothing when a daemon becomes ready."""
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -61,7 +61,7 @@
         specs: Iterable[DaemonSpec] = (),
         on_ready: Callable[[Process], None] = _ignore_ready,
     ) -> Self:
-        """Start daemons, list their VMs and wait until they know each other.
+        """Start daemons, list their VMs and wait until all are members.
 
         Args:
             specs: daemons to start; all daemons of the fleet if empty.
@@ -96,7 +96,7 @@
         )
 
     def _await_members(self, started: list[Process]) -> None:
-        """Wait until started daemons know each other and one older daemon."""
+        """Wait until started daemons list each other and an older daemon."""
         names = {process.name for process in started}
         min_members = len(names)
         if len(self.running_daemons) > min_members:
@@ -123,7 +123,7 @@
         return self.rig.start_module(spec.name, module, arguments)
 
     def _launch_daemon(self, spec: DaemonSpec) -> Process:
-        settings = settings_toml(
+        settings = format_settings_toml(
             spec,
             self.platform.key_value_address,
             self.platform.vm_list_address,
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_platform.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_platform.py
@@ -47,7 +47,7 @@
         path = f'/control/log?since_ms={since_ms}'
         return http.get(self.key_value_address, path).body
 
-    def vm_list_reads(self) -> int:
+    def count_vm_list_reads(self) -> int:
         """Return the number of reads of the VM list."""
         reply = http.get(self.vm_list_address, '/control/log')
         return int(reply.body['reads'])
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_process.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_process.py
@@ -113,9 +113,9 @@
     def _read_errors(self) -> str:
         return self.stderr.read_text(errors='replace')[-_MAX_ERROR_CHARS:]
 
-    def _send_signal(self, number: signal.Signals) -> None:
+    def _send_signal(self, signal_number: signal.Signals) -> None:
         if self.alive:
-            os.kill(self.pid, number)
+            os.kill(self.pid, signal_number)
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -216,7 +216,7 @@
     awaited: str,
     describe: Callable[[], str] = str,
 ) -> None:
-    """Poll a condition until it holds.
+    """Poll a condition until the condition holds.
 
     Args:
         condition: function that returns whether the condition holds.
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_settings.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_settings.py
@@ -11,7 +11,7 @@
 _EPHEMERAL_ADDRESS: Final = '127.0.0.1:0'
 
 
-def settings_toml(
+def format_settings_toml(
     spec: DaemonSpec,
     key_value: str,
     vm_list: str,
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_specs.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_specs.py
@@ -150,7 +150,9 @@
     )
 
 
-def front_patch(fronts: Sequence[FrontSpec], addresses: dict[str, str]) -> Any:
+def build_front_patch(
+    fronts: Sequence[FrontSpec], addresses: dict[str, str]
+) -> Any:
     """Build the configuration patch that creates fronts.
 
     Args:
@@ -163,7 +165,7 @@
                 'keys': front.keys,
                 'hedge': front.hedge,
                 'shards': {
-                    shard.name: _shard_table(shard, addresses)
+                    shard.name: _build_shard_table(shard, addresses)
                     for shard in front.shards
                 },
             }
@@ -172,7 +174,7 @@
     }
 
 
-def _shard_table(shard: ShardSpec, addresses: dict[str, str]) -> Any:
+def _build_shard_table(shard: ShardSpec, addresses: dict[str, str]) -> Any:
     return {
         'servers': {
             server.name: {
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class PauseDaemon(Fault):
-    """Suspend a daemon process; its connections stay open."""
+    """Suspend a daemon process; the connections stay open."""
 
 
 @attrs.frozen(kw_only=True)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class FreezeServer(Fault):
-    """Freeze a backend server; its connections stay open."""
+    """Freeze a backend server; the connections stay open."""
 
 
 @attrs.frozen(kw_only=True)
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_ground_truth.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_ground_truth.py
@@ -27,12 +27,12 @@
         keys=keys,
         snapshots=frozenset(snapshots),
         stamps=functools.lru_cache(_MAX_CACHED_RESULTS)(
-            functools.partial(_expected_stamps, keys),
+            functools.partial(_compute_stamps, keys),
         ),
     )
 
 
-def _expected_stamps(keys: int, snapshot: int, query: str) -> Mapping[int, str]:
+def _compute_stamps(keys: int, snapshot: int, query: str) -> Mapping[int, str]:
     parsed_query = cattrs.structure(json.loads(query), Query)
     records = select_records(
         _BACKEND_SEED, snapshot, key_range(0, keys), parsed_query
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_operator.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_operator.py
@@ -49,7 +49,9 @@
             return
         self._count += 1
         patch_id = f'{self.name}-{self._count}'
-        base = rig_config.version(self._randomness.choice(known_addresses))
+        base = rig_config.fetch_version(
+            self._randomness.choice(known_addresses)
+        )
         if base < 1:
             return
         # The delay between read and write lets patches of operators conflict.
--- a/packages/fennelfork-bench/tests/test_checks_answer.py
+++ b/packages/fennelfork-bench/tests/test_checks_answer.py
@@ -16,7 +16,7 @@
     refused,
 )
 
-from fennelfork_bench.checks._answer import check_own_answer
+from fennelfork_bench.checks._answer import check_answer_matches_request
 from fennelfork_bench.history._caller import Malformed
 
 _MALFORMED = Malformed(at_ms=150, attempt='try-1', detail='200 []')
@@ -47,7 +47,7 @@
     )
     def test_violations(self, events, expected_detail) -> None:
         """Lost, duplicate, mismatched and truncated answers are detected."""
-        found = check_own_answer(history(*events), expected_index())
+        found = check_answer_matches_request(history(*events), expected_index())
         assert expected_detail in join_details(found)
 
     def test_valid(self) -> None:
@@ -56,11 +56,13 @@
             query_asked(whole=False, floor=0.5),
             partial_answer(),
         )
-        assert not check_own_answer(partial, expected_index())
-        assert not check_own_answer(
+        assert not check_answer_matches_request(partial, expected_index())
+        assert not check_answer_matches_request(
             answered(query_answered()), expected_index()
         )
-        assert not check_own_answer(answered(refused()), expected_index())
+        assert not check_answer_matches_request(
+            answered(refused()), expected_index()
+        )
 
 
 class TestExecutions:
@@ -80,7 +82,7 @@
         """Outcomes of other executions, or of none, are detected."""
         complete_history = history(execute_asked(), *events)
         assert expected_detail in join_details(
-            check_own_answer(complete_history, expected_index())
+            check_answer_matches_request(complete_history, expected_index())
         )
 
     def test_valid(self) -> None:
@@ -88,4 +90,6 @@
         complete_history = history(
             execute_asked(), execute_ran(), execute_answered()
         )
-        assert not check_own_answer(complete_history, expected_index())
+        assert not check_answer_matches_request(
+            complete_history, expected_index()
+        )
--- a/packages/fennelfork-bench/tests/test_config_fleet.py
+++ b/packages/fennelfork-bench/tests/test_config_fleet.py
@@ -10,7 +10,11 @@
 from bench_builders_platform import encode_base64
 
 from fennelfork_bench.rig import _http as http
-from fennelfork_bench.rig._config import await_version, send_patch, version
+from fennelfork_bench.rig._config import (
+    await_version,
+    fetch_version,
+    send_patch,
+)
 from fennelfork_bench.rig._fleet import Fleet, empty_fleet
 from fennelfork_bench.rig._process import Rig, wait_until
 from fennelfork_bench.rig._specs import FleetSpec, daemon_specs
@@ -72,7 +76,7 @@
 
 
 def _versions(fleet: Fleet) -> list[int]:
-    return [version(operator) for operator in fleet.operators]
+    return [fetch_version(operator) for operator in fleet.operators]
 
 
 def _remove_document(fleet: Fleet) -> None:
--- a/packages/fennelfork-bench/tests/test_exp_parts.py
+++ b/packages/fennelfork-bench/tests/test_exp_parts.py
@@ -4,10 +4,13 @@
 
 from fennelfork_bench.experiments._cost import (
     CostReading,
-    costs_between,
+    compute_costs,
     sum_metric,
 )
-from fennelfork_bench.experiments._steady_load import Sample, load_metrics
+from fennelfork_bench.experiments._steady_load import (
+    Sample,
+    collect_load_metrics,
+)
 from fennelfork_bench.rig._caller import RequestResult
 from fennelfork_bench.rig._http import HttpResponse
 from fennelfork_bench.rig._report import Arm, Report, percentile
@@ -48,7 +51,7 @@
         before = CostReading(at_ms=0, used=used, control_bytes=1000)
         later = Usage(cpu_ms=200, resident_mb=60)
         after = CostReading(at_ms=2000, used=later, control_bytes=5000)
-        cost = costs_between([before], [after])[0]
+        cost = compute_costs([before], [after])[0]
         assert cost.core_percent == 5
         assert cost.kb_per_s == 2
         assert cost.resident_mb == 60
@@ -64,7 +67,7 @@
             _sample(200, ('wrong records',), 1),
             _sample(503, ('no answer',), 0),
         ]
-        metrics = load_metrics(samples)
+        metrics = collect_load_metrics(samples)
         assert metrics['requests'] == 3
         assert metrics['failed'] == 1
         assert metrics['wrong'] == 1
--- a/packages/fennelfork-bench/tests/test_experiments_document.py
+++ b/packages/fennelfork-bench/tests/test_experiments_document.py
@@ -3,7 +3,7 @@
 import pytest
 
 from fennelfork.config import structure_document
-from fennelfork_bench.experiments._document import document_tree
+from fennelfork_bench.experiments._document import build_document_tree
 
 
 class TestDocumentTree:
@@ -12,7 +12,7 @@
     @pytest.mark.parametrize('servers', [30, 300, 3000])
     def test_is_valid_and_has_the_requested_size(self, servers: int) -> None:
         """The document passes validation and contains every server."""
-        document = structure_document(document_tree(servers)).unwrap()
+        document = structure_document(build_document_tree(servers)).unwrap()
         shards = [
             shard
             for front in document.fronts.values()
--- a/packages/fennelfork-bench/tests/test_experiments_load.py
+++ b/packages/fennelfork-bench/tests/test_experiments_load.py
@@ -13,11 +13,11 @@
 from fennelfork_bench.experiments._load import (
     collect_violations,
     front_load_spec,
-    measure,
+    measure_load,
     merge_rounds,
 )
 from fennelfork_bench.experiments._metrics import NO_HEDGE
-from fennelfork_bench.rig._config import version
+from fennelfork_bench.rig._config import fetch_version
 from fennelfork_bench.rig._process import Rig, RigError
 
 _SIZE = FrontSize(shards=2, servers=1, daemons=2)
@@ -32,8 +32,8 @@
         """Tally, server counts and processor time reflect the load."""
         fleet = start_front_fleet(rig, _SIZE, seed=1)
         load = front_load_spec(fleet, _SIZE, count=_COUNT, deadline_ms=20_000)
-        first = measure(fleet, load)
-        again = measure(fleet, load)
+        first = measure_load(fleet, load)
+        again = measure_load(fleet, load)
         both = merge_rounds((first, again))
         assert not collect_violations((first, again))
         assert first.tally.counts['complete'] == _COUNT
@@ -48,7 +48,9 @@
         fleet = start_front_fleet(rig, _SIZE, seed=1)
         rule = {'kind': 'lose_reply', 'limit': 3}
         inject_faults(fleet, 's0-0', rules=[rule])
-        measured = measure(fleet, front_load_spec(fleet, _SIZE, count=_COUNT))
+        measured = measure_load(
+            fleet, front_load_spec(fleet, _SIZE, count=_COUNT)
+        )
         assert measured.counts['fault_lose_reply'] == 3
         assert not measured.tally.violations
 
@@ -56,7 +58,7 @@
         """A change of the hedge policy is a new version on every daemon."""
         fleet = start_front_fleet(rig, _SIZE, seed=1)
         apply_hedge_policy(fleet, NO_HEDGE)
-        assert [version(each) for each in fleet.operators] == [2, 2]
+        assert [fetch_version(each) for each in fleet.operators] == [2, 2]
 
 
 @pytest.mark.process
--- a/packages/fennelfork-bench/tests/test_fuzz_settings.py
+++ b/packages/fennelfork-bench/tests/test_fuzz_settings.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from returns.pipeline import is_successful
 
-from fennelfork_bench.rig._settings import settings_toml
+from fennelfork_bench.rig._settings import format_settings_toml
 from fennelfork_bench.rig._specs import daemon_specs
 from fennelfork_daemon.settings._settings import load_settings, read_settings
 
@@ -21,7 +21,7 @@
     'timeouts': {'stop_ms': 9000, 'entry_ttl_ms': 100},
     'logs': {'level': 'info'},
 }
-_TEXT = settings_toml(*daemon_specs(1), '127.0.0.1:1', '127.0.0.1:2')
+_TEXT = format_settings_toml(*daemon_specs(1), '127.0.0.1:1', '127.0.0.1:2')
 
 
 @pytest.fixture(scope='module')
--- a/packages/fennelfork-bench/tests/test_once_claim.py
+++ b/packages/fennelfork-bench/tests/test_once_claim.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fennelfork_bench.experiments._once_claim import Claims
-from fennelfork_bench.experiments._once_cost import memory_costs
+from fennelfork_bench.experiments._once_cost import measure_memory_costs
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._process import rig
 
@@ -47,7 +47,7 @@
 
     def test_all_are_measured(self) -> None:
         """Each cost is present and positive."""
-        costs = memory_costs(1)
+        costs = measure_memory_costs(1)
         assert set(costs) == {
             'issue_us',
             'run_us',
--- a/packages/fennelfork-bench/tests/test_rig_fleet.py
+++ b/packages/fennelfork-bench/tests/test_rig_fleet.py
@@ -2,14 +2,17 @@
 
 import pytest
 
-from fennelfork_bench.experiments._small_fleet import hedge_patch, small_fleet
+from fennelfork_bench.experiments._small_fleet import (
+    build_hedge_patch,
+    small_fleet,
+)
 from fennelfork_bench.rig import _http as http
 from fennelfork_bench.rig._caller import Caller
 from fennelfork_bench.rig._config import (
     await_version,
+    fetch_version,
     send_patch,
     start_fleet,
-    version,
 )
 from fennelfork_bench.rig._fleet import Fleet
 from fennelfork_bench.rig._process import Rig
@@ -34,9 +37,9 @@
 
     def test_patch_is_activated_on_all_daemons(self, fleet: Fleet) -> None:
         """A patch that one daemon accepts becomes active on all daemons."""
-        reply = send_patch(fleet.operators[1], hedge_patch(7), 1)
+        reply = send_patch(fleet.operators[1], build_hedge_patch(7), 1)
         await_version(fleet, reply.body['version'])
-        assert [version(each) for each in fleet.operators] == [2, 2]
+        assert [fetch_version(each) for each in fleet.operators] == [2, 2]
 
     def test_replaced_daemon_is_listed_at_its_new_address(
         self,
--- a/packages/fennelfork-bench/tests/test_rig_settings.py
+++ b/packages/fennelfork-bench/tests/test_rig_settings.py
@@ -2,7 +2,7 @@
 
 import tomllib
 
-from fennelfork_bench.rig._settings import settings_toml, write_toml
+from fennelfork_bench.rig._settings import format_settings_toml, write_toml
 from fennelfork_bench.rig._specs import daemon_specs
 
 
@@ -26,7 +26,9 @@
     def test_tables_of_a_daemon_override_defaults(self) -> None:
         """Tables of a daemon are merged into the default tables."""
         spec = daemon_specs(2, tables={'listen': {'peer': '127.0.0.1:9'}})[1]
-        read = tomllib.loads(settings_toml(spec, '127.0.0.1:1', '127.0.0.1:2'))
+        read = tomllib.loads(
+            format_settings_toml(spec, '127.0.0.1:1', '127.0.0.1:2')
+        )
         assert read['daemon'] == {
             'name': 'vm-2',
             'region': 'region-2',
--- a/packages/fennelfork-cli/src/fennelfork_cli/_caller_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_caller_commands.py
@@ -10,9 +10,9 @@
 from fennelfork import Verdict
 from fennelfork.once import bind_request_id
 from fennelfork_cli._caller_reports import (
-    entries_report,
-    execute_report,
-    query_report,
+    build_entries_report,
+    build_execute_report,
+    build_query_report,
 )
 from fennelfork_cli._caller_requests import (
     common_fields,
@@ -35,7 +35,7 @@
 
     Example: fennelfork entries --caller 127.0.0.1:8080
     """
-    outcome = fetch_entries(options).map(entries_report)
+    outcome = fetch_entries(options).map(build_entries_report)
     return print_outcome(outcome, options.json)
 
 
@@ -61,14 +61,14 @@
             complete answer is accepted if not given.
     """
     body = common_fields(options) | {
-        'query': _query_body(text, key),
-        'coverage': _coverage_body(floor),
+        'query': _build_query_body(text, key),
+        'coverage': _build_coverage_body(floor),
     }
     path = f'/v1/fronts/{quote(front, safe="")}/query'
     outcome = fetch_entries(options).bind(
         lambda entries_page: send_to_entries(path, body, entries_page),
     )
-    return print_outcome(outcome.map(query_report), options.json)
+    return print_outcome(outcome.map(build_query_report), options.json)
 
 
 def execute(
@@ -99,7 +99,7 @@
     outcome = fetch_entries(options).bind(
         lambda entries_page: _execute(path, body, ticket, entries_page),
     )
-    return print_outcome(outcome.map(execute_report), options.json)
+    return print_outcome(outcome.map(build_execute_report), options.json)
 
 
 def _execute(
@@ -145,7 +145,7 @@
     )
 
 
-def _query_body(text: str | None, keys: tuple[int, ...]) -> JsonObject:
+def _build_query_body(text: str | None, keys: tuple[int, ...]) -> JsonObject:
     payload: JsonObject = {}
     if text is not None:
         payload['text'] = text
@@ -154,7 +154,7 @@
     return payload
 
 
-def _coverage_body(floor: float | None) -> JsonObject:
+def _build_coverage_body(floor: float | None) -> JsonObject:
     if floor is None:
         return {'mode': 'whole'}
     return {'mode': 'partial', 'floor': floor}
--- a/packages/fennelfork-cli/src/fennelfork_cli/_caller_reports.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_caller_reports.py
@@ -13,7 +13,7 @@
 _MAX_SHOWN_RECORDS: Final = 20
 
 
-def entries_report(payload: JsonObject) -> Report:
+def build_entries_report(payload: JsonObject) -> Report:
     """Report the entry addresses for callers."""
     return Report(
         payload=payload,
@@ -22,14 +22,14 @@
     )
 
 
-def query_report(payload: JsonObject) -> Report:
+def build_query_report(payload: JsonObject) -> Report:
     """Report the answer to a query; a partial answer has exit code 5."""
     coverage = payload['coverage']
-    lines = [_coverage_line(coverage)]
+    lines = [_format_coverage(coverage)]
     if coverage['missing']:
         lines.append(text_table(_MISSING_COLUMNS, coverage['missing']))
-    lines.extend(_record_lines(payload['records']))
-    lines.append(_work_line(payload))
+    lines.extend(_format_records(payload['records']))
+    lines.append(_format_work(payload))
     return Report(
         payload=payload,
         text='\n'.join(lines),
@@ -37,7 +37,7 @@
     )
 
 
-def execute_report(payload: JsonObject) -> Report:
+def build_execute_report(payload: JsonObject) -> Report:
     """Report the outcome of a non-idempotent request."""
     outcome = json.dumps(payload['outcome'])
     return Report(
@@ -47,13 +47,13 @@
     )
 
 
-def _coverage_line(coverage: JsonObject) -> str:
+def _format_coverage(coverage: JsonObject) -> str:
     if coverage['complete']:
         return 'complete'
     return f'PARTIAL: {coverage["fraction"]:.2%} of the keys; missing ranges:'
 
 
-def _record_lines(records: list[JsonObject]) -> list[str]:
+def _format_records(records: list[JsonObject]) -> list[str]:
     lines = [json.dumps(record) for record in records[:_MAX_SHOWN_RECORDS]]
     omitted_count = len(records) - len(lines)
     if omitted_count:
@@ -61,7 +61,7 @@
     return lines
 
 
-def _work_line(payload: JsonObject) -> str:
+def _format_work(payload: JsonObject) -> str:
     work = ', '.join(
         f'{count} {name.replace("_", "-")}'
         for name, count in payload['work'].items()
--- a/packages/fennelfork-cli/src/fennelfork_cli/_config_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_config_commands.py
@@ -11,9 +11,9 @@
 
 from fennelfork.config import merge_patch, tree_changes
 from fennelfork_cli._config_reports import (
+    build_history_report,
+    build_status_report,
     format_changes,
-    history_report,
-    status_report,
 )
 from fennelfork_cli._http import JsonObject
 from fennelfork_cli._options import OperatorOptions
@@ -61,16 +61,16 @@
 
     Example: fennelfork config history
     """
-    return print_page('/v1/config/history', options, history_report)
+    return print_page('/v1/config/history', options, build_history_report)
 
 
 @config_app.command
 def status(*, options: OperatorOptions = _DEFAULT_OPTIONS) -> int:
-    """Show the active version of each daemon; exit 5 if one is outdated.
+    """Show the active version of each daemon; exit 5 if a daemon is outdated.
 
     Example: fennelfork config status --json
     """
-    return print_page('/v1/config/status', options, status_report)
+    return print_page('/v1/config/status', options, build_status_report)
 
 
 @config_app.command
@@ -93,7 +93,7 @@
     return print_page(
         '/v1/config',
         options,
-        lambda payload: _diff_report(payload, patch),
+        lambda payload: _build_diff_report(payload, patch),
     )
 
 
@@ -132,7 +132,7 @@
     return print_outcome(submit_patch(request, options), options.json)
 
 
-def _diff_report(payload: JsonObject, patch: JsonObject) -> Report:
+def _build_diff_report(payload: JsonObject, patch: JsonObject) -> Report:
     changes = [
         attrs.asdict(change)
         for change in tree_changes(payload, merge_patch(payload, patch))
--- a/packages/fennelfork-cli/src/fennelfork_cli/_config_reports.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_config_reports.py
@@ -26,16 +26,18 @@
 )
 
 
-def history_report(payload: JsonObject) -> Report:
+def build_history_report(payload: JsonObject) -> Report:
     """Report the patches of the configuration, newest first."""
-    rows = [_history_row(patch) for patch in reversed(payload['patches'])]
+    rows = [
+        _format_history_row(patch) for patch in reversed(payload['patches'])
+    ]
     return Report(
         payload=payload,
         text=f'active version {payload["version"]}\n{text_table(_HISTORY_COLUMNS, rows)}',
     )
 
 
-def status_report(payload: JsonObject) -> Report:
+def build_status_report(payload: JsonObject) -> Report:
     """Report the active configuration version of each daemon.
 
     The report is partial if a daemon has another version or is unreachable.
@@ -78,7 +80,7 @@
 
 def format_conflict(problem: JsonObject) -> str:
     """Format a version conflict and the remaining changes of the patch."""
-    rows = [_history_row(patch) for patch in problem.get('since', ())]
+    rows = [_format_history_row(patch) for patch in problem.get('since', ())]
     return '\n'.join(
         (
             f'conflict: version {problem.get("version")} is active; '
@@ -91,7 +93,7 @@
     )
 
 
-def _history_row(patch: JsonObject) -> JsonObject:
+def _format_history_row(patch: JsonObject) -> JsonObject:
     at = dt.datetime.fromtimestamp(
         patch.get('at_ms', 0) / _MS_PER_SECOND,
         tz=dt.UTC,
--- a/packages/fennelfork-cli/src/fennelfork_cli/_explain.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_explain.py
@@ -57,7 +57,7 @@
     outcome = fetch_page(path, options)
     if isinstance(outcome, Failure):
         outcome = fetch_page_from_members(path, options).lash(lambda _: outcome)
-    return print_outcome(outcome.map(_explain_report), options.json)
+    return print_outcome(outcome.map(_build_explain_report), options.json)
 
 
 def _explain_from_logs(
@@ -67,12 +67,12 @@
     try:
         texts = [path.read_text(errors='replace') for path in paths]
     except OSError as error:
-        return Failure(_log_failure(f'cannot read a log file: {error}'))
+        return Failure(_build_log_failure(f'cannot read a log file: {error}'))
     lines = read_lines(line for text in texts for line in text.splitlines())
     selected = lines_for_request(lines, request_id)
     if not any(line.request == request_id for line in selected):
         detail = f'the logs hold no line about the request {request_id}'
-        return Failure(_log_failure(detail))
+        return Failure(_build_log_failure(detail))
     return Success(
         Report(
             payload={'events': [line.as_json for line in selected]},
@@ -83,12 +83,12 @@
     )
 
 
-def _log_failure(detail: str) -> RequestFailure:
+def _build_log_failure(detail: str) -> RequestFailure:
     return RequestFailure(verdict=Verdict.NOT_RUN, detail=detail)
 
 
-def _explain_report(payload: JsonObject) -> Report:
-    rows = [_event_row(event) for event in payload.get('events', ())]
+def _build_explain_report(payload: JsonObject) -> Report:
+    rows = [_format_event_row(event) for event in payload.get('events', ())]
     header_lines = [
         f'{name}: {_format_value(field_value)}'
         for name, field_value in payload.items()
@@ -98,7 +98,7 @@
     return Report(payload=payload, text='\n'.join((*header_lines, events)))
 
 
-def _event_row(event: JsonObject) -> JsonObject:
+def _format_event_row(event: JsonObject) -> JsonObject:
     details = [
         f'{name}={_format_value(field_value)}'
         for name, field_value in event.items()
--- a/packages/fennelfork-cli/src/fennelfork_cli/_fleet_commands.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_fleet_commands.py
@@ -4,7 +4,10 @@
 
 from cyclopts import App
 
-from fennelfork_cli._front_reports import front_list_report, front_report
+from fennelfork_cli._front_reports import (
+    build_front_list_report,
+    build_front_report,
+)
 from fennelfork_cli._http import ApiRequest, JsonObject, send_request
 from fennelfork_cli._options import OperatorOptions
 from fennelfork_cli._page import print_outcome, print_page
@@ -33,7 +36,7 @@
 
     Example: fennelfork front list
     """
-    return print_page('/v1/fronts', options, front_list_report)
+    return print_page('/v1/fronts', options, build_front_list_report)
 
 
 @front_app.command(name='show')
@@ -53,7 +56,7 @@
     return print_page(
         '/v1/fronts',
         options,
-        lambda payload: front_report(payload, name),
+        lambda payload: build_front_report(payload, name),
     )
 
 
@@ -83,10 +86,12 @@
         body={},
         timeout_ms=options.timeout_ms,
     )
-    return print_outcome(send_request(call).map(_drain_report), options.json)
+    return print_outcome(
+        send_request(call).map(_build_drain_report), options.json
+    )
 
 
-def _drain_report(payload: JsonObject) -> Report:
+def _build_drain_report(payload: JsonObject) -> Report:
     running = payload.get('running')
     text = f'{payload.get("phase")}, {running} requests running'
     return Report(payload=payload, text=text)
--- a/packages/fennelfork-cli/src/fennelfork_cli/_front_reports.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_front_reports.py
@@ -4,7 +4,7 @@
 
 from fennelfork import FailureCode, Verdict
 from fennelfork_cli._http import JsonObject, RequestFailure
-from fennelfork_cli._report import Report, failure_report
+from fennelfork_cli._report import Report, build_failure_report
 from fennelfork_cli._text_table import text_table
 
 _NAME: Final = 'name'
@@ -22,7 +22,7 @@
 )
 
 
-def front_list_report(payload: JsonObject) -> Report:
+def build_front_list_report(payload: JsonObject) -> Report:
     """Report all fronts, one row for each front."""
     rows = [
         {
@@ -41,14 +41,14 @@
     )
 
 
-def front_report(payload: JsonObject, name: str) -> Report:
+def build_front_report(payload: JsonObject, name: str) -> Report:
     """Report one front, one row for each backend server."""
     fronts = {front[_NAME]: front for front in payload['fronts']}
     front = fronts.get(name)
     if front is not None:
         return Report(payload=front, text=_format_front(front))
     known = ', '.join(fronts)
-    return failure_report(
+    return build_failure_report(
         RequestFailure(
             verdict=Verdict.NOT_RUN,
             detail=f'unknown front {name!r}; known fronts: {known or "none"}',
--- a/packages/fennelfork-cli/src/fennelfork_cli/_http.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_http.py
@@ -76,11 +76,11 @@
             redirect=False,
         )
     except urllib3.exceptions.HTTPError as err:
-        return Failure(_transport_failure(request, err))
+        return Failure(_build_transport_failure(request, err))
     return _parse_response(request, response)
 
 
-def _transport_failure(
+def _build_transport_failure(
     request: ApiRequest, err: urllib3.exceptions.HTTPError
 ) -> RequestFailure:
     verdict = Verdict.MAY_HAVE_RUN
@@ -118,10 +118,10 @@
         )
     if response.status < _MIN_ERROR_STATUS:
         return Success(payload)
-    return Failure(_problem_failure(request, response.status, payload))
+    return Failure(_build_problem_failure(request, response.status, payload))
 
 
-def _problem_failure(
+def _build_problem_failure(
     request: ApiRequest, status: int, payload: JsonObject
 ) -> RequestFailure:
     known = {verdict.value for verdict in Verdict}
--- a/packages/fennelfork-cli/src/fennelfork_cli/_page.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_page.py
@@ -16,7 +16,7 @@
     send_request,
 )
 from fennelfork_cli._options import OperatorOptions
-from fennelfork_cli._report import Report, failure_report, print_report
+from fennelfork_cli._report import Report, build_failure_report, print_report
 
 _MAX_PARALLEL_REQUESTS: Final = 16
 _NOT_FOUND: Final = RequestFailure(
@@ -89,6 +89,6 @@
 ) -> int:
     """Print a report or a failure, and return the exit code."""
     report = outcome.lash(
-        lambda failure: Success(failure_report(failure)),
+        lambda failure: Success(build_failure_report(failure)),
     ).unwrap()
     return print_report(report, as_json)
--- a/packages/fennelfork-cli/src/fennelfork_cli/_patch_outcome.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_patch_outcome.py
@@ -29,13 +29,13 @@
         return Success(Report(payload=payload, text=text))
     failure = outcome.failure()
     if failure.code == FailureCode.CONFLICT.value:
-        return Success(_conflict_report(failure))
+        return Success(_build_conflict_report(failure))
     if failure.verdict is not Verdict.NOT_RUN:
-        return Success(_unknown_outcome_report(request, failure))
+        return Success(_build_unknown_outcome_report(request, failure))
     return Failure(failure)
 
 
-def _conflict_report(failure: RequestFailure) -> Report:
+def _build_conflict_report(failure: RequestFailure) -> Report:
     return Report(
         payload=failure.problem,
         text=format_conflict(failure.problem),
@@ -43,7 +43,7 @@
     )
 
 
-def _unknown_outcome_report(
+def _build_unknown_outcome_report(
     request: PatchRequest, failure: RequestFailure
 ) -> Report:
     lines = (
--- a/packages/fennelfork-cli/src/fennelfork_cli/_report.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_report.py
@@ -25,8 +25,8 @@
     code: ExitCode = ExitCode.DONE
 
 
-def failure_report(failure: RequestFailure) -> Report:
-    """Report the failure of a request with its verdict."""
+def build_failure_report(failure: RequestFailure) -> Report:
+    """Build the report on a failed request, with the verdict."""
     lines = [f'{failure.code}: {failure.detail}']
     for problem in failure.problem.get('problems', ()):
         lines.append(
--- a/packages/fennelfork-cli/src/fennelfork_cli/_text_table.py
+++ b/packages/fennelfork-cli/src/fennelfork_cli/_text_table.py
@@ -21,21 +21,21 @@
         Table without a newline at the end.
     """
     raw_rows = [list(map(row.get, columns)) for row in rows]
-    cells = [_heading(columns)]
+    cells = [_format_heading(columns)]
     cells.extend(list(map(_format_cell, row)) for row in raw_rows)
     right_aligned = [
         _is_numeric(column) for column in _transpose(raw_rows, columns)
     ]
-    widths = _widths(cells)
+    widths = _column_widths(cells)
     return '\n'.join(_format_row(row, widths, right_aligned) for row in cells)
 
 
-def _widths(cells: list[list[str]]) -> list[int]:
+def _column_widths(cells: list[list[str]]) -> list[int]:
     columns = zip(*cells, strict=True)
     return [max(map(len, column)) for column in columns]
 
 
-def _heading(columns: Sequence[str]) -> list[str]:
+def _format_heading(columns: Sequence[str]) -> list[str]:
     return [column.replace('_', ' ') for column in columns]
 
 
--- a/tests/test_platform_fatal_requests.py
+++ b/tests/test_platform_fatal_requests.py
@@ -14,8 +14,8 @@
 from fennelfork_platform_bench._fleet import PlatformFleet
 from fennelfork_platform_bench._poison_arrivals import (
     MAX_LATE_REQUESTS,
-    late_requests,
-    poison_arrivals,
+    find_late_requests,
+    read_poison_arrivals,
 )
 from fennelfork_platform_bench._records import POISON_MARKER
 from fennelfork_platform_bench._server_restarter import ServerRestarter
@@ -76,9 +76,9 @@
             poison.running(),
         ):
             time.sleep(_DURATION_S)
-        observed = poison_arrivals(fleet.server_logs)
+        observed = read_poison_arrivals(fleet.server_logs)
         assert len(observed) >= 3
-        assert len(late_requests(observed)) <= MAX_LATE_REQUESTS
+        assert len(find_late_requests(observed)) <= MAX_LATE_REQUESTS
         span = (start_s + _SETTLE_S, start_s + _DURATION_S - 1)
         assert others.success_share(*span) >= _MIN_SERVED_SHARE
 
--- a/tests/test_platform_soak.py
+++ b/tests/test_platform_soak.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from fennelfork_platform_bench.soak._checks import duplicate_run_problems
+from fennelfork_platform_bench.soak._checks import find_duplicate_runs
 from fennelfork_platform_bench.soak._fault_catalogue import choose_faults
 from fennelfork_platform_bench.soak._fault_tracker import FaultTracker
 from fennelfork_platform_bench.soak._round import Size, run_platform_round
@@ -63,19 +63,19 @@
     def test_no_duplicates(self, tmp_path: Path) -> None:
         """Single runs are accepted, and a truncated line is ignored."""
         logs = _logs(tmp_path, '{"run": "a"}\n{"run": "b"}\n', '{"run": "a')
-        assert not list(duplicate_run_problems({'c'}, logs))
+        assert not list(find_duplicate_runs({'c'}, logs))
 
     def test_request_that_ran_twice(self, tmp_path: Path) -> None:
         """Two runs on different servers are reported."""
         logs = _logs(tmp_path, '{"run": "a"}\n', '{"run": "a"}\n')
-        assert list(duplicate_run_problems(set(), logs)) == [
+        assert list(find_duplicate_runs(set(), logs)) == [
             'a is not idempotent and ran 2 times',
         ]
 
     def test_refused_and_run(self, tmp_path: Path) -> None:
         """A run of a request that was refused as not run is reported."""
         logs = _logs(tmp_path, '{"run": "a"}\n')
-        assert list(duplicate_run_problems({'a'}, logs)) == [
+        assert list(find_duplicate_runs({'a'}, logs)) == [
             'a was refused as not run but ran',
         ]
 
