--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_all.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_all.py
@@ -24,7 +24,7 @@
 
     Args:
         history: all events of one test run.
-        truth: expected contents of the index.
+        index: expected contents of the index.
         limits: time limits of the guarantees that have one.
 
     Returns:
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_base.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_base.py
@@ -115,7 +115,7 @@
     """Check each answer of a history separately.
 
     Args:
-        promise: guarantee that a wrong answer violates.
+        guarantee: guarantee that a wrong answer violates.
         history: all events of one test run.
         find_problems: function that describes each problem of an answer.
     """
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_processor_time.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_processor_time.py
@@ -22,7 +22,7 @@
 
     Args:
         processes: running processes.
-        span_s: length of the measurement.
+        duration_s: length of the measurement.
     """
     running = list(processes)
     before = read_processor_us(running)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
@@ -53,8 +53,9 @@
     Attributes:
         code: code of the failure.
         wait_ms: maximum wait for a free connection, in milliseconds.
-        reset_is_full: whether the reset of a new connection means that the
-            server has reached its connection limit, which other clients share.
+        treats_reset_as_full: whether the reset of a new connection means that
+            the server has reached its connection limit, which other clients
+            share.
     """
 
     code: FailureCode = FailureCode.SHED
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -35,7 +35,7 @@
     """Sends probes and publishes the members on the blackboard.
 
     Attributes:
-        fleet: membership controller.
+        controller: membership controller.
     """
 
     controller: Membership
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_body.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_body.py
@@ -25,7 +25,7 @@
     Args:
         environ: WSGI environment of the request.
         max_bytes: maximum size of the body.
-        read_ms: timeout for the complete body, in milliseconds.
+        timeout_ms: timeout for the complete body, in milliseconds.
 
     Returns:
         The bytes of the body, none for a request without a body, or the
--- a/packages/fennelfork/src/fennelfork/_verdict.py
+++ b/packages/fennelfork/src/fennelfork/_verdict.py
@@ -66,7 +66,7 @@
         detail: human-readable explanation in one sentence.
         retry_after_ms: time after which a retry may succeed, none if a retry
             is useless.
-        broken_off: whether the connection was closed or reset while the
+        connection_lost: whether the connection was closed or reset while the
             response was pending.
     """
 
--- a/packages/fennelfork/src/fennelfork/gather/_coverage.py
+++ b/packages/fennelfork/src/fennelfork/gather/_coverage.py
@@ -52,7 +52,7 @@
     """Compute the coverage of an answer.
 
     Args:
-        whole: all keys of the front.
+        full_range: all keys of the front.
         held: ranges whose records were received.
         failed: ranges of failed sub-queries, with the reasons.
 
--- a/packages/fennelfork/src/fennelfork/gather/_merge.py
+++ b/packages/fennelfork/src/fennelfork/gather/_merge.py
@@ -36,7 +36,7 @@
     """Replies and failures of the sub-queries of one query.
 
     Attributes:
-        whole: all keys of the front.
+        full_range: all keys of the front.
         snapshot: snapshot that all sub-queries read.
         plan: planned sub-queries, by name.
         earlier_verdict: verdict of a previous round at another snapshot.
@@ -162,7 +162,7 @@
     Args:
         request_id: id of the request of the caller.
         partition: pinned partition map.
-        whole: all keys of the front.
+        full_range: all keys of the front.
     """
     planned = [
         _plan_sub_query(request_id, partition.snapshot, assignment)
--- a/packages/fennelfork/src/fennelfork/gather/_partition.py
+++ b/packages/fennelfork/src/fennelfork/gather/_partition.py
@@ -62,7 +62,7 @@
 
     Args:
         views: snapshots and ranges that each shard holds.
-        whole: keys to cover.
+        full_range: keys to cover.
         exclude: snapshots that are known to be gone.
 
     Returns:
--- a/packages/fennelfork/src/fennelfork/gather/_range.py
+++ b/packages/fennelfork/src/fennelfork/gather/_range.py
@@ -42,7 +42,7 @@
     """Find the parts of `full_range` that no range of `held` covers.
 
     Args:
-        whole: range to cover.
+        full_range: range to cover.
         held: ranges in any order, which may overlap or exceed the range.
 
     Returns:
--- a/packages/fennelfork/src/fennelfork/routes/_attempt_gate.py
+++ b/packages/fennelfork/src/fennelfork/routes/_attempt_gate.py
@@ -80,8 +80,8 @@
 
         Args:
             attempt: number of the attempt.
-            broken_off: whether the connection was lost, so that the backend
-                server may have crashed.
+            connection_lost: whether the connection was lost, so that the
+                backend server may have crashed.
 
         Returns:
             Whether the failure stops all further attempts.
--- a/packages/fennelfork/src/fennelfork/routes/_sub_request.py
+++ b/packages/fennelfork/src/fennelfork/routes/_sub_request.py
@@ -46,11 +46,11 @@
     Attributes:
         service: name of the service.
         part: response that counts, if one has arrived.
-        running: attempts in flight, by number.
+        in_flight: attempts in flight, by number.
         tried: incarnations of servers that attempts were sent to.
         unconnected: incarnations among `tried` without a free connection.
         hedge_at_ms: time at which a hedge is due.
-        abandoned: whether no further attempt is sent.
+        is_abandoned: whether no further attempt is sent.
         failure: failure of the last failed attempt.
         possible_runs: number of servers that may have run the request.
         resets: number of servers among these that reset the new connection
--- a/packages/fennelfork/src/fennelfork/servers/_ejection.py
+++ b/packages/fennelfork/src/fennelfork/servers/_ejection.py
@@ -77,14 +77,14 @@
         self.ramp = min(self.ramp, 1)
 
 
-def may_eject(is_ejected: int, servers: int) -> bool:
+def may_eject(ejected_count: int, servers: int) -> bool:
     """Return whether one more server of a shard may be ejected for latency.
 
     At most half of the servers of a shard are ejected, so that the load on
     the remaining servers stays bounded.
 
     Args:
-        ejected: number of ejected servers of the shard.
+        ejected_count: number of ejected servers of the shard.
         servers: number of all servers of the shard.
     """
-    return (is_ejected + 1) * _DOUBLE <= servers
+    return (ejected_count + 1) * _DOUBLE <= servers
