--- a/packages/fennelfork/src/fennelfork/_stop.py
+++ b/packages/fennelfork/src/fennelfork/_stop.py
@@ -1,4 +1,4 @@
-"""State machine of the graceful stop of a daemon."""
+"""State machine of the graceful shutdown of a daemon."""
 
 import enum
 from collections.abc import Callable
