--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
@@ -6,7 +6,7 @@
 from returns.result import Result
 
 from fennelfork import Failure
-from fennelfork.gather import Expected, Reply
+from fennelfork.gather import ExpectedReply, Reply
 from fennelfork.home import ServerReport
 from fennelfork_daemon.backend._call import BackendCall
 from fennelfork_daemon.backend._pool import BackendPool, Trace
@@ -42,7 +42,7 @@
 
     def search(
         self,
-        expected: Expected,
+        expected: ExpectedReply,
         query: Any,
         sending: Sending,
     ) -> Result[Reply, Failure]:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
@@ -9,7 +9,7 @@
 from returns.result import Result
 
 from fennelfork import Clock, Failure, FailureCode, not_run
-from fennelfork.servers import ConnectionLedger, ConnectionUse
+from fennelfork.servers import ConnectionChoice, ConnectionLedger
 from fennelfork_daemon._address import Address
 from fennelfork_daemon.backend._call import (
     BackendCall,
@@ -103,21 +103,21 @@
 
     def silence(self, trace: Trace) -> None:
         """Close a connection that carries nothing, and its peers of age."""
-        self._close(self._ledger.silent(trace.connection))
+        self._close(self._ledger.record_unresponsive(trace.connection))
 
     def retire(self) -> None:
         """Close what idled for long."""
-        self._close(self._ledger.retire(self._clock.now_ms()))
+        self._close(self._ledger.evict_idle(self._clock.now_ms()))
 
     def retire_all(self) -> None:
         """Close what idles now; calls under way end first."""
-        self._close(self._ledger.distrust_all())
+        self._close(self._ledger.invalidate_all())
 
     def close(self) -> None:
         """Close all connections; calls under way on them fail."""
         self._close(tuple(self._open))
 
-    def _use(self, call: Call) -> ConnectionUse | None:
+    def _use(self, call: Call) -> ConnectionChoice | None:
         """Take a connection, or wait for one that another call gives back."""
         now_ms = self._clock.now_ms()
         until_ms = now_ms + min(self._when_full.wait_ms, call.timeout_ms)
@@ -128,7 +128,7 @@
             use = self._ledger.use(now_ms, fresh=call.fresh)
         return use
 
-    def _trusted(self, use: ConnectionUse) -> bool:
+    def _trusted(self, use: ConnectionChoice) -> bool:
         """Tell whether an idle connection still carries bytes."""
         connection = self._open[use.connection]
         if not connection.alive or _outlived(connection, use.idle_ms):
@@ -137,7 +137,7 @@
             return True
         answers = is_successful(connection.carry(self._probe))
         if not answers:
-            self._close(self._ledger.silent(use.connection))
+            self._close(self._ledger.record_unresponsive(use.connection))
         return answers
 
     def _carry_on_new(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_reply.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_reply.py
@@ -9,7 +9,7 @@
 
 from fennelfork import Failure, FailureCode, Verdict, may_have_run
 from fennelfork.gather import (
-    Expected,
+    ExpectedReply,
     KeyRange,
     Record,
     Reply,
@@ -36,7 +36,7 @@
     return Bad(_read_problem(response.status, tree))
 
 
-def read_search(tree: Any, expected: Expected) -> Result[Reply, Failure]:
+def read_search(tree: Any, expected: ExpectedReply) -> Result[Reply, Failure]:
     """Read the reply to a search and check it against what was sent."""
     try:
         reply = _reply(tree)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_request.py
@@ -7,10 +7,10 @@
 
 from fennelfork import Clock, Failure, FailureCode, not_run
 from fennelfork.gather import (
+    CompleteCoverage,
     CoverageDemand,
     PartialCoverage,
     QueryRequest,
-    WholeCoverage,
 )
 
 _KNOWN: Final = frozenset(
@@ -112,7 +112,7 @@
         raise _Invalid('coverage: must be an object')
     mode = coverage.get('mode', 'whole')
     if mode == 'whole':
-        return WholeCoverage()
+        return CompleteCoverage()
     if mode != 'partial':
         raise _Invalid('coverage.mode: must be "whole" or "partial"')
     floor = coverage.get('floor', 0)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -8,7 +8,7 @@
 from returns.result import Result, Success
 
 from fennelfork import Blackboard, Clock, Failure, FailureCode, not_run
-from fennelfork.home import LeavingServers, leaving_servers
+from fennelfork.home import DrainingServers, draining_servers
 from fennelfork.once import ExecuteRequest, NamedServer, execute_servers
 from fennelfork.placement import peer_health
 from fennelfork_daemon._address import address
@@ -29,7 +29,7 @@
     _describer: Describer
     _views: ViewCache
     _rng: random.Random
-    _leaving: LeavingServers
+    _leaving: DrainingServers
 
     def find(
         self,
@@ -54,7 +54,7 @@
             self._board.local.data_centre,
             self._rng,
         )
-        staying = self._leaving.without(servers)
+        staying = self._leaving.exclude_draining(servers)
         if servers and not staying:
             detail = 'every server of the record is leaving'
             return Failed(not_run(FailureCode.DRAINING, detail, _RETRY_MS))
@@ -66,7 +66,7 @@
 
     def note_leaving(self, target: ExecuteTarget) -> None:
         """Leave a server out for a while, as it refuses as draining."""
-        self._leaving.note(f'{target.host}:{target.port}')
+        self._leaving.record_refusal(f'{target.host}:{target.port}')
 
 
 def execute_targets(
@@ -96,7 +96,7 @@
         describer=describer,
         views=views,
         rng=random.Random(),
-        leaving=leaving_servers(clock),
+        leaving=draining_servers(clock),
     )
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_calls.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_calls.py
@@ -9,11 +9,11 @@
 from fennelfork import Failure, system_clock
 from fennelfork.gather import (
     QueryRequest,
-    ScatterOrder,
     ScatterOutcome,
+    ScatterRequest,
     ShardView,
 )
-from fennelfork.home import EntryGate, Flow, HomeLevel, entry_gate
+from fennelfork.home import AdmissionLevel, EntryGate, Flow, entry_gate
 from fennelfork.membership import Member
 from fennelfork.placement import PeerHealth
 from fennelfork_daemon.peer._client import PeerClient
@@ -25,7 +25,7 @@
 class Home(Protocol):
     """What the home of some shards does for a root."""
 
-    def scatter(self, order: ScatterOrder) -> ScatterOutcome:
+    def scatter(self, order: ScatterRequest) -> ScatterOutcome:
         """Run the sub-queries of `order`, within its deadline."""
 
     def describe(
@@ -58,12 +58,12 @@
             The part of such queries that is let in, or a refusal.
         """
         flow = Flow(tenant=request.tenant, traffic_class=request.traffic_class)
-        return self._gate.judge(request.front, flow, request.request_id)
+        return self._gate.admit(request.front, flow, request.request_id)
 
     def scatter(
         self,
         home: Member,
-        order: ScatterOrder,
+        order: ScatterRequest,
         timeout_ms: float,
     ) -> Result[ScatterOutcome, Failure]:
         """Have a home run sub-queries."""
@@ -111,16 +111,16 @@
     def _learn_level(
         self,
         home: Member,
-        order: ScatterOrder,
+        order: ScatterRequest,
         outcome: ScatterOutcome,
     ) -> ScatterOutcome:
-        told = HomeLevel(
+        told = AdmissionLevel(
             front=order.front,
             flow=Flow(tenant=order.tenant, traffic_class=order.traffic_class),
             home=home.name,
             level=outcome.level,
         )
-        self._gate.learn(told)
+        self._gate.record_level(told)
         return outcome
 
     def _note(self, home: Member, reply: Result[object, Failure]) -> None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_orders.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_orders.py
@@ -7,8 +7,8 @@
 from returns.result import Result
 
 from fennelfork import Failure
-from fennelfork.gather import Expected, Reply
-from fennelfork.home import Effort, Task
+from fennelfork.gather import ExpectedReply, Reply
+from fennelfork.home import Task, TaskStats
 from fennelfork_daemon.backend._client import BackendClient, Sending
 
 
@@ -24,7 +24,7 @@
     """
 
     result: Result[Reply, Failure]
-    effort: Effort
+    stats: TaskStats
     server: str = ''
     server_ms: float = 0
 
@@ -33,7 +33,7 @@
 class SearchOrder:
     """A sub-query: what its reply must echo, and the query's content."""
 
-    expected: Expected
+    expected: ExpectedReply
     query: Any
 
     def send(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
@@ -7,7 +7,7 @@
 import eventlet
 
 from fennelfork import Blackboard, Clock
-from fennelfork.home import ServerSight
+from fennelfork.home import ServerStatus
 from fennelfork_daemon.backend._client import BackendClient
 from fennelfork_daemon.home._settings import home_settings, server_facts
 from fennelfork_daemon.home._shard import ShardRunner, shard_runner
@@ -61,15 +61,15 @@
         if kept is None:
             return None
         kept.used_ms = self._clock.now_ms()
-        if not kept.runner.scheduler.servers.known:
+        if not kept.runner.scheduler.servers.has_snapshots:
             self._learn(kept)
         return kept.runner
 
     @property
-    def sights(self) -> dict[tuple[str, str], tuple[ServerSight, ...]]:
+    def sights(self) -> dict[tuple[str, str], tuple[ServerStatus, ...]]:
         """The servers of each shard asked for here, by front and shard."""
         return {
-            (name.front, name.shard): kept.runner.scheduler.sights
+            (name.front, name.shard): kept.runner.scheduler.server_statuses
             for name, kept in self._kept.items()
         }
 
@@ -82,7 +82,7 @@
     def _learn(self, kept: _Kept) -> None:
         """Ask the servers of a new runner, once for all who wait for it."""
         with kept.learning:
-            if not kept.runner.scheduler.servers.known:
+            if not kept.runner.scheduler.servers.has_snapshots:
                 _poll_all(kept.runner)
 
     def _poll_round(self) -> None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
@@ -10,13 +10,13 @@
 
 from fennelfork import Blackboard, Clock, FailureCode, not_run
 from fennelfork.gather import (
-    Part,
-    Planned,
-    ScatterOrder,
+    PlannedSubQuery,
     ScatterOutcome,
+    ScatterRequest,
     ShardView,
+    SubQueryOutcome,
 )
-from fennelfork.home import Effort, Flow, ServerSight, Task
+from fennelfork.home import Flow, ServerStatus, Task, TaskStats
 from fennelfork_daemon.home._orders import Errand, Outcome, SearchOrder
 from fennelfork_daemon.home._runners import HomeRunners, ShardName
 from fennelfork_daemon.metrics._metrics import DaemonMetrics
@@ -33,18 +33,18 @@
     """Waits for the parts of one order."""
 
     awaited: int
-    parts: list[Part] = attrs.field(factory=list)
+    parts: list[SubQueryOutcome] = attrs.field(factory=list)
     _full: eventlet.event.Event = attrs.field(
         factory=eventlet.event.Event,
     )
 
-    def take(self, part: Part) -> None:
+    def take(self, part: SubQueryOutcome) -> None:
         """Take one part; each sub-query gives just one."""
         self.parts.append(part)
         if len(self.parts) == self.awaited:
             self._full.send()
 
-    def wait(self) -> tuple[Part, ...]:
+    def wait(self) -> tuple[SubQueryOutcome, ...]:
         """Wait for all parts; the scheduler ends each by the deadline."""
         if self.awaited:
             self._full.wait()
@@ -61,11 +61,11 @@
     _serials: Iterator[int] = attrs.field(factory=itertools.count)
 
     @property
-    def sights(self) -> dict[tuple[str, str], tuple[ServerSight, ...]]:
+    def sights(self) -> dict[tuple[str, str], tuple[ServerStatus, ...]]:
         """The servers of each shard that this daemon is the home of."""
         return self._runners.sights
 
-    def scatter(self, order: ScatterOrder) -> ScatterOutcome:
+    def scatter(self, order: ScatterRequest) -> ScatterOutcome:
         """Run the sub-queries of `order`, within its deadline."""
         deadline_ms = self._clock.now_ms() + order.deadline_ms
         gathering = _Gathering(awaited=len(order.planned))
@@ -113,8 +113,8 @@
 
     def _task(
         self,
-        order: ScatterOrder,
-        planned: Planned,
+        order: ScatterRequest,
+        planned: PlannedSubQuery,
         deadline_ms: float,
     ) -> Task:
         return Task(
@@ -127,7 +127,7 @@
             weight=1 / order.level,
         )
 
-    def _level(self, order: ScatterOrder, shards: list[str]) -> float:
+    def _level(self, order: ScatterRequest, shards: list[str]) -> float:
         """Give the lowest level of the shards that were asked."""
         names = [ShardName(front=order.front, shard=each) for each in shards]
         runners = [self._runners.of(name) for name in names]
@@ -140,14 +140,14 @@
     def _start(
         self,
         front: str,
-        planned: Planned,
+        planned: PlannedSubQuery,
         task: Task,
         search: SearchOrder,
         gathering: _Gathering,
     ) -> None:
         runner = self._runners.of(ShardName(front=front, shard=planned.shard))
         if runner is None:
-            gathering.take(Part(planned=planned, failure=_UNKNOWN))
+            gathering.take(SubQueryOutcome(planned=planned, failure=_UNKNOWN))
             return
         errand = Errand(
             name=planned.expected.sub_query,
@@ -158,7 +158,7 @@
         runner.run(errand)
 
 
-def flow_of(order: ScatterOrder) -> Flow:
+def flow_of(order: ScatterRequest) -> Flow:
     """Tell whose share of the slots an order counts towards."""
     return Flow(tenant=order.tenant, traffic_class=order.traffic_class)
 
@@ -186,15 +186,15 @@
     return HomeService(board=board, clock=clock, runners=runners)
 
 
-def _part(planned: Planned, outcome: Outcome) -> Part:
-    effort: Effort = outcome.effort
-    return Part(
+def _part(planned: PlannedSubQuery, outcome: Outcome) -> SubQueryOutcome:
+    stats: TaskStats = outcome.stats
+    return SubQueryOutcome(
         planned=planned,
         reply=outcome.result.value_or(None),
         failure=outcome.result.swap().value_or(None),
-        hedges=effort.hedges,
-        retries=effort.retries,
-        queue_ms=effort.queue_ms,
+        hedges=stats.hedges,
+        retries=stats.retries,
+        queue_ms=stats.queue_ms,
         server_ms=outcome.server_ms,
         server=outcome.server,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_settings.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_settings.py
@@ -10,7 +10,7 @@
     HedgeSettings,
     Server,
 )
-from fennelfork.home import HomeSettings, ServerFacts, Shares
+from fennelfork.home import HomeSettings, ServerConfig, Shares
 from fennelfork.placement import RoutingMode, slot_share
 from fennelfork.servers import FixedHedge, HedgePolicy, NoHedge, QuantileHedge
 
@@ -51,12 +51,12 @@
     board: Blackboard,
     name: str,
     server: Server,
-) -> ServerFacts:
+) -> ServerConfig:
     """Give what this daemon may use of a server."""
     daemons = max(1, len(board.members))
     usable = slot_share(server, board.routing, daemons)
     users = _HOMES if board.routing is RoutingMode.HOME else daemons
-    return ServerFacts(
+    return ServerConfig(
         name=name,
         slots=usable.slots,
         connections=max(1, server.connections // users),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
@@ -78,7 +78,7 @@
     def run(self, errand: Errand) -> None:
         """Have one errand carried out; its `done` is called once."""
         self._errands[errand.task.job] = errand
-        self.carry_out(self.scheduler.offer(errand.task))
+        self.carry_out(self.scheduler.submit(errand.task))
 
     def connect(self, servers: dict[str, Server]) -> None:
         """Build clients for the servers of the configuration in force."""
@@ -155,14 +155,14 @@
         copy = self._settled[answered.attempt]
         outcome = Outcome(
             result=copy.result,
-            effort=answered.effort,
+            stats=answered.stats,
             server=answered.server,
             server_ms=self._clock.now_ms() - copy.started_ms,
         )
         self._errands.pop(answered.task.job).done(outcome)
 
     def _refuse(self, refused: TaskRefused) -> None:
-        outcome = Outcome(result=Bad(refused.failure), effort=refused.effort)
+        outcome = Outcome(result=Bad(refused.failure), stats=refused.stats)
         self._errands.pop(refused.task.job).done(outcome)
 
     def _cancel(self, cancel: Cancel) -> None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
@@ -7,13 +7,13 @@
 
 from fennelfork import Blackboard
 from fennelfork.config import Front, Shard
-from fennelfork.home import ServerSight, route_homes
+from fennelfork.home import ServerStatus, route_homes
 from fennelfork.membership import Member
 
 Tree = dict[str, Any]
 # By front and shard.
 ShardKey = tuple[str, str]
-Sights = Mapping[ShardKey, tuple[ServerSight, ...]]
+Sights = Mapping[ShardKey, tuple[ServerStatus, ...]]
 
 
 def members_page(board: Blackboard) -> Tree:
@@ -75,7 +75,7 @@
     }
 
 
-def _servers(shard: Shard, sights: tuple[ServerSight, ...]) -> list[Tree]:
+def _servers(shard: Shard, sights: tuple[ServerStatus, ...]) -> list[Tree]:
     seen = {sight.name: sight for sight in sights}
     return [
         {
@@ -89,7 +89,7 @@
     ]
 
 
-def _sight(sight: ServerSight | None) -> Tree:
+def _sight(sight: ServerStatus | None) -> Tree:
     if sight is None:
         return {'state': None, 'busy': None, 'snapshots': None}
     return {
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_codec.py
@@ -4,21 +4,21 @@
 from typing import Any
 
 from fennelfork.gather import (
-    Expected,
+    ExpectedReply,
     KeyRange,
-    Part,
-    Planned,
+    PlannedSubQuery,
     Record,
     Reply,
-    ScatterOrder,
     ScatterOutcome,
+    ScatterRequest,
+    SubQueryOutcome,
 )
 from fennelfork_daemon.peer._codec_fault import fault_from_peer, fault_to_peer
 from fennelfork_daemon.peer._codec_view import views_from_peer, views_to_peer
 from fennelfork_daemon.peer._idl import peer
 
 
-def order_to_peer(order: ScatterOrder) -> Any:
+def order_to_peer(order: ScatterRequest) -> Any:
     """Write a scatter order as its thrift message."""
     return peer.ScatterRequest(
         request_id=order.request_id,
@@ -34,12 +34,12 @@
     )
 
 
-def order_from_peer(message: Any) -> ScatterOrder:
+def order_from_peer(message: Any) -> ScatterRequest:
     """Read a scatter order from its thrift message."""
     planned = tuple(
-        Planned(
+        PlannedSubQuery(
             shard=part.shard,
-            expected=Expected(
+            expected=ExpectedReply(
                 request_id=message.request_id,
                 sub_query=part.sub_query,
                 snapshot=message.snapshot,
@@ -48,7 +48,7 @@
         )
         for part in message.sub_queries
     )
-    return ScatterOrder(
+    return ScatterRequest(
         request_id=message.request_id,
         front=message.front,
         snapshot=message.snapshot,
@@ -72,7 +72,7 @@
     )
 
 
-def outcome_from_peer(message: Any, order: ScatterOrder) -> ScatterOutcome:
+def outcome_from_peer(message: Any, order: ScatterRequest) -> ScatterOutcome:
     """Read what came of `order`; parts that it did not ask for are left out."""
     asked = {planned.expected.sub_query: planned for planned in order.planned}
     return ScatterOutcome(
@@ -92,7 +92,7 @@
     return message.level or 1
 
 
-def _sub_query(planned: Planned) -> Any:
+def _sub_query(planned: PlannedSubQuery) -> Any:
     return peer.SubQuery(
         sub_query=planned.expected.sub_query,
         shard=planned.shard,
@@ -101,7 +101,7 @@
     )
 
 
-def _part_to_peer(part: Part) -> Any:
+def _part_to_peer(part: SubQueryOutcome) -> Any:
     reply = part.reply
     expected = part.planned.expected
     span = reply.span if reply else expected.span
@@ -122,8 +122,10 @@
     )
 
 
-def _part_from_peer(message: Any, planned: Planned, request_id: str) -> Part:
-    return Part(
+def _part_from_peer(
+    message: Any, planned: PlannedSubQuery, request_id: str
+) -> SubQueryOutcome:
+    return SubQueryOutcome(
         planned=planned,
         reply=None if message.fault else _reply_from_peer(message, request_id),
         failure=fault_from_peer(message.fault) if message.fault else None,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -13,8 +13,8 @@
     Merge,
     QueryAnswer,
     QueryRequest,
-    merge_of,
-    pin,
+    pin_snapshot,
+    plan_merge,
     refusal_of,
 )
 from fennelfork.placement import PeerHealth, peer_health
@@ -112,9 +112,9 @@
         whole: KeyRange,
         gone: frozenset[int],
     ) -> Result[Merge, Failure]:
-        pinned = pin(self._views.known(request.front), whole, gone)
+        pinned = pin_snapshot(self._views.known(request.front), whole, gone)
         planned = pinned.map(
-            lambda partition: merge_of(request.request_id, partition, whole),
+            lambda partition: plan_merge(request.request_id, partition, whole),
         )
         if is_successful(planned):
             scatter.run(planned.unwrap())
@@ -166,7 +166,7 @@
         return Bad(refusal)
     return Success(
         QueryAnswer(
-            answer=merge.answer(),
+            answer=merge.build_answer(),
             config_version=config_version,
             work=scatter.work,
         ),
@@ -174,7 +174,7 @@
 
 
 def _better(first: Merge, rerun: Merge) -> Merge:
-    rerun.earlier = first.verdict
-    before = first.answer().coverage.fraction
-    after = rerun.answer().coverage.fraction
+    rerun.earlier_verdict = first.verdict
+    before = first.build_answer().coverage.fraction
+    after = rerun.build_answer().coverage.fraction
     return rerun if after >= before else first
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_wave.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_wave.py
@@ -2,7 +2,12 @@
 
 from typing import Final
 
-from fennelfork.gather import CoverageDemand, Merge, Planned, is_hopeless
+from fennelfork.gather import (
+    CoverageDemand,
+    Merge,
+    PlannedSubQuery,
+    is_unsatisfiable,
+)
 from fennelfork.home import HomeGroup
 from fennelfork_daemon.tracing._trace import RequestTrace
 
@@ -32,7 +37,7 @@
     """
     if left_ms <= 0 or not merge.pending:
         return False
-    return not is_hopeless(merge, demand)
+    return not is_unsatisfiable(merge, demand)
 
 
 def note_group(
@@ -55,7 +60,7 @@
     return frozenset(planned.shard for planned in merge.pending)
 
 
-def pending_of(merge: Merge, group: HomeGroup) -> tuple[Planned, ...]:
+def pending_of(merge: Merge, group: HomeGroup) -> tuple[PlannedSubQuery, ...]:
     """Give what is pending of the shards of a group."""
     return tuple(
         planned for planned in merge.pending if planned.shard in group.shards
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_calls.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_calls.py
@@ -147,9 +147,9 @@
         )
         state = self._parts.selector.states.of(send.server.run)
         before = state.standing.ejected(record.now_ms)
-        returning = state.standing.returning
+        returning = state.standing.in_slow_start
         note_end(end, record, state)
-        if returning and not state.standing.returning:
+        if returning and not state.standing.in_slow_start:
             self._parts.reporter.back(send)
         if not before and state.standing.ejected(record.now_ms):
             self._parts.reporter.ejected(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_trace.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_trace.py
@@ -7,7 +7,7 @@
 import attrs
 
 from fennelfork import Clock
-from fennelfork.gather import Part
+from fennelfork.gather import SubQueryOutcome
 
 _MOST_EVENTS: Final = 32
 
@@ -25,7 +25,7 @@
     """
 
     longest_queue_ms: float = 0
-    slowest: Part | None = None
+    slowest: SubQueryOutcome | None = None
     hedges: int = 0
     retries: int = 0
     left_out: int = 0
@@ -56,7 +56,7 @@
         at_ms = round(self.took_ms, 1)
         self._events.append({'at_ms': at_ms, 'event': event, **facts})
 
-    def part(self, part: Part) -> None:
+    def part(self, part: SubQueryOutcome) -> None:
         """Take what came of one sub-query; only the unusual is noted."""
         self.hedges += part.hedges
         self.retries += part.retries
@@ -107,7 +107,7 @@
     return RequestTrace(clock=clock, started_ms=clock.now_ms())
 
 
-def _place(part: Part) -> dict[str, Any]:
+def _place(part: SubQueryOutcome) -> dict[str, Any]:
     return {
         'shard': part.planned.shard,
         'sub_query': part.planned.expected.sub_query,
--- a/packages/fennelfork/src/fennelfork/gather/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/gather/__init__.pyi
@@ -1,20 +1,20 @@
 """One answer out of the replies of many shards."""
 
+from ._coverage import CompleteCoverage as CompleteCoverage
 from ._coverage import Coverage as Coverage
 from ._coverage import MissingRange as MissingRange
 from ._coverage import PartialCoverage as PartialCoverage
-from ._coverage import WholeCoverage as WholeCoverage
-from ._coverage import allows as allows
+from ._coverage import accepts_coverage as accepts_coverage
 from ._coverage import coverage_of as coverage_of
 from ._merge import Answer as Answer
 from ._merge import Merge as Merge
-from ._merge import Planned as Planned
-from ._merge import merge_of as merge_of
+from ._merge import PlannedSubQuery as PlannedSubQuery
+from ._merge import plan_merge as plan_merge
 from ._partition import Assignment as Assignment
 from ._partition import PartitionMap as PartitionMap
 from ._partition import ShardView as ShardView
 from ._partition import SnapshotView as SnapshotView
-from ._partition import pin as pin
+from ._partition import pin_snapshot as pin_snapshot
 from ._query import CoverageDemand as CoverageDemand
 from ._query import QueryAnswer as QueryAnswer
 from ._query import QueryRequest as QueryRequest
@@ -22,12 +22,12 @@
 from ._range import KeyRange as KeyRange
 from ._range import key_range as key_range
 from ._range import missing_ranges as missing_ranges
-from ._refusal import is_hopeless as is_hopeless
+from ._refusal import is_unsatisfiable as is_unsatisfiable
 from ._refusal import refusal_of as refusal_of
-from ._reply import Expected as Expected
+from ._reply import ExpectedReply as ExpectedReply
 from ._reply import Record as Record
 from ._reply import Reply as Reply
 from ._reply import check_reply as check_reply
-from ._scatter import Part as Part
-from ._scatter import ScatterOrder as ScatterOrder
 from ._scatter import ScatterOutcome as ScatterOutcome
+from ._scatter import ScatterRequest as ScatterRequest
+from ._scatter import SubQueryOutcome as SubQueryOutcome
--- a/packages/fennelfork/src/fennelfork/gather/_coverage.py
+++ b/packages/fennelfork/src/fennelfork/gather/_coverage.py
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class WholeCoverage:
+class CompleteCoverage:
     """The caller takes the whole answer or a refusal."""
 
 
@@ -45,7 +45,7 @@
 
 
 def coverage_of(
-    whole: KeyRange,
+    full_range: KeyRange,
     held: Iterable[KeyRange],
     failed: Iterable[MissingRange],
 ) -> Coverage:
@@ -59,24 +59,24 @@
     Returns:
         The coverage; a gap that nobody was asked for is `NOT_HELD`.
     """
-    gaps = missing_ranges(whole, held)
+    gaps = missing_ranges(full_range, held)
     missing_width = sum(gap.width for gap in gaps)
     reasons = sorted(failed, key=_start)
     return Coverage(
         complete=not gaps,
-        fraction=(whole.width - missing_width) / whole.width,
+        fraction=(full_range.width - missing_width) / full_range.width,
         missing=tuple(
-            missing for gap in gaps for missing in _explain(gap, reasons)
+            missing for gap in gaps for missing in _attribute_gap(gap, reasons)
         ),
     )
 
 
 @functools.singledispatch
-def allows(demand: object, coverage: Coverage) -> bool:
+def accepts_coverage(demand: object, coverage: Coverage) -> bool:
     """Tell whether a caller's demand takes an answer of such coverage.
 
     Args:
-        demand: `WholeCoverage` or `PartialCoverage`.
+        demand: `CompleteCoverage` or `PartialCoverage`.
         coverage: what the answer covers.
 
     Raises:
@@ -85,12 +85,12 @@
     raise TypeError(f'not a demand of coverage: {demand!r}')
 
 
-@allows.register
-def _allows_whole(demand: WholeCoverage, coverage: Coverage) -> bool:
+@accepts_coverage.register
+def _allows_whole(demand: CompleteCoverage, coverage: Coverage) -> bool:
     return coverage.complete
 
 
-@allows.register
+@accepts_coverage.register
 def _allows_partial(demand: PartialCoverage, coverage: Coverage) -> bool:
     return coverage.fraction >= demand.floor
 
@@ -99,25 +99,25 @@
     return missing.span.lo
 
 
-def _explain(
+def _attribute_gap(
     gap: KeyRange,
     reasons: list[MissingRange],
 ) -> Iterable[MissingRange]:
     """Split one gap by the reasons known for its parts."""
-    reached = gap.lo
+    covered_until = gap.lo
     for known in reasons:
-        lo = max(known.span.lo, reached)
+        lo = max(known.span.lo, covered_until)
         hi = min(known.span.hi, gap.hi)
         if lo < hi:
-            if reached < lo:
-                yield _not_held(reached, lo)
+            if covered_until < lo:
+                yield _not_held(covered_until, lo)
             yield MissingRange(
                 span=KeyRange(lo=lo, hi=hi),
                 reason=known.reason,
             )
-            reached = hi
-    if reached < gap.hi:
-        yield _not_held(reached, gap.hi)
+            covered_until = hi
+    if covered_until < gap.hi:
+        yield _not_held(covered_until, gap.hi)
 
 
 def _not_held(lo: int, hi: int) -> MissingRange:
--- a/packages/fennelfork/src/fennelfork/gather/_partition.py
+++ b/packages/fennelfork/src/fennelfork/gather/_partition.py
@@ -47,12 +47,12 @@
     @property
     def width(self) -> int:
         """How many keys the assignments cover."""
-        return sum(asked.span.width for asked in self.assignments)
+        return sum(assignment.span.width for assignment in self.assignments)
 
 
-def pin(
+def pin_snapshot(
     views: Iterable[ShardView],
-    whole: KeyRange,
+    full_range: KeyRange,
     exclude: frozenset[int] = _NONE_EXCLUDED,
 ) -> Result[PartitionMap, Failure]:
     """Choose the snapshot that a query reads, and who is asked for what.
@@ -67,13 +67,13 @@
         exclude: snapshots found to be gone since `views` was read.
 
     Returns:
-        The map of the newest snapshot that covers `whole`, or else of the
+        The map of the newest snapshot that covers `full_range`, or else of the
         one that covers most of it, the newest of equals; a failure when no
         snapshot covers any key.
     """
     held = _held_by_version(views)
     maps = [
-        _cut(version, held[version], whole)
+        _build_partition(version, held[version], full_range)
         for version in sorted(held)
         if version not in exclude
     ]
@@ -106,23 +106,23 @@
     return held
 
 
-def _cut(
+def _build_partition(
     version: int,
     held: list[Assignment],
-    whole: KeyRange,
+    full_range: KeyRange,
 ) -> PartitionMap:
-    """Cut what is held to disjoint parts of `whole`, few and wide."""
+    """Cut what is held to disjoint parts of `full_range`, few and wide."""
     assignments: list[Assignment] = []
-    reached = whole.lo
-    for offer in sorted(held, key=_by_start):
-        lo = max(offer.span.lo, reached)
-        hi = min(offer.span.hi, whole.hi)
+    covered_until = full_range.lo
+    for held_range in sorted(held, key=_by_start):
+        lo = max(held_range.span.lo, covered_until)
+        hi = min(held_range.span.hi, full_range.hi)
         if lo < hi:
             span = KeyRange(lo=lo, hi=hi)
-            assignments.append(Assignment(shard=offer.shard, span=span))
-            reached = hi
+            assignments.append(Assignment(shard=held_range.shard, span=span))
+            covered_until = hi
     return PartitionMap(snapshot=version, assignments=tuple(assignments))
 
 
-def _by_start(offer: Assignment) -> tuple[int, int, str]:
-    return (offer.span.lo, -offer.span.hi, offer.shard)
+def _by_start(held_range: Assignment) -> tuple[int, int, str]:
+    return (held_range.span.lo, -held_range.span.hi, held_range.shard)
--- a/packages/fennelfork/src/fennelfork/gather/_query.py
+++ b/packages/fennelfork/src/fennelfork/gather/_query.py
@@ -5,10 +5,10 @@
 
 import attrs
 
-from fennelfork.gather._coverage import PartialCoverage, WholeCoverage
+from fennelfork.gather._coverage import CompleteCoverage, PartialCoverage
 from fennelfork.gather._merge import Answer
 
-CoverageDemand = WholeCoverage | PartialCoverage
+CoverageDemand = CompleteCoverage | PartialCoverage
 
 
 @attrs.frozen(kw_only=True)
--- a/packages/fennelfork/src/fennelfork/gather/_range.py
+++ b/packages/fennelfork/src/fennelfork/gather/_range.py
@@ -34,10 +34,10 @@
 
 
 def missing_ranges(
-    whole: KeyRange,
+    full_range: KeyRange,
     held: Iterable[KeyRange],
 ) -> tuple[KeyRange, ...]:
-    """Find the parts of `whole` that no range of `held` covers.
+    """Find the parts of `full_range` that no range of `held` covers.
 
     Args:
         whole: the range to cover.
@@ -47,13 +47,13 @@
         The uncovered ranges, lowest first, not touching each other.
     """
     gaps: list[KeyRange] = []
-    reached = whole.lo
+    covered_until = full_range.lo
     for part in sorted(held):
-        if part.lo > reached:
-            gap_end = min(part.lo, whole.hi)
-            gaps.append(KeyRange(lo=reached, hi=gap_end))
-        reached = max(reached, part.hi)
-        if reached >= whole.hi:
+        if part.lo > covered_until:
+            gap_end = min(part.lo, full_range.hi)
+            gaps.append(KeyRange(lo=covered_until, hi=gap_end))
+        covered_until = max(covered_until, part.hi)
+        if covered_until >= full_range.hi:
             return tuple(gaps)
-    gaps.append(KeyRange(lo=reached, hi=whole.hi))
+    gaps.append(KeyRange(lo=covered_until, hi=full_range.hi))
     return tuple(gaps)
--- a/packages/fennelfork/src/fennelfork/gather/_refusal.py
+++ b/packages/fennelfork/src/fennelfork/gather/_refusal.py
@@ -4,9 +4,9 @@
 
 from fennelfork._verdict import Failure, FailureCode, Verdict
 from fennelfork.gather._coverage import (
+    CompleteCoverage,
     PartialCoverage,
-    WholeCoverage,
-    allows,
+    accepts_coverage,
     coverage_of,
 )
 from fennelfork.gather._merge import Answer, Merge
@@ -15,9 +15,9 @@
 _RETRY_SHED_MS: Final = 200
 
 
-def is_hopeless(
+def is_unsatisfiable(
     merge: Merge,
-    demand: WholeCoverage | PartialCoverage,
+    demand: CompleteCoverage | PartialCoverage,
 ) -> bool:
     """Tell whether what failed already rules out the coverage demanded.
 
@@ -31,13 +31,13 @@
     """
     if not merge.failures or merge.snapshot_gone:
         return False
-    at_best = coverage_of(merge.whole, merge.hoped, ())
-    return not allows(demand, at_best)
+    at_best = coverage_of(merge.full_range, merge.reachable, ())
+    return not accepts_coverage(demand, at_best)
 
 
 def refusal_of(
     merge: Merge,
-    demand: WholeCoverage | PartialCoverage,
+    demand: CompleteCoverage | PartialCoverage,
 ) -> Failure | None:
     """Judge a query of which nothing more is awaited.
 
@@ -53,13 +53,13 @@
     for failure in merge.failures:
         if failure.code is FailureCode.BAD_REQUEST:
             return failure.with_verdict(merge.verdict)
-    answer = merge.answer()
-    if allows(demand, answer.coverage):
+    answer = merge.build_answer()
+    if accepts_coverage(demand, answer.coverage):
         return None
-    return _uncovered(merge.verdict, answer)
+    return _insufficient_coverage(merge.verdict, answer)
 
 
-def _uncovered(verdict: Verdict, answer: Answer) -> Failure:
+def _insufficient_coverage(verdict: Verdict, answer: Answer) -> Failure:
     coverage = answer.coverage
     reasons = sorted({gap.reason.value for gap in coverage.missing})
     named = ', '.join(reasons)
--- a/packages/fennelfork/src/fennelfork/gather/_reply.py
+++ b/packages/fennelfork/src/fennelfork/gather/_reply.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Expected:
+class ExpectedReply:
     """What a reply must echo to be the answer of a sub-query.
 
     Attributes:
@@ -53,7 +53,7 @@
 
 
 def check_reply(
-    expected: Expected,
+    expected: ExpectedReply,
     reply: Reply,
 ) -> Result[Reply, Failure]:
     """Accept a reply only if it is whole and belongs to the sub-query.
@@ -68,22 +68,24 @@
         order or out of range. Its verdict is `RAN` if the reply is of this
         sub-query, else it is unknown whether this sub-query ran.
     """
-    crossed = _crossing(expected, reply)
+    crossed = _identity_mismatch(expected, reply)
     if crossed:
-        return _bad(Verdict.MAY_HAVE_RUN, crossed)
-    fault = _scope_fault(expected, reply) or _records_fault(expected, reply)
+        return _bad_reply(Verdict.MAY_HAVE_RUN, crossed)
+    fault = _scope_mismatch(expected, reply) or _records_mismatch(
+        expected, reply
+    )
     if fault:
-        return _bad(Verdict.RAN, fault)
+        return _bad_reply(Verdict.RAN, fault)
     return Success(reply)
 
 
-def _bad(verdict: Verdict, detail: str) -> Result[Reply, Failure]:
+def _bad_reply(verdict: Verdict, detail: str) -> Result[Reply, Failure]:
     return Err(
         Failure(code=FailureCode.BAD_REPLY, verdict=verdict, detail=detail),
     )
 
 
-def _crossing(expected: Expected, reply: Reply) -> str:
+def _identity_mismatch(expected: ExpectedReply, reply: Reply) -> str:
     if reply.request_id != expected.request_id:
         return f'crossed: reply of request {reply.request_id}'
     if reply.sub_query != expected.sub_query:
@@ -91,7 +93,7 @@
     return ''
 
 
-def _scope_fault(expected: Expected, reply: Reply) -> str:
+def _scope_mismatch(expected: ExpectedReply, reply: Reply) -> str:
     if reply.snapshot != expected.snapshot:
         return f'snapshot {reply.snapshot}, not {expected.snapshot}'
     if reply.span != expected.span:
@@ -99,7 +101,7 @@
     return ''
 
 
-def _records_fault(expected: Expected, reply: Reply) -> str:
+def _records_mismatch(expected: ExpectedReply, reply: Reply) -> str:
     if len(reply.records) != reply.count:
         return f'{len(reply.records)} records of {reply.count}'
     below = expected.span.lo - 1
--- a/packages/fennelfork/src/fennelfork/gather/_scatter.py
+++ b/packages/fennelfork/src/fennelfork/gather/_scatter.py
@@ -3,13 +3,13 @@
 import attrs
 
 from fennelfork._verdict import Failure
-from fennelfork.gather._merge import Planned
+from fennelfork.gather._merge import PlannedSubQuery
 from fennelfork.gather._partition import ShardView
 from fennelfork.gather._reply import Reply
 
 
 @attrs.frozen(kw_only=True)
-class ScatterOrder:
+class ScatterRequest:
     """The sub-queries of one query that go to one home.
 
     Attributes:
@@ -23,7 +23,7 @@
     request_id: str
     front: str
     snapshot: int
-    planned: tuple[Planned, ...]
+    planned: tuple[PlannedSubQuery, ...]
     query: str
     deadline_ms: float
     tenant: str
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Part:
+class SubQueryOutcome:
     """What came of one sub-query.
 
     Attributes:
@@ -47,7 +47,7 @@
         server: name of the backend server that answered.
     """
 
-    planned: Planned
+    planned: PlannedSubQuery
     reply: Reply | None = None
     failure: Failure | None = None
     hedges: int = 0
@@ -68,7 +68,7 @@
         level: the part of such requests that the home takes.
     """
 
-    parts: tuple[Part, ...]
+    parts: tuple[SubQueryOutcome, ...]
     shards: tuple[ShardView, ...]
     config_version: int
     level: float = 1
--- a/packages/fennelfork/src/fennelfork/home/_admission.py
+++ b/packages/fennelfork/src/fennelfork/home/_admission.py
@@ -13,21 +13,21 @@
 
 _WINDOW_MS: Final = 300.0
 # A rate read sooner than this after the first event says nothing.
-_YOUNGEST_MS: Final = 50.0
-_FORGOTTEN: Final = 0.01
+_MIN_RATE_AGE_MS: Final = 50.0
+_MIN_TRACKED_EVENTS: Final = 0.01
 # Below so many flows none is looked for to be forgotten.
-_FEW_FLOWS: Final = 64
+_MIN_SWEEP_FLOWS: Final = 64
 _HASH_BITS: Final = 64
 _HASH_RANGE: Final = 2**_HASH_BITS
 # Slightly more than the slots can run, so that they never idle; what has
 # queued up for it comes off again.
-_HIGHEST_USE: Final = 1.05
+_TARGET_UTILISATION: Final = 1.05
 # A home lets through somewhat more than its level: roots refuse by the lowest
 # level of all homes, and a part refused by one home wastes those of the others.
-_SLACK: Final = 1.15
+_LEVEL_MARGIN: Final = 1.15
 # A queue may take this part of the time that is left: a burst whose deadlines
 # can be met is no overload.
-_PATIENCE: Final = 0.25
+_MAX_QUEUE_SHARE: Final = 0.25
 _SERVICE_GAIN: Final = 0.02
 _RETRY_MS: Final = 1000
 
@@ -40,7 +40,7 @@
     _at_ms: float
     _count: float = 0
 
-    def note(self, now_ms: float, weight: float) -> None:
+    def record(self, now_ms: float, weight: float) -> None:
         """Count one event, which stands for `weight` of them."""
         self._fade(now_ms)
         self._count += weight
@@ -48,9 +48,9 @@
     def per_ms(self, now_ms: float) -> float:
         """Give the rate of the last window or so."""
         self._fade(now_ms)
-        age_ms = max(_YOUNGEST_MS, now_ms - self._since_ms)
-        seen = 1 - math.exp(-age_ms / _WINDOW_MS)
-        return self._count / (_WINDOW_MS * seen)
+        age_ms = max(_MIN_RATE_AGE_MS, now_ms - self._since_ms)
+        shard_latencies = 1 - math.exp(-age_ms / _WINDOW_MS)
+        return self._count / (_WINDOW_MS * shard_latencies)
 
     def _fade(self, now_ms: float) -> None:
         elapsed_ms = max(0, now_ms - self._at_ms)
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Pressure:
+class LoadEstimate:
     """What stands before a new sub-query at its home.
 
     Attributes:
@@ -71,10 +71,10 @@
     """
 
     slots: int
-    free: int
-    ahead: float
-    least_ms: float
-    left_ms: float
+    free_slots: int
+    queued_ahead: float
+    median_run_ms: float
+    remaining_ms: float
 
 
 @attrs.frozen(kw_only=True)
@@ -101,31 +101,31 @@
     service_ms: float = 0
     _arrivals: dict[Flow, Rate] = attrs.field(factory=dict)
     _levels: dict[Flow, float] = attrs.field(factory=dict)
-    _crowded_until_ms: float = -math.inf
-    _next_sweep: int = _FEW_FLOWS
+    _overloaded_until_ms: float = -math.inf
+    _next_sweep: int = _MIN_SWEEP_FLOWS
 
-    def note_service(self, held_ms: float) -> None:
+    def record_service_time(self, held_ms: float) -> None:
         """Note for how long a slot was held."""
         if self.service_ms == 0:
             self.service_ms = held_ms
         self.service_ms += _SERVICE_GAIN * (held_ms - self.service_ms)
 
-    def wait_ms(self, pressure: Pressure) -> float:
+    def predict_wait_ms(self, load: LoadEstimate) -> float:
         """Predict how long a new sub-query waits for a slot."""
-        if pressure.free > pressure.ahead:
+        if load.free_slots > load.queued_ahead:
             return 0
-        return (pressure.ahead + 1) * self.service_ms / pressure.slots
+        return (load.queued_ahead + 1) * self.service_ms / load.slots
 
     def level(self, flow: Flow, now_ms: float) -> float:
         """Tell which part of a flow's requests is taken at present."""
-        if now_ms >= self._crowded_until_ms:
+        if now_ms >= self._overloaded_until_ms:
             return 1
         return self._levels.get(flow, 1)
 
-    def judge(
+    def admit(
         self,
         arrival: Arrival,
-        pressure: Pressure,
+        load: LoadEstimate,
         now_ms: float,
     ) -> Result[float, Failure]:
         """Decide whether a new sub-query may wait for a slot.
@@ -133,63 +133,71 @@
         Returns:
             The predicted wait, or a refusal that says when to ask again.
         """
-        self._note(arrival, now_ms)
-        wait_ms = self.wait_ms(pressure)
-        patience_ms = max(self.service_ms, _PATIENCE * pressure.left_ms)
-        if 0 < patience_ms <= wait_ms:
-            self._crowded_until_ms = now_ms + _WINDOW_MS
-        if now_ms < self._crowded_until_ms:
-            self._set_levels(pressure, now_ms)
-        if wait_ms + pressure.least_ms > pressure.left_ms:
+        self._record_arrival(arrival, now_ms)
+        wait_ms = self.predict_wait_ms(load)
+        max_wait_ms = max(self.service_ms, _MAX_QUEUE_SHARE * load.remaining_ms)
+        if 0 < max_wait_ms <= wait_ms:
+            self._overloaded_until_ms = now_ms + _WINDOW_MS
+        if now_ms < self._overloaded_until_ms:
+            self._set_levels(load, now_ms)
+        if wait_ms + load.median_run_ms > load.remaining_ms:
             return _refuse(
                 FailureCode.DEADLINE,
                 f'a slot is free in {wait_ms:.0f} ms, the deadline is nearer',
                 wait_ms,
             )
-        limit = _SLACK * self.level(arrival.flow, now_ms)
-        if draw(arrival.request_id) >= limit:
-            return overloaded(arrival.request_id)
+        limit = _LEVEL_MARGIN * self.level(arrival.flow, now_ms)
+        if hash_fraction(arrival.request_id) >= limit:
+            return refuse_overload(arrival.request_id)
         return Success(wait_ms)
 
-    def _note(self, arrival: Arrival, now_ms: float) -> None:
+    def _record_arrival(self, arrival: Arrival, now_ms: float) -> None:
         rate = self._arrivals.get(arrival.flow)
         if rate is None:
             self._sweep(now_ms)
             rate = Rate(since_ms=now_ms, at_ms=now_ms)
             self._arrivals[arrival.flow] = rate
-        rate.note(now_ms, arrival.weight)
+        rate.record(now_ms, arrival.weight)
 
     def _sweep(self, now_ms: float) -> None:
         """Forget flows that went away, each time that they have doubled."""
         if len(self._arrivals) < self._next_sweep:
             return
         self._forget(self._offered(now_ms))
-        self._next_sweep = max(_FEW_FLOWS, 2 * len(self._arrivals))
+        self._next_sweep = max(_MIN_SWEEP_FLOWS, 2 * len(self._arrivals))
 
     def _offered(self, now_ms: float) -> dict[Flow, float]:
         return {
             flow: rate.per_ms(now_ms) for flow, rate in self._arrivals.items()
         }
 
-    def _set_levels(self, pressure: Pressure, now_ms: float) -> None:
+    def _set_levels(self, load: LoadEstimate, now_ms: float) -> None:
         """Work out which part of each flow its fair share can carry."""
         offered = self._offered(now_ms)
-        able = pressure.slots / self.service_ms
-        too_many = max(0, pressure.ahead - able * _PATIENCE * pressure.left_ms)
-        capacity = max(0, _HIGHEST_USE * able - too_many / _WINDOW_MS)
-        granted = fair_rates(offered, self.shares, capacity)
+        capacity_per_ms = load.slots / self.service_ms
+        excess_queued = max(
+            0,
+            load.queued_ahead
+            - capacity_per_ms * _MAX_QUEUE_SHARE * load.remaining_ms,
+        )
+        capacity = max(
+            0,
+            _TARGET_UTILISATION * capacity_per_ms - excess_queued / _WINDOW_MS,
+        )
+        granted_rates = fair_rates(offered, self.shares, capacity)
         self._levels = {
-            flow: granted[flow] / per_ms for flow, per_ms in offered.items()
+            flow: granted_rates[flow] / per_ms
+            for flow, per_ms in offered.items()
         }
         self._forget(offered)
 
     def _forget(self, offered: dict[Flow, float]) -> None:
         for flow, per_ms in offered.items():
-            if per_ms * _WINDOW_MS < _FORGOTTEN:
+            if per_ms * _WINDOW_MS < _MIN_TRACKED_EVENTS:
                 self._arrivals.pop(flow)
 
 
-def draw(request_id: str) -> float:
+def hash_fraction(request_id: str) -> float:
     """Give a request its fixed place between 0 and 1.
 
     Every home draws the same for one request. Under overload all of them so
@@ -199,12 +207,12 @@
     return xxhash.xxh64_intdigest(request_id.encode()) / _HASH_RANGE
 
 
-def overloaded(request_id: str) -> Result[float, Failure]:
+def refuse_overload(request_id: str) -> Result[float, Failure]:
     """Refuse a request that its flow's fair share does not carry."""
     return _refuse(
         FailureCode.SHED,
         'more is offered than this share of the servers can run',
-        _RETRY_MS * (1 + draw(request_id)),
+        _RETRY_MS * (1 + hash_fraction(request_id)),
     )
 
 
--- /dev/null
+++ b/packages/fennelfork/src/fennelfork/home/_attribution.py
@@ -0,0 +1,125 @@
+"""What outcomes say of a server, whatever its endpoints say."""
+
+import functools
+from typing import Final
+
+from fennelfork._verdict import Failure, FailureCode, Verdict
+from fennelfork.home._blackboard import (
+    Attempt,
+    ServerState,
+    ShardBlackboard,
+    Timer,
+)
+from fennelfork.servers._ejection import may_eject
+
+_TAIL: Final = 0.99
+# A health endpoint that lags does not undo a server's own refusal.
+_DRAIN_TRUSTED_MS: Final = 5000.0
+_SUSPECT_CODES: Final = frozenset(
+    (
+        FailureCode.UNREACHABLE,
+        FailureCode.BAD_REPLY,
+        FailureCode.DEADLINE,
+        FailureCode.INTERNAL,
+    )
+)
+
+
+def record_success(blackboard: ShardBlackboard, attempt: Attempt) -> None:
+    """Note a good reply."""
+    record_latency(blackboard, attempt)
+    server = blackboard.servers.get(attempt.server)
+    if server is not None:
+        server.ejection.note_good(server.config.slots)
+        server.consecutive_sheds = 0
+
+
+def record_failure(
+    blackboard: ShardBlackboard, attempt: Attempt, failure: Failure
+) -> None:
+    """Draw from a failure what it says of the server."""
+    server = blackboard.servers.get(attempt.server)
+    if server is None or attempt.cancelled:
+        return
+    if failure.code in _SUSPECT_CODES:
+        _count_failure(blackboard, server)
+        if failure.verdict is Verdict.NOT_RUN:
+            # It took no connection: a fact, no matter of comparison.
+            _eject(blackboard, server)
+        return
+    _apply_refusal(blackboard, server, attempt, failure.code)
+
+
+def record_slow_attempt(blackboard: ShardBlackboard, attempt: Attempt) -> None:
+    """Note a copy that was cancelled because it took too long.
+
+    It took at least this long: without such samples the quantile would
+    drift down, hedge by hedge.
+    """
+    record_latency(blackboard, attempt)
+    server = blackboard.servers.get(attempt.server)
+    if server is not None:
+        _count_failure(blackboard, server)
+
+
+def is_slow(blackboard: ShardBlackboard, attempt: Attempt) -> bool:
+    """Tell whether a copy without a reply is far behind its shard."""
+    if not blackboard.shard_latencies.has_enough_samples:
+        return False
+    elapsed_ms = blackboard.clock.now_ms() - attempt.sent_ms
+    return elapsed_ms > blackboard.shard_latencies.quantile_ms(_TAIL)
+
+
+def record_latency(blackboard: ShardBlackboard, attempt: Attempt) -> None:
+    """Record how long an attempt took, or has taken up to now."""
+    elapsed_ms = blackboard.clock.now_ms() - attempt.sent_ms
+    blackboard.shard_latencies.record(elapsed_ms)
+    server = blackboard.servers.get(attempt.server)
+    if server is not None:
+        server.latency.record(elapsed_ms)
+
+
+def _apply_refusal(
+    blackboard: ShardBlackboard,
+    server: ServerState,
+    attempt: Attempt,
+    code: FailureCode,
+) -> None:
+    """Take a refusing server at its word."""
+    if code is FailureCode.SHED:
+        server.record_shed(
+            blackboard.clock.now_ms(), blackboard.admission.service_ms
+        )
+        blackboard.set_timer(Timer(at_ms=server.overloaded_until_ms))
+    elif code is FailureCode.DRAINING:
+        server.mark_draining_until(
+            blackboard.clock.now_ms() + _DRAIN_TRUSTED_MS
+        )
+    elif code is FailureCode.SNAPSHOT_GONE:
+        server.record_lost_snapshot(attempt.task.snapshot)
+    elif code is FailureCode.NOT_HELD:
+        # Until its health endpoint says again that it holds them.
+        server.snapshots = tuple(
+            held
+            for held in server.snapshots
+            if held.version != attempt.task.snapshot
+        )
+
+
+def _count_failure(blackboard: ShardBlackboard, server: ServerState) -> None:
+    server.ejection.note_bad()
+    is_ejected = functools.partial(
+        _is_server_ejected, blackboard.clock.now_ms()
+    )
+    ejected = sum(map(is_ejected, blackboard.servers.values()))
+    if server.ejection.doubted and may_eject(ejected, len(blackboard.servers)):
+        _eject(blackboard, server)
+
+
+def _eject(blackboard: ShardBlackboard, server: ServerState) -> None:
+    server.ejection.eject(blackboard.clock.now_ms())
+    blackboard.set_timer(Timer(at_ms=server.ejection.ejected_until_ms))
+
+
+def _is_server_ejected(now_ms: float, server: ServerState) -> bool:
+    return server.ejection.ejected(now_ms)
--- a/packages/fennelfork/src/fennelfork/home/_leaving.py
+++ b/packages/fennelfork/src/fennelfork/home/_draining.py
@@ -9,25 +9,25 @@
 from fennelfork.once._target import NamedServer
 
 # A server that came back is used again this long after its last refusal.
-_LEFT_OUT_MS: Final = 30_000
+_EXCLUSION_MS: Final = 30_000
 
 
 @attrs.define(kw_only=True)
-class LeavingServers:
+class DrainingServers:
     """Remembers refusals as draining, which no health endpoint may belie."""
 
     _clock: Clock
     _until_ms: dict[str, float] = attrs.field(factory=dict)
 
-    def note(self, address: str) -> None:
+    def record_refusal(self, address: str) -> None:
         """Take note that the server there refused a request as draining."""
         now_ms = self._clock.now_ms()
         for other, until_ms in tuple(self._until_ms.items()):
             if until_ms <= now_ms:
                 self._until_ms.pop(other)
-        self._until_ms[address] = now_ms + _LEFT_OUT_MS
+        self._until_ms[address] = now_ms + _EXCLUSION_MS
 
-    def without(
+    def exclude_draining(
         self,
         servers: Iterable[NamedServer],
     ) -> tuple[NamedServer, ...]:
@@ -40,6 +40,6 @@
         )
 
 
-def leaving_servers(clock: Clock) -> LeavingServers:
+def draining_servers(clock: Clock) -> DrainingServers:
     """Build an empty memory."""
-    return LeavingServers(clock=clock)
+    return DrainingServers(clock=clock)
--- a/packages/fennelfork/src/fennelfork/home/_fair.py
+++ b/packages/fennelfork/src/fennelfork/home/_fair.py
@@ -48,14 +48,16 @@
         share; what such flows leave is shared by the others.
     """
     granted: dict[Flow, float] = {}
-    left = capacity
-    hungry = sorted(
+    remaining = capacity
+    by_relative_rate = sorted(
         offered, key=lambda flow: offered[flow] / shares.weight(flow)
     )
-    weight_left = sum(shares.weight(flow) for flow in hungry)
-    for flow in hungry:
+    remaining_weight = sum(shares.weight(flow) for flow in by_relative_rate)
+    for flow in by_relative_rate:
         weight = shares.weight(flow)
-        granted[flow] = min(offered[flow], left * weight / weight_left)
-        left -= granted[flow]
-        weight_left -= weight
+        granted[flow] = min(
+            offered[flow], remaining * weight / remaining_weight
+        )
+        remaining -= granted[flow]
+        remaining_weight -= weight
     return granted
--- a/packages/fennelfork/src/fennelfork/home/_gate.py
+++ b/packages/fennelfork/src/fennelfork/home/_gate.py
@@ -7,17 +7,17 @@
 
 from fennelfork._clock import Clock
 from fennelfork._verdict import Failure
-from fennelfork.home._admission import draw, overloaded
+from fennelfork.home._admission import hash_fraction, refuse_overload
 from fennelfork.home._fair import Flow
 
 # A level that no home has confirmed for so long says nothing any more.
-_TRUSTED_MS: Final = 1000.0
+_LEVEL_LIFETIME_MS: Final = 1000.0
 # Below this, so few would get through that nobody learnt of better times.
-_LOWEST: Final = 0.01
+_MIN_LEVEL: Final = 0.01
 
 
 @attrs.frozen(kw_only=True)
-class HomeLevel:
+class AdmissionLevel:
     """Which part of a flow's requests a home takes.
 
     Attributes:
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Told:
+class _ReportedLevel:
     level: float
     at_ms: float
 
@@ -48,31 +48,37 @@
     """
 
     _clock: Clock
-    _told: dict[tuple[str, Flow], dict[str, _Told]] = attrs.field(factory=dict)
+    _reported_levels: dict[tuple[str, Flow], dict[str, _ReportedLevel]] = (
+        attrs.field(factory=dict)
+    )
 
-    def learn(self, told: HomeLevel) -> None:
+    def record_level(self, reported: AdmissionLevel) -> None:
         """Take what a home says; a level of 1 is only forgotten."""
-        levels = self._told.setdefault((told.front, told.flow), {})
-        if told.level < 1:
-            levels[told.home] = _Told(
-                level=told.level,
+        levels = self._reported_levels.setdefault(
+            (reported.front, reported.flow), {}
+        )
+        if reported.level < 1:
+            levels[reported.home] = _ReportedLevel(
+                level=reported.level,
                 at_ms=self._clock.now_ms(),
             )
         else:
-            levels.pop(told.home, None)
+            levels.pop(reported.home, None)
         if not levels:
-            self._told.pop((told.front, told.flow))
+            self._reported_levels.pop((reported.front, reported.flow))
 
     def level(self, front: str, flow: Flow) -> float:
         """Give the part of a flow's requests that is let in."""
-        oldest_ms = self._clock.now_ms() - _TRUSTED_MS
-        levels = self._told.get((front, flow), {})
+        oldest_ms = self._clock.now_ms() - _LEVEL_LIFETIME_MS
+        levels = self._reported_levels.get((front, flow), {})
         trusted = [
-            told.level for told in levels.values() if told.at_ms >= oldest_ms
+            reported.level
+            for reported in levels.values()
+            if reported.at_ms >= oldest_ms
         ]
-        return max(_LOWEST, min(trusted, default=1))
+        return max(_MIN_LEVEL, min(trusted, default=1))
 
-    def judge(
+    def admit(
         self,
         front: str,
         flow: Flow,
@@ -84,8 +90,8 @@
             The level at which it was let in, or a refusal that is `NOT_RUN`.
         """
         level = self.level(front, flow)
-        if draw(request_id) >= level:
-            return overloaded(request_id)
+        if hash_fraction(request_id) >= level:
+            return refuse_overload(request_id)
         return Success(level)
 
 
--- a/packages/fennelfork/src/fennelfork/home/_intake.py
+++ b/packages/fennelfork/src/fennelfork/home/_intake.py
@@ -5,52 +5,63 @@
 from returns.result import Result
 
 from fennelfork._verdict import Failure, FailureCode, not_run
-from fennelfork.home._admission import Arrival, Pressure
-from fennelfork.home._board import Board, Job, Timer
+from fennelfork.home._admission import Arrival, LoadEstimate
+from fennelfork.home._blackboard import Job, ShardBlackboard, Timer
 from fennelfork.home._dispatch import (
+    blocking_reason,
+    eligible_servers,
     free_slots,
-    holders,
-    obstacle,
     usable_slots,
 )
 from fennelfork.home._messages import Action, Task
-from fennelfork.home._outcome import cancel_copies, failed, refuse, requeue
+from fennelfork.home._outcome import (
+    cancel_attempts,
+    enqueue,
+    handle_failure,
+    refuse,
+)
 
 
-def take_in(board: Board, task: Task) -> list[Action]:
+def admit_task(blackboard: ShardBlackboard, task: Task) -> list[Action]:
     """Queue new work, or refuse it if it cannot be met.
 
     Raises:
         ValueError: if the job's name is in use.
     """
-    if task.job in board.jobs:
+    if task.job in blackboard.jobs:
         raise ValueError(f'job {task.job} is offered twice')
-    job = Job(task=task, queued_ms=board.clock.now_ms())
-    board.jobs[task.job] = job
-    judged = _judge(board, task)
-    if not is_successful(judged):
-        return [refuse(board, job, judged.failure())]
-    if judged.unwrap():
-        start_by_ms = task.deadline_ms - board.seen.median_ms
-        board.set_timer(Timer(at_ms=start_by_ms, start_by=True, job=task.job))
-    board.set_timer(Timer(at_ms=task.deadline_ms, job=task.job))
-    return requeue(board, job)
+    job = Job(task=task, queued_ms=blackboard.clock.now_ms())
+    blackboard.jobs[task.job] = job
+    predicted = _predict_wait(blackboard, task)
+    if not is_successful(predicted):
+        return [refuse(blackboard, job, predicted.failure())]
+    if predicted.unwrap():
+        start_by_ms = task.deadline_ms - blackboard.shard_latencies.median_ms
+        blackboard.set_timer(
+            Timer(at_ms=start_by_ms, is_start_deadline=True, job=task.job)
+        )
+    blackboard.set_timer(Timer(at_ms=task.deadline_ms, job=task.job))
+    return enqueue(blackboard, job)
 
 
-def look(board: Board, timer: Timer) -> list[Action]:
+def handle_timer(blackboard: ShardBlackboard, timer: Timer) -> list[Action]:
     """Look at what a timer was set for."""
     if timer.attempt:
-        return _look_at_attempt(board, timer.attempt)
-    job = board.jobs.get(timer.job)
-    if job is None or (timer.start_by and timer.job not in board.queue):
+        return _handle_attempt_timer(blackboard, timer.attempt)
+    job = blackboard.jobs.get(timer.job)
+    if job is None or (
+        timer.is_start_deadline and timer.job not in blackboard.queue
+    ):
         return []
     late = not_run(FailureCode.DEADLINE, 'the deadline cannot be met')
-    cancels = cancel_copies(board, job, lost=False)
-    return [refuse(board, job, late), *cancels]
+    cancels = cancel_attempts(blackboard, job, is_lost=False)
+    return [refuse(blackboard, job, late), *cancels]
 
 
-def _look_at_attempt(board: Board, number: int) -> list[Action]:
-    attempt = board.attempts.get(number)
+def _handle_attempt_timer(
+    blackboard: ShardBlackboard, number: int
+) -> list[Action]:
+    attempt = blackboard.attempts.get(number)
     if attempt is None:
         return []
     if attempt.cancelled:
@@ -58,33 +69,39 @@
             FailureCode.CANCELLED,
             'the server confirms no cancel',
         )
-        return failed(board, number, silent)
-    board.overdue[number] = attempt
+        return handle_failure(blackboard, number, silent)
+    blackboard.overdue[number] = attempt
     return []
 
 
-def _judge(board: Board, task: Task) -> Result[float, Failure]:
+def _predict_wait(
+    blackboard: ShardBlackboard, task: Task
+) -> Result[float, Failure]:
     """Predict the wait of new work, or find a reason to refuse it."""
-    code = obstacle(board, task)
+    code = blocking_reason(blackboard, task)
     if code is not None:
         return Err(not_run(code, 'no server of the shard can run it'))
-    return board.admission.judge(
+    return blackboard.admission.admit(
         Arrival(
             flow=task.flow,
             request_id=task.request_id,
             weight=task.weight,
         ),
-        _pressure(board, task),
-        board.clock.now_ms(),
+        _load_estimate(blackboard, task),
+        blackboard.clock.now_ms(),
     )
 
 
-def _pressure(board: Board, task: Task) -> Pressure:
-    able = list(holders(board, task))
-    return Pressure(
-        slots=max(1, sum(usable_slots(board, server) for server in able)),
-        free=sum(free_slots(board, server) for server in able),
-        ahead=board.queue.ahead_of(task.flow, task.deadline_ms),
-        least_ms=board.seen.median_ms,
-        left_ms=task.deadline_ms - board.clock.now_ms(),
+def _load_estimate(blackboard: ShardBlackboard, task: Task) -> LoadEstimate:
+    eligible = list(eligible_servers(blackboard, task))
+    return LoadEstimate(
+        slots=max(
+            1, sum(usable_slots(blackboard, server) for server in eligible)
+        ),
+        free_slots=sum(free_slots(blackboard, server) for server in eligible),
+        queued_ahead=blackboard.queue.estimate_ahead(
+            task.flow, task.deadline_ms
+        ),
+        median_run_ms=blackboard.shard_latencies.median_ms,
+        remaining_ms=task.deadline_ms - blackboard.clock.now_ms(),
     )
--- a/packages/fennelfork/src/fennelfork/home/_messages.py
+++ b/packages/fennelfork/src/fennelfork/home/_messages.py
@@ -40,7 +40,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ServerFacts:
+class ServerConfig:
     """What the configuration says of one backend server.
 
     Attributes:
@@ -117,7 +117,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Effort:
+class TaskStats:
     """What was done for a piece of work."""
 
     queue_ms: float
@@ -132,7 +132,7 @@
     task: Task
     attempt: int
     server: str
-    effort: Effort
+    stats: TaskStats
 
 
 @attrs.frozen(kw_only=True)
@@ -141,8 +141,8 @@
 
     task: Task
     failure: Failure
-    effort: Effort
+    stats: TaskStats
 
 
 Action = Send | Cancel | TaskAnswered | TaskRefused
-Servers = Mapping[str, ServerFacts]
+Servers = Mapping[str, ServerConfig]
--- a/packages/fennelfork/src/fennelfork/home/_queue.py
+++ b/packages/fennelfork/src/fennelfork/home/_queue.py
@@ -9,7 +9,7 @@
 from fennelfork.home._fair import Flow, Shares
 
 # How many jobs of one flow are looked at when the first finds no server.
-_LOOK_AHEAD: Final = 8
+_LOOK_AHEAD_JOBS: Final = 8
 
 
 @attrs.frozen(kw_only=True, order=True)
@@ -48,7 +48,7 @@
     shares: Shares
     _flows: dict[Flow, _FlowQueue] = attrs.field(factory=dict)
     _entries: dict[str, Entry] = attrs.field(factory=dict)
-    _now: float = 0
+    _virtual_time: float = 0
     _arrivals: int = 0
 
     @property
@@ -82,15 +82,15 @@
         self._flow_queue(flow).entries.add(entry)
         if len(self) <= self.limit:
             return None
-        crowded = max(self._flows.values(), key=_crowding)
-        victim: Entry = crowded.entries[-1]
-        self.remove(victim.job)
-        return victim.job
+        longest = max(self._flows.values(), key=_relative_length)
+        evicted: Entry = longest.entries[-1]
+        self.remove(evicted.job)
+        return evicted.job
 
-    def take(self, job: str) -> None:
+    def dequeue(self, job: str) -> None:
         """Remove a job that got its turn, and move its flow's turn on."""
         flow_queue = self._flows[self._entries[job].flow]
-        self._now = max(self._now, flow_queue.turn)
+        self._virtual_time = max(self._virtual_time, flow_queue.turn)
         flow_queue.turn += 1 / flow_queue.weight
         self.remove(job)
 
@@ -102,18 +102,18 @@
         flow_queue = self._flows[entry.flow]
         flow_queue.entries.remove(entry)
         if not self._entries:
-            self._begin_anew()
-        elif not flow_queue.entries and flow_queue.turn <= self._now:
+            self._reset_flows()
+        elif not flow_queue.entries and flow_queue.turn <= self._virtual_time:
             self._flows.pop(entry.flow)
 
     def in_order(self) -> Iterator[str]:
         """Give jobs in the order of their turns, a few of each flow."""
         turns = sorted(self._flows.values(), key=_turn)
         for flow_queue in turns:
-            for entry in flow_queue.entries[:_LOOK_AHEAD]:
+            for entry in flow_queue.entries[:_LOOK_AHEAD_JOBS]:
                 yield entry.job
 
-    def ahead_of(self, flow: Flow, deadline_ms: float) -> float:
+    def estimate_ahead(self, flow: Flow, deadline_ms: float) -> float:
         """Estimate how many jobs get a slot before a new one would.
 
         Args:
@@ -140,21 +140,23 @@
         )
         return float(before + others)
 
-    def _begin_anew(self) -> None:
+    def _reset_flows(self) -> None:
         """Forget all flows when nothing waits: nobody is behind another.
 
         Callers choose the names of tenants, so they must not add up.
         """
-        self._now = max(found.turn for found in self._flows.values())
+        self._virtual_time = max(found.turn for found in self._flows.values())
         self._flows.clear()
 
     def _flow_queue(self, flow: Flow) -> _FlowQueue:
         found = self._flows.get(flow)
         if found is None:
-            found = _FlowQueue(weight=self.shares.weight(flow), turn=self._now)
+            found = _FlowQueue(
+                weight=self.shares.weight(flow), turn=self._virtual_time
+            )
             self._flows[flow] = found
         elif not found.entries:
-            found.turn = max(found.turn, self._now)
+            found.turn = max(found.turn, self._virtual_time)
         return found
 
 
@@ -162,5 +164,5 @@
     return flow_queue.turn
 
 
-def _crowding(flow_queue: _FlowQueue) -> float:
+def _relative_length(flow_queue: _FlowQueue) -> float:
     return len(flow_queue.entries) / flow_queue.weight
--- a/packages/fennelfork/src/fennelfork/home/_scheduler.py
+++ b/packages/fennelfork/src/fennelfork/home/_scheduler.py
@@ -11,20 +11,20 @@
 
 from fennelfork._clock import Clock
 from fennelfork._verdict import Failure, FailureCode, not_run
-from fennelfork.home._board import Board, board
+from fennelfork.home._blackboard import ShardBlackboard, shard_blackboard
 from fennelfork.home._dispatch import dispatch
 from fennelfork.home._fair import Flow
-from fennelfork.home._intake import look, take_in
+from fennelfork.home._intake import admit_task, handle_timer
 from fennelfork.home._messages import Action, HomeSettings, Task
 from fennelfork.home._outcome import (
-    cancel_copies,
+    cancel_attempts,
     end_attempt,
-    failed,
+    handle_failure,
+    handle_reply,
     refuse,
-    replied,
 )
 from fennelfork.home._servers import HomeServers
-from fennelfork.home._sight import ServerSight, server_sights
+from fennelfork.home._status import ServerStatus, server_statuses
 
 
 @attrs.frozen(kw_only=True)
@@ -36,75 +36,86 @@
     """
 
     servers: HomeServers
-    _board: Board
+    _blackboard: ShardBlackboard
 
     @property
     def next_tick_ms(self) -> float | None:
         """When `tick` has something to do."""
-        return self._board.next_timer_ms
+        return self._blackboard.next_timer_ms
 
     @property
     def queued(self) -> int:
         """How many pieces of work wait for a slot."""
-        return len(self._board.queue)
+        return len(self._blackboard.queue)
 
     @property
     def busy(self) -> int:
         """How many slots are held."""
-        return self._board.slots.total
+        return self._blackboard.slots.total
 
     @property
-    def sights(self) -> tuple[ServerSight, ...]:
+    def server_statuses(self) -> tuple[ServerStatus, ...]:
         """The servers, as operators are shown them."""
-        return server_sights(self._board)
+        return server_statuses(self._blackboard)
 
     def level(self, flow: Flow) -> float:
         """Tell which part of a flow's requests is taken at present."""
-        now_ms = self._board.clock.now_ms()
-        return self._board.admission.level(flow, now_ms)
+        now_ms = self._blackboard.clock.now_ms()
+        return self._blackboard.admission.level(flow, now_ms)
 
-    def offer(self, task: Task) -> list[Action]:
+    def submit(self, task: Task) -> list[Action]:
         """Take in a piece of work, or refuse it at once.
 
         Raises:
             ValueError: if the job's name is in use.
         """
-        return [*take_in(self._board, task), *dispatch(self._board)]
+        return [
+            *admit_task(self._blackboard, task),
+            *dispatch(self._blackboard),
+        ]
 
     def on_reply(self, attempt: int) -> list[Action]:
         """Take the whole and checked reply of an attempt."""
-        return [*replied(self._board, attempt), *dispatch(self._board)]
+        return [
+            *handle_reply(self._blackboard, attempt),
+            *dispatch(self._blackboard),
+        ]
 
     def on_failure(self, attempt: int, failure: Failure) -> list[Action]:
         """Take the failure of an attempt, a reply that lies among them."""
-        return [*failed(self._board, attempt, failure), *dispatch(self._board)]
+        return [
+            *handle_failure(self._blackboard, attempt, failure),
+            *dispatch(self._blackboard),
+        ]
 
     def on_cancelled(self, attempt: int) -> list[Action]:
         """Take a server's word that a cancelled attempt has ended."""
-        end_attempt(self._board, attempt)
-        return dispatch(self._board)
+        end_attempt(self._blackboard, attempt)
+        return dispatch(self._blackboard)
 
     def withdraw(self, job: str) -> list[Action]:
         """End work that nobody waits for any longer."""
-        found = self._board.jobs.get(job)
+        found = self._blackboard.jobs.get(job)
         if found is None:
             return []
-        cancels = cancel_copies(self._board, found, lost=False)
+        cancels = cancel_attempts(self._blackboard, found, is_lost=False)
         gone = not_run(FailureCode.CANCELLED, 'nobody waits for it')
-        refused = refuse(self._board, found, gone)
-        return [refused, *cancels, *dispatch(self._board)]
+        refused = refuse(self._blackboard, found, gone)
+        return [refused, *cancels, *dispatch(self._blackboard)]
 
     def tick(self) -> list[Action]:
         """Do what time calls for."""
         actions: list[Action] = []
-        timer = self._board.due_timer()
+        timer = self._blackboard.pop_due_timer()
         while timer is not None:
-            actions.extend(look(self._board, timer))
-            timer = self._board.due_timer()
-        return [*actions, *dispatch(self._board)]
+            actions.extend(handle_timer(self._blackboard, timer))
+            timer = self._blackboard.pop_due_timer()
+        return [*actions, *dispatch(self._blackboard)]
 
 
 def home_scheduler(clock: Clock, rng: random.Random) -> HomeScheduler:
     """Build the scheduler of a shard that has no servers yet."""
-    state = board(HomeSettings(), clock, rng)
-    return HomeScheduler(board=state, servers=HomeServers(board=state))
+    state = shard_blackboard(HomeSettings(), clock, rng)
+    return HomeScheduler(
+        blackboard=state, servers=HomeServers(blackboard=state)
+    )
--- a/packages/fennelfork/src/fennelfork/home/_slots.py
+++ b/packages/fennelfork/src/fennelfork/home/_slots.py
@@ -23,7 +23,7 @@
         """Tell how many slots of a server are held."""
         return len(self._held.get(server, ()))
 
-    def hold(self, server: str, attempt: int) -> None:
+    def acquire(self, server: str, attempt: int) -> None:
         """Hand out a slot.
 
         Raises:
--- a/packages/fennelfork/src/fennelfork/home/_sight.py
+++ b/packages/fennelfork/src/fennelfork/home/_status.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from fennelfork.home._board import Board, ServerState
+from fennelfork.home._blackboard import ServerState, ShardBlackboard
 
 
 @enum.unique
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ServerSight:
+class ServerStatus:
     """One server at one moment.
 
     Attributes:
@@ -40,31 +40,31 @@
     snapshots: tuple[int, ...]
 
 
-def server_sights(board: Board) -> tuple[ServerSight, ...]:
+def server_statuses(blackboard: ShardBlackboard) -> tuple[ServerStatus, ...]:
     """Show the servers of a shard, by name.
 
     Args:
         board: the state of the shard at its home.
     """
     return tuple(
-        ServerSight(
+        ServerStatus(
             name=name,
-            condition=_condition(server, board.clock.now_ms()),
-            busy=board.slots.busy(name),
+            condition=_condition(server, blackboard.clock.now_ms()),
+            busy=blackboard.slots.busy(name),
             snapshots=tuple(held.version for held in server.snapshots),
         )
-        for name, server in sorted(board.servers.items())
+        for name, server in sorted(blackboard.servers.items())
     )
 
 
 def _condition(server: ServerState, now_ms: float) -> ServerCondition:
-    standing = server.standing
+    ejection = server.ejection
     conditions = (
         (server.draining, ServerCondition.DRAINING),
         (server.leaving, ServerCondition.LEAVING),
-        (standing.ejected(now_ms), ServerCondition.EJECTED),
+        (ejection.ejected(now_ms), ServerCondition.EJECTED),
         (server.cold, ServerCondition.COLD),
-        (standing.returning, ServerCondition.RETURNING),
+        (ejection.in_slow_start, ServerCondition.RETURNING),
     )
     return next(
         (condition for holds, condition in conditions if holds),
--- a/packages/fennelfork/src/fennelfork/servers/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/servers/__init__.pyi
@@ -2,8 +2,8 @@
 
 from ._budget import Budget as Budget
 from ._budget import budget as budget
+from ._connection import ConnectionChoice as ConnectionChoice
 from ._connection import ConnectionLedger as ConnectionLedger
-from ._connection import ConnectionUse as ConnectionUse
 from ._ejection import Standing as Standing
 from ._ejection import may_eject as may_eject
 from ._hedge import FixedHedge as FixedHedge
--- a/packages/fennelfork/src/fennelfork/servers/_connection.py
+++ b/packages/fennelfork/src/fennelfork/servers/_connection.py
@@ -5,8 +5,8 @@
 import attrs
 
 # An idle connection younger than this is used as it is.
-_TRUSTED_IDLE_MS: Final = 1000.0
-_RETIRED_IDLE_MS: Final = 30_000.0
+_PROBE_IDLE_MS: Final = 1000.0
+_MAX_IDLE_MS: Final = 30_000.0
 # A server that turned a connection away holds as many as it may, perhaps of
 # daemons that lost power: it forgets those within seconds. Until it is asked
 # for a further one again, some five calls go by.
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ConnectionUse:
+class ConnectionChoice:
     """What the adapter does for one request.
 
     Attributes:
@@ -43,9 +43,9 @@
     limit: int
     _opened_ms: dict[int, float] = attrs.field(factory=dict)
     _idle_since_ms: dict[int, float] = attrs.field(factory=dict)
-    _distrusted: set[int] = attrs.field(factory=set)
-    _last: int = 0
-    _closed_until_ms: float = 0
+    _invalidated: set[int] = attrs.field(factory=set)
+    _last_connection: int = 0
+    _refused_until_ms: float = 0
 
     @property
     def open(self) -> int:
@@ -53,11 +53,11 @@
         return len(self._opened_ms)
 
     @property
-    def room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether one more request finds a connection."""
         return bool(self._idle_since_ms) or self.open < self.limit
 
-    def use(self, now_ms: float, *, fresh: bool) -> ConnectionUse | None:
+    def use(self, now_ms: float, *, fresh: bool) -> ConnectionChoice | None:
         """Choose the connection of one request.
 
         Args:
@@ -70,17 +70,19 @@
         if self._idle_since_ms and not fresh:
             return self._reuse(now_ms)
         close: tuple[int, ...] = ()
-        if self.open >= self.limit or now_ms < self._closed_until_ms:
+        if self.open >= self.limit or now_ms < self._refused_until_ms:
             if not self._idle_since_ms:
                 return None
             close = (self._forget(next(iter(self._idle_since_ms))),)
-        self._last += 1
-        self._opened_ms[self._last] = now_ms
-        return ConnectionUse(connection=self._last, opened=True, close=close)
+        self._last_connection += 1
+        self._opened_ms[self._last_connection] = now_ms
+        return ConnectionChoice(
+            connection=self._last_connection, opened=True, close=close
+        )
 
     def turned_away(self, now_ms: float) -> None:
         """Note that the server takes no further connection at present."""
-        self._closed_until_ms = now_ms + TURNED_AWAY_MS
+        self._refused_until_ms = now_ms + TURNED_AWAY_MS
 
     def done(self, connection: int, now_ms: float, *, usable: bool) -> bool:
         """Take a connection back after a request.
@@ -93,14 +95,18 @@
         Returns:
             Whether to keep it open.
         """
-        known = connection in self._opened_ms
-        if known and usable and connection not in self._distrusted:
+        has_enough_samples = connection in self._opened_ms
+        if (
+            has_enough_samples
+            and usable
+            and connection not in self._invalidated
+        ):
             self._idle_since_ms[connection] = now_ms
             return True
         self._forget(connection)
         return False
 
-    def silent(self, connection: int) -> tuple[int, ...]:
+    def record_unresponsive(self, connection: int) -> tuple[int, ...]:
         """Note that a connection carries nothing while new ones work.
 
         What lost track of it lost its peers of that age or older too.
@@ -118,37 +124,37 @@
             if other_ms <= opened_ms
         }
         close = {connection} | (peers & self._idle_since_ms.keys())
-        self._distrusted |= peers - close
+        self._invalidated |= peers - close
         return tuple(self._forget(number) for number in sorted(close))
 
-    def distrust_all(self) -> tuple[int, ...]:
+    def invalidate_all(self) -> tuple[int, ...]:
         """Have every connection closed: the idle ones, given here, now."""
         idle = tuple(self._idle_since_ms)
-        self._distrusted |= self._opened_ms.keys() - self._idle_since_ms.keys()
+        self._invalidated |= self._opened_ms.keys() - self._idle_since_ms.keys()
         return tuple(self._forget(number) for number in idle)
 
-    def retire(self, now_ms: float) -> tuple[int, ...]:
+    def evict_idle(self, now_ms: float) -> tuple[int, ...]:
         """Give the connections that idled too long, to be closed."""
         old = [
             number
             for number, since_ms in self._idle_since_ms.items()
-            if now_ms - since_ms >= _RETIRED_IDLE_MS
+            if now_ms - since_ms >= _MAX_IDLE_MS
         ]
         return tuple(self._forget(number) for number in old)
 
-    def _reuse(self, now_ms: float) -> ConnectionUse:
+    def _reuse(self, now_ms: float) -> ConnectionChoice:
         """Take the one that idled least, so that the rest can retire."""
         number, since_ms = self._idle_since_ms.popitem()
         idle_ms = now_ms - since_ms
-        return ConnectionUse(
+        return ConnectionChoice(
             connection=number,
             opened=False,
-            probe=idle_ms > _TRUSTED_IDLE_MS,
+            probe=idle_ms > _PROBE_IDLE_MS,
             idle_ms=idle_ms,
         )
 
     def _forget(self, connection: int) -> int:
         self._opened_ms.pop(connection, None)
         self._idle_since_ms.pop(connection, None)
-        self._distrusted.discard(connection)
+        self._invalidated.discard(connection)
         return connection
--- a/packages/fennelfork/src/fennelfork/servers/_ejection.py
+++ b/packages/fennelfork/src/fennelfork/servers/_ejection.py
@@ -6,9 +6,9 @@
 import attrs
 
 # With a hedge at the 95th percentile, a good server loses one in 25 by chance.
-_BAD_IN_ROW: Final = 5
-_FIRST_EJECTION_MS: Final = 500.0
-_LONGEST_EJECTION_MS: Final = 30_000.0
+_MAX_CONSECUTIVE_FAILURES: Final = 5
+_INITIAL_EJECTION_MS: Final = 500.0
+_MAX_EJECTION_MS: Final = 30_000.0
 _DOUBLE: Final = 2
 
 
@@ -23,19 +23,23 @@
 
     ejected_until_ms: float = -math.inf
     ramp: float = math.inf
-    _bad_in_row: int = 0
+    _consecutive_failures: int = 0
     _ejections: int = 0
 
     @property
-    def returning(self) -> bool:
+    def in_slow_start(self) -> bool:
         """Whether the server still has to prove itself."""
         return self.ramp != math.inf
 
     @property
     def doubted(self) -> bool:
         """Whether one more bad outcome calls for ejection."""
-        limit = 1 if self._ejections and self.returning else _BAD_IN_ROW
-        return self._bad_in_row >= limit
+        limit = (
+            1
+            if self._ejections and self.in_slow_start
+            else _MAX_CONSECUTIVE_FAILURES
+        )
+        return self._consecutive_failures >= limit
 
     def ejected(self, now_ms: float) -> bool:
         """Tell whether the server gets no work now."""
@@ -49,8 +53,8 @@
 
     def note_good(self, slots: int) -> None:
         """Note a good outcome: the ramp doubles until all slots are open."""
-        self._bad_in_row = 0
-        if not self.returning:
+        self._consecutive_failures = 0
+        if not self.in_slow_start:
             return
         self.ramp *= _DOUBLE
         if self.ramp >= slots:
@@ -59,17 +63,17 @@
 
     def note_bad(self) -> None:
         """Note a failure, a lost hedge or a reply that lies."""
-        self._bad_in_row += 1
+        self._consecutive_failures += 1
 
     def eject(self, now_ms: float) -> None:
         """Give the server no work for a while, longer each time in a row."""
-        length_ms = _FIRST_EJECTION_MS * _DOUBLE**self._ejections
-        self.ejected_until_ms = now_ms + min(length_ms, _LONGEST_EJECTION_MS)
+        length_ms = _INITIAL_EJECTION_MS * _DOUBLE**self._ejections
+        self.ejected_until_ms = now_ms + min(length_ms, _MAX_EJECTION_MS)
         self._ejections += 1
-        self._bad_in_row = 0
+        self._consecutive_failures = 0
         self.ramp = 1
 
-    def warm_up(self) -> None:
+    def begin_slow_start(self) -> None:
         """Open the slots of a cold server one step at a time."""
         self.ramp = min(self.ramp, 1)
 
--- a/packages/fennelfork/src/fennelfork/servers/_hedge.py
+++ b/packages/fennelfork/src/fennelfork/servers/_hedge.py
@@ -7,16 +7,16 @@
 from hdrh.histogram import HdrHistogram
 
 _US_PER_MS: Final = 1000
-_HIGHEST_US: Final = 60_000_000
+_MAX_LATENCY_US: Final = 60_000_000
 _DIGITS: Final = 2
 _PERCENT: Final = 100
 _HALF: Final = 0.5
 # A quantile is read again after this many new samples.
-_FRESH_FOR: Final = 128
+_REFRESH_SAMPLES: Final = 128
 # Samples of one window; the answer comes from the last one or two windows.
-_WINDOW: Final = 2000
+_WINDOW_SAMPLES: Final = 2000
 # Fewer samples say too little about a tail.
-_ENOUGH: Final = 50
+_MIN_SAMPLES: Final = 50
 
 
 @attrs.define(kw_only=True)
@@ -26,30 +26,30 @@
     _recent: HdrHistogram
     _older: HdrHistogram
     _count: int = 0
-    _in_window: int = 0
-    _read: dict[float, float] = attrs.field(factory=dict)
+    _window_count: int = 0
+    _cached_quantiles: dict[float, float] = attrs.field(factory=dict)
 
     @property
-    def known(self) -> bool:
+    def has_enough_samples(self) -> bool:
         """Whether there are enough samples to read a quantile."""
-        return self._count >= _ENOUGH
+        return self._count >= _MIN_SAMPLES
 
     @property
     def median_ms(self) -> float:
         """The median, or zero while too little is known."""
-        return self.quantile_ms(_HALF) if self.known else 0
+        return self.quantile_ms(_HALF) if self.has_enough_samples else 0
 
     def record(self, latency_ms: float) -> None:
         """Add one sample."""
         self._recent.record_value(
-            min(_HIGHEST_US, max(1, int(latency_ms * _US_PER_MS))),
+            min(_MAX_LATENCY_US, max(1, int(latency_ms * _US_PER_MS))),
         )
         self._count += 1
-        self._in_window += 1
-        if self._count % _FRESH_FOR == 0:
-            self._read.clear()
-        if self._in_window >= _WINDOW:
-            self._turn()
+        self._window_count += 1
+        if self._count % _REFRESH_SAMPLES == 0:
+            self._cached_quantiles.clear()
+        if self._window_count >= _WINDOW_SAMPLES:
+            self._rotate_windows()
 
     def quantile_ms(self, quantile: float) -> float:
         """Read a quantile, at most a few samples old.
@@ -57,10 +57,10 @@
         Args:
             quantile: between 0 and 1.
         """
-        found = self._read.get(quantile)
+        found = self._cached_quantiles.get(quantile)
         if found is None:
             found = self._compute_ms(quantile)
-            self._read[quantile] = found
+            self._cached_quantiles[quantile] = found
         return found
 
     def _compute_ms(self, quantile: float) -> float:
@@ -74,13 +74,13 @@
         _total, found_us = max(counted, default=(0, 0))
         return float(found_us) / _US_PER_MS
 
-    def _turn(self) -> None:
+    def _rotate_windows(self) -> None:
         oldest = self._older
         oldest.reset()
         self._older = self._recent
         self._recent = oldest
-        self._in_window = 0
-        self._read.clear()
+        self._window_count = 0
+        self._cached_quantiles.clear()
 
 
 @attrs.frozen(kw_only=True)
@@ -117,12 +117,12 @@
 
 
 @functools.singledispatch
-def hedge_delay_ms(policy: object, seen: Latencies) -> float | None:
+def hedge_delay_ms(policy: object, recent: Latencies) -> float | None:
     """Tell how long to wait for a reply before a second copy is sent.
 
     Args:
         policy: the front's policy.
-        seen: recent latencies of the shard.
+        recent: recent latencies of the shard.
 
     Returns:
         The delay, or none if no copy is ever sent.
@@ -134,21 +134,21 @@
 
 
 @hedge_delay_ms.register
-def _no_delay(policy: NoHedge, seen: Latencies) -> None:
+def _no_delay(policy: NoHedge, recent: Latencies) -> None:
     """Never."""
 
 
 @hedge_delay_ms.register
-def _fixed_delay(policy: FixedHedge, seen: Latencies) -> float:
+def _fixed_delay(policy: FixedHedge, recent: Latencies) -> float:
     return policy.delay_ms
 
 
 @hedge_delay_ms.register
-def _quantile_delay(policy: QuantileHedge, seen: Latencies) -> float:
-    if seen.known:
-        return seen.quantile_ms(policy.quantile)
+def _quantile_delay(policy: QuantileHedge, recent: Latencies) -> float:
+    if recent.has_enough_samples:
+        return recent.quantile_ms(policy.quantile)
     return policy.delay_ms
 
 
 def _window() -> HdrHistogram:
-    return HdrHistogram(1, _HIGHEST_US, _DIGITS)
+    return HdrHistogram(1, _MAX_LATENCY_US, _DIGITS)
--- a/packages/fennelfork/src/fennelfork/servers/_rank.py
+++ b/packages/fennelfork/src/fennelfork/servers/_rank.py
@@ -8,7 +8,7 @@
 
 # A sample counts for at most this many times the mean, so that one
 # straggler does not turn the work away from a good server.
-_CLIP: Final = 4
+_MAX_SAMPLE_RATIO: Final = 4
 _GAIN: Final = 0.1
 
 
@@ -29,7 +29,7 @@
         if self.mean_ms == 0:
             self.mean_ms = latency_ms
             return
-        clipped_ms = min(latency_ms, _CLIP * self.mean_ms)
+        clipped_ms = min(latency_ms, _MAX_SAMPLE_RATIO * self.mean_ms)
         self.mean_ms += self.gain * (clipped_ms - self.mean_ms)
 
 
@@ -68,12 +68,12 @@
     """
     return min(
         candidates,
-        key=lambda candidate: (*_order(candidate), rng.random()),
+        key=lambda candidate: (*_rank_key(candidate), rng.random()),
         default=None,
     )
 
 
-def _order(candidate: Candidate) -> tuple[bool, float, float]:
+def _rank_key(candidate: Candidate) -> tuple[bool, float, float]:
     """Prefer one not yet tried, then the earliest expected finish.
 
     A warming server is ranked as if one more sub-query waited there.
