--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_readiness.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_readiness.py
@@ -29,6 +29,6 @@
             reasons.append(f'the platform cannot be read: {platform_failure}')
     if board.local.state is MemberStatus.LEAVING:
         reasons.append('draining: this daemon is about to stop')
-    if board.superseded:
+    if board.is_superseded:
         reasons.append('superseded: a later daemon runs under this name')
     return tuple(reasons)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_stop_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_stop_service.py
@@ -11,7 +11,7 @@
 from fennelfork import (
     Clock,
     GracefulStop,
-    StopFacts,
+    StopConditions,
     StopPhase,
     StopPolicy,
     graceful_stop,
@@ -75,7 +75,7 @@
     @property
     def cut(self) -> int:
         """How many requests the end of the time for a stop has cut."""
-        return self._stop.cut
+        return self._stop.aborted_requests
 
     @property
     def routes(self) -> tuple[Route, ...]:
@@ -84,7 +84,7 @@
 
     def is_leaving(self) -> bool:
         """Tell whether callers should go elsewhere."""
-        return self._stop.is_leaving
+        return self._stop.is_draining
 
     def listen_to_signals(self) -> None:
         """Stop gracefully on SIGTERM or SIGINT, at once on the second."""
@@ -122,7 +122,7 @@
 
     def _step(self, callers: GreenThread) -> StopPhase:
         before = self._stop.phase
-        if self._stop.is_leaving:
+        if self._stop.is_draining:
             self._leave()
         phase = self._stop.step(self._facts(callers))
         if phase is not before:
@@ -130,7 +130,7 @@
                 'stop',
                 phase.value,
                 running=self._in_progress.count,
-                cut=self._stop.cut,
+                cut=self._stop.aborted_requests,
             )
         return phase
 
@@ -140,11 +140,11 @@
         self.on_leave.clear()
         self._members.leave()
 
-    def _facts(self, callers: GreenThread) -> StopFacts:
+    def _facts(self, callers: GreenThread) -> StopConditions:
         answering = 0 if callers.dead else 1
-        return StopFacts(
+        return StopConditions(
             now_ms=self._clock.now_ms(),
-            told=self._members.leave_is_told,
+            announced=self._members.leave_is_told,
             running=max(self._in_progress.count, answering),
         )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -82,7 +82,7 @@
         local=home,
         peers=PeerClient(),
         health=health,
-        doubted=board.doubted,
+        doubted=board.unreachable_peers,
     )
     describer = Describer(
         board=board,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -60,8 +60,8 @@
         """Let the controller move on to now."""
         with self._metrics.processor():
             self._announce_config()
-            while self._board.doubted:
-                self.fleet.on_unreachable(self._board.doubted.pop())
+            while self._board.unreachable_peers:
+                self.fleet.on_unreachable(self._board.unreachable_peers.pop())
             sends = self.fleet.step(self._clock.now_ms())
             self._follow(sends)
 
@@ -136,7 +136,7 @@
     def _publish(self) -> None:
         view = self.fleet.view
         self._board.local = view.me
-        self._board.superseded = view.standing.superseded
+        self._board.is_superseded = view.standing.superseded
         reconfigured = view.table.take_reconfigured()
         if view.table.epoch == self._epoch:
             # The same members: the homes worked out by them stay right.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -135,7 +135,7 @@
         local=home,
         peers=PeerClient(),
         health=health,
-        doubted=board.doubted,
+        doubted=board.unreachable_peers,
     )
     views = ViewCache()
     describer = Describer(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_apply.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_apply.py
@@ -38,7 +38,7 @@
             told_age_ms: since the store last told anything.
         """
         known = tuple(facts)
-        self.board.quarantine.exchange.keep(
+        self.board.quarantine.exchange.reconcile(
             (
                 fact.record.fingerprint
                 for fact in known
@@ -126,14 +126,14 @@
 @_take.register
 def _take_suspicion(fact: SuspicionFact, taker: FactTaker) -> None:
     exchange = taker.board.quarantine.exchange
-    standing = exchange.take(fact.record, fact.revision)
+    standing = exchange.apply_record(fact.record, fact.revision)
     if standing is not None:
         taker.reporter.request_judged(fact.record, standing)
 
 
 @_take.register
 def _take_suspicion_gone(fact: SuspicionGoneFact, taker: FactTaker) -> None:
-    taker.board.quarantine.exchange.drop(fact.fingerprint)
+    taker.board.quarantine.exchange.discard(fact.fingerprint)
 
 
 @_take.register
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_calls.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_calls.py
@@ -12,17 +12,17 @@
 
 from fennelfork import Clock, Failure
 from fennelfork.routes import (
-    Answered,
-    CallEnd,
-    CallRecord,
-    Dropped,
+    AttemptOutcome,
+    AttemptRecord,
+    Inconclusive,
     Pace,
     Selector,
     Send,
-    Silent,
-    end_of_failure,
-    note_end,
-    weigh_reset,
+    Succeeded,
+    Unresponsive,
+    classify_failure,
+    classify_reset,
+    record_outcome,
 )
 from fennelfork_daemon._address import address
 from fennelfork_daemon.backend._liveness import has_ended
@@ -67,7 +67,7 @@
     _fresh: bool
     _tell: Callable[[int, CallOutcome], None]
     _running: dict[int, GreenThread] = attrs.field(factory=dict)
-    _ending: CallEnd = Dropped()
+    _ending: AttemptOutcome = Inconclusive()
 
     def launch(self, sends: list[Send]) -> None:
         """Start calls."""
@@ -79,7 +79,7 @@
     def linger(self) -> None:
         """Let the calls that still run end by themselves, for a while."""
         if self._running:
-            self._ending = Silent()
+            self._ending = Unresponsive()
             eventlet.spawn_after(
                 _LINGER_MS / _MS_PER_SECOND,
                 self.cancel,
@@ -126,18 +126,18 @@
         return response.bind(self._parts.codec.read_answer).alt(self._judged)
 
     def _judged(self, failure: Failure) -> Failure:
-        settled = self._parts.selector.shares.settled
-        return weigh_reset(failure, settled=settled)
+        is_warmed_up = self._parts.selector.shares.settled
+        return classify_reset(failure, is_warmed_up=is_warmed_up)
 
-    def _end_of(self, send: Send, outcome: CallOutcome) -> CallEnd:
+    def _end_of(self, send: Send, outcome: CallOutcome) -> AttemptOutcome:
         if is_successful(outcome):
-            return Answered()
+            return Succeeded()
         left_ms = self._end_ms - send.sent_ms
-        return end_of_failure(outcome.failure(), left_ms)
+        return classify_failure(outcome.failure(), left_ms)
 
-    def _ended(self, send: Send, end: CallEnd) -> None:
+    def _ended(self, send: Send, end: AttemptOutcome) -> None:
         self._running.pop(send.attempt, None)
-        record = CallRecord(
+        record = AttemptRecord(
             send=send,
             now_ms=self._parts.clock.now_ms(),
             pace=self._pace,
@@ -148,7 +148,7 @@
         state = self._parts.selector.states.of(send.server.run)
         before = state.standing.ejected(record.now_ms)
         returning = state.standing.returning
-        note_end(end, record, state)
+        record_outcome(end, record, state)
         if returning and not state.standing.returning:
             self._parts.reporter.back(send)
         if not before and state.standing.ejected(record.now_ms):
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_events_requests.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_events_requests.py
@@ -74,7 +74,7 @@
 
     Attributes:
         fingerprint: of the request.
-        standing: see `RequestStanding`.
+        standing: see `RequestStatus`.
         by: who found it out, this daemon (`own`), `another` or `operator`.
         rounds: servers that it alone was risked on and that ended, apart in
             time.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
@@ -10,9 +10,9 @@
 from fennelfork import Failure, FailureCode, not_run
 from fennelfork.routes import (
     Quarantine,
-    RequestStanding,
+    RequestStatus,
     Send,
-    ServerEnd,
+    ServerCrash,
     Suspicion,
 )
 from fennelfork_daemon.routes._ask import Ask
@@ -49,7 +49,7 @@
         known = self._quarantine.find(fingerprint)
         if known is None:
             return Success(_NOTHING)
-        if not known.lasts or self._may_be_tried(fingerprint, known):
+        if not known.is_durable or self._may_be_tried(fingerprint, known):
             return Success(known.services)
         return Bad(_refusal(known))
 
@@ -57,23 +57,23 @@
         """Note that a server answered a request, and so lives on."""
         if self._quarantine.find(ask.fingerprint) is None:
             return
-        cleared = self._quarantine.note_answer(
+        cleared = self._quarantine.record_response(
             ask.fingerprint,
             send.server.service,
             alone=send.alone,
         )
         if cleared:
-            self._judged(ask.fingerprint, RequestStanding.RELEASED, 'own')
+            self._judged(ask.fingerprint, RequestStatus.RELEASED, 'own')
 
     def note_end(self, send: Send, ask: Ask) -> None:
         """Note that a server ended while it had a request."""
         self._requests.server_ended(send, ask)
-        end = ServerEnd(
+        end = ServerCrash(
             run=send.server.run,
             service=send.server.service,
             alone=send.alone,
         )
-        standing = self._quarantine.note_end(ask.fingerprint, end)
+        standing = self._quarantine.record_crash(ask.fingerprint, end)
         if standing is None:
             self._teller.wake()
         else:
@@ -83,7 +83,7 @@
         """Let a request through again, as an operator says; tell if known."""
         released = self._quarantine.release(fingerprint)
         if released:
-            self._judged(fingerprint, RequestStanding.RELEASED, 'operator')
+            self._judged(fingerprint, RequestStatus.RELEASED, 'operator')
         return released
 
     def _may_be_tried(self, fingerprint: str, known: Suspicion) -> bool:
@@ -95,11 +95,11 @@
         """
         if known.stored is None:
             return False
-        record = known.record(fingerprint)
-        if known.standing is RequestStanding.QUARANTINED:
-            if not self._quarantine.trial_due(fingerprint):
+        record = known.to_record(fingerprint)
+        if known.status is RequestStatus.QUARANTINED:
+            if not self._quarantine.is_trial_due(fingerprint):
                 return False
-            record = known.trial(fingerprint)
+            record = known.to_trial_record(fingerprint)
         claimed = self._store.claim(record, known.stored[1])
         if not is_successful(claimed) or not claimed.unwrap():
             return False
@@ -107,7 +107,7 @@
         return True
 
     def _judged(
-        self, fingerprint: str, standing: RequestStanding, by: str
+        self, fingerprint: str, standing: RequestStatus, by: str
     ) -> None:
         known = self._quarantine.exchange.record_of(fingerprint)
         self._judgements.request_judged(known, standing, by)
@@ -115,8 +115,8 @@
 
 
 def _refusal(known: Suspicion) -> Failure:
-    runs = ', '.join(end.run for end in known.ends)
-    if known.standing is RequestStanding.QUARANTINED:
+    runs = ', '.join(end.run for end in known.crashes)
+    if known.status is RequestStatus.QUARANTINED:
         detail = f'backend servers ended each time that they ran it: {runs}'
         return not_run(FailureCode.QUARANTINED, detail, _TRIAL_MS)
     detail = f'another try of it may end a backend server as before: {runs}'
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
@@ -15,7 +15,7 @@
 )
 from prometheus_client.exposition import CONTENT_TYPE_PLAIN_0_0_4
 
-from fennelfork.routes import Quarantine, RequestStanding, RouteTable
+from fennelfork.routes import Quarantine, RequestStatus, RouteTable
 from fennelfork_daemon.http._router import HttpReply, HttpRequest
 from fennelfork_daemon.metrics._labels import KnownNames
 
@@ -70,8 +70,8 @@
     def follow_quarantine(self, quarantine: Quarantine) -> None:
         """Show how many requests are held for ending servers."""
         for standing in (
-            RequestStanding.SUSPECTED,
-            RequestStanding.QUARANTINED,
+            RequestStatus.SUSPECTED,
+            RequestStatus.QUARANTINED,
         ):
             count = functools.partial(_count, quarantine, standing)
             self._held.labels(standing.value).set_function(count)
@@ -163,8 +163,8 @@
     )
 
 
-def _count(quarantine: Quarantine, standing: RequestStanding) -> int:
-    return sum(one.standing is standing for one in quarantine.records)
+def _count(quarantine: Quarantine, standing: RequestStatus) -> int:
+    return sum(one.status is standing for one in quarantine.records)
 
 
 def _counter(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_operator_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_operator_face.py
@@ -72,9 +72,9 @@
 def _tree(record: SuspicionRecord) -> dict[str, Any]:
     return {
         'fingerprint': record.fingerprint,
-        'standing': record.standing.value,
-        'rounds': record.rounds,
+        'standing': record.status.value,
+        'rounds': record.isolated_crashes,
         'trials': record.trials,
-        'ended_ms': record.ended_ms,
-        'ends': [attrs.asdict(end) for end in record.ends],
+        'ended_ms': record.last_crash_ms,
+        'ends': [attrs.asdict(end) for end in record.crashes],
     }
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
@@ -9,8 +9,8 @@
 from fennelfork.membership import Member
 from fennelfork.routes import (
     BackendServer,
-    News,
     SuspicionRecord,
+    SuspicionUpdates,
     WatchTimes,
 )
 from fennelfork_daemon.backend._call import BackendResponse, ForwardCall
@@ -68,7 +68,7 @@
     def register(self, member: Member, lease: int) -> Result[bool, Failure]:
         """Register this daemon under a lease; false if that has ended."""
 
-    def tell(self, news: News, lease: int) -> Result[bool, Failure]:
+    def tell(self, news: SuspicionUpdates, lease: int) -> Result[bool, Failure]:
         """Tell of requests that ended servers; false if the lease has ended.
 
         What does not last is told under the lease.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
@@ -8,7 +8,7 @@
 
 from fennelfork import Clock
 from fennelfork.routes import (
-    CallEnd,
+    AttemptOutcome,
     ConcurrencyLimit,
     Failed,
     Route,
@@ -65,7 +65,7 @@
     def ejected(
         self,
         send: Send,
-        end: CallEnd,
+        end: AttemptOutcome,
         length_ms: float,
         outstanding: int,
     ) -> None:
@@ -177,7 +177,7 @@
     return zlib.crc32(request_id.encode(errors='replace')) % _SAMPLE == 0
 
 
-def _reason(end: CallEnd) -> str:
+def _reason(end: AttemptOutcome) -> str:
     if isinstance(end, Failed):
         return end.failure.detail
     return 'it answered nothing while it was waited for'
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
@@ -61,9 +61,9 @@
         stop_ms=settings.stop_ms - _STOP_MARGIN_MS,
         announce_ms=_ANNOUNCE_MS,
         # A supervisor may repeat its signal, and kills in the end by itself.
-        asked_twice_ends=False,
+        repeat_forces_end=False,
         # Others name this daemon until they have asked for changes.
-        hear_ms=lambda: follower.pace.extra_gather_ms,
+        propagation_ms=lambda: follower.pace.extra_gather_ms,
     )
     steps = StopLog(log=log)
     return stop_service(policy, clock, registration, in_progress, steps)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
@@ -6,7 +6,7 @@
 from fennelfork.membership import Member
 from fennelfork.routes import (
     BackendServer,
-    RequestStanding,
+    RequestStatus,
     RouteTable,
     SuspicionRecord,
 )
@@ -96,7 +96,7 @@
     def request_judged(
         self,
         record: SuspicionRecord,
-        standing: RequestStanding,
+        standing: RequestStatus,
         by: str = 'another',
     ) -> None:
         """A request that ended servers is treated in another way now."""
@@ -105,9 +105,9 @@
                 fingerprint=record.fingerprint,
                 standing=standing.value,
                 by=by,
-                rounds=record.rounds,
+                rounds=record.isolated_crashes,
                 trials=record.trials,
-                ends=[f'{end.service} {end.run}' for end in record.ends],
+                ends=[f'{end.service} {end.run}' for end in record.crashes],
             ),
         )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_teller.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_teller.py
@@ -65,14 +65,14 @@
     def step(self) -> bool:
         """Tell what is new; tell whether the store took it."""
         lease = self._lease()
-        news = self._exchange.take_news(self._most_weak())
+        news = self._exchange.take_updates(self._most_weak())
         if not news:
             return True
         if lease is not None:
             told = self._store.tell(news, lease)
             if is_successful(told) and told.unwrap():
                 return True
-        self._exchange.tell_again(news)
+        self._exchange.requeue(news)
         self.wake()
         return False
 
@@ -85,7 +85,7 @@
         """Let more come, unless something is urgent."""
         now_ms = self._clock.now_ms()
         until_ms = now_ms + self._rng.uniform(0, self._pace.spread_ms)
-        while now_ms < until_ms and not self._exchange.is_urgent:
+        while now_ms < until_ms and not self._exchange.has_durable_changes:
             self._wait(until_ms - now_ms)
             now_ms = self._clock.now_ms()
 
--- a/packages/fennelfork/src/fennelfork/__init__.py
+++ b/packages/fennelfork/src/fennelfork/__init__.py
@@ -1,8 +1,7 @@
-"""Decisions of the fennelfork query tier, without input or output.
+"""Decision logic of the fennelfork query tier, free of input and output.
 
-The public names stand in `__init__.pyi`. Each is loaded when it is first
-used, so that a daemon holds in memory only the decisions that it takes: all of
-them take 5 MB.
+The public names are listed in `__init__.pyi`. Each name is imported on first
+use, so that a daemon loads only the modules that it needs.
 """
 
 import lazy_loader
--- a/packages/fennelfork/src/fennelfork/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/__init__.pyi
@@ -1,4 +1,4 @@
-"""Decisions of the fennelfork query tier, without input or output."""
+"""Decision logic of the fennelfork query tier, free of input and output."""
 
 from ._blackboard import Blackboard as Blackboard
 from ._blackboard import blackboard as blackboard
@@ -10,7 +10,7 @@
 from ._entries import choose_entries as choose_entries
 from ._entries import nearest_entries as nearest_entries
 from ._stop import GracefulStop as GracefulStop
-from ._stop import StopFacts as StopFacts
+from ._stop import StopConditions as StopConditions
 from ._stop import StopPhase as StopPhase
 from ._stop import StopPolicy as StopPolicy
 from ._stop import graceful_stop as graceful_stop
--- a/packages/fennelfork/src/fennelfork/_clock.py
+++ b/packages/fennelfork/src/fennelfork/_clock.py
@@ -1,4 +1,4 @@
-"""The one clock of the product, in milliseconds."""
+"""Clocks that read milliseconds, replaceable in tests."""
 
 import time
 from collections.abc import Callable
@@ -13,14 +13,14 @@
 class Clock:
     """Reads time in milliseconds since an arbitrary, fixed origin.
 
-    Decision code takes a clock as argument and never asks the system, so that
-    a test moves time by itself.
+    Decision code takes a clock as an argument and never reads the system time,
+    so that a test controls the time.
     """
 
     _read_ms: Callable[[], float]
 
     def now_ms(self) -> float:
-        """Give the current reading.
+        """Return the current time.
 
         Returns:
             Milliseconds since the origin of this clock.
@@ -30,27 +30,31 @@
 
 @attrs.define(kw_only=True)
 class ManualTime:
-    """Time that moves only when told to, for tests and replays."""
+    """Time that advances only on request, for tests and replays.
+
+    Attributes:
+        at_ms: current time.
+    """
 
     at_ms: float = 0
 
     def advance(self, by_ms: float) -> None:
-        """Move the time forward by `by_ms` milliseconds."""
+        """Advance the time by `by_ms` milliseconds."""
         self.at_ms += by_ms
 
 
 def system_clock() -> Clock:
-    """Build a clock over the monotonic time of the system."""
+    """Build a clock that reads the monotonic time of the system."""
     return Clock(read_ms=_monotonic_ms)
 
 
 def wall_clock() -> Clock:
-    """Build a clock of civil time, for records that people read."""
+    """Build a clock that reads the Unix time of the system."""
     return Clock(read_ms=_wall_ms)
 
 
 def manual_clock(manual: ManualTime) -> Clock:
-    """Build a clock that shows the time held by `manual`."""
+    """Build a clock that reads the time of `manual`."""
     return Clock(read_ms=lambda: manual.at_ms)
 
 
--- a/packages/fennelfork/src/fennelfork/_entries.py
+++ b/packages/fennelfork/src/fennelfork/_entries.py
@@ -1,4 +1,4 @@
-"""Which daemons a caller is told to use."""
+"""Selection of the entry daemons that are advertised to a caller."""
 
 import random
 from collections.abc import Iterable
@@ -8,8 +8,8 @@
 
 _SAME_DATA_CENTRE = 0
 _SAME_REGION = 1
-_FAR = 2
-_FEWEST_WITH_SPARE = 2
+_OTHER_REGION = 2
+_MIN_WITH_FALLBACK = 2
 
 
 def choose_entries(
@@ -20,25 +20,25 @@
     salt: str,
     rng: random.Random,
 ) -> tuple[Member, ...]:
-    """Choose the daemons a caller should use, best first.
+    """Choose the daemons that a caller should use, in order of preference.
 
-    The last place goes to another data centre where there is one, so that
-    the answer outlives the loss of the nearest.
+    The last place goes to another data centre if there is one, so that the
+    selection remains usable after the loss of the nearest data centre.
 
     Args:
-        caller_region: where the caller is, empty if unknown.
-        caller_data_centre: where the caller is, empty if unknown.
-        members: what is known of the fleet.
-        count: how many to choose at most.
-        salt: names the caller; the same salt gives the same order while the
-            members stay, so that a caller keeps its connections. If empty,
-            the order within a distance is random.
-        rng: source of that order.
+        caller_region: region of the caller, empty if unknown.
+        caller_data_centre: data centre of the caller, empty if unknown.
+        members: known members of the fleet.
+        count: maximum number of daemons to choose.
+        salt: name of the caller. The same salt gives the same order as long as
+            the members do not change, so that a caller keeps its connections.
+            With an empty salt, members at the same distance are shuffled.
+        rng: random generator for the order of members.
 
     Returns:
-        Alive members, nearest first; those that have no configuration yet
-        only if none has, suspect ones only if no member is alive; never a
-        leaving or dead one.
+        Alive members, the nearest first. Members without a configuration are
+        chosen only if no alive member has one, suspect members only if no
+        member is alive, and leaving or dead members never.
     """
     usable = _usable(members)
     usable.sort(key=lambda member: member.name)
@@ -53,28 +53,28 @@
             caller_data_centre,
         ),
     )
-    return _with_spare(usable, count)
+    return _with_fallback(usable, count)
 
 
 def nearest_entries(
     caller_region: str,
     caller_data_centre: str,
     members: Iterable[Member],
-    most: int,
+    max_count: int,
     rng: random.Random,
 ) -> tuple[Member, ...]:
     """Choose the daemons that a caller may use in any order.
 
-    A caller that draws among them shall not be sent far away, so farther
-    ones are named only where the nearest distance has a single daemon, whose
-    loss would leave the caller with none.
+    A caller that selects a daemon at random should not reach a distant one, so
+    more distant daemons are included only if a single daemon is at the nearest
+    distance and its loss would leave the caller without a daemon.
 
     Args:
-        caller_region: where the caller is, empty if unknown.
-        caller_data_centre: where the caller is, empty if unknown.
-        members: what is known of the fleet.
-        most: how many to choose at most.
-        rng: draws among them if there are more.
+        caller_region: region of the caller, empty if unknown.
+        caller_data_centre: data centre of the caller, empty if unknown.
+        members: known members of the fleet.
+        max_count: maximum number of daemons to choose.
+        rng: random generator for the selection among more daemons.
     """
     by_distance: dict[int, list[Member]] = {}
     for member in _usable(members):
@@ -82,10 +82,10 @@
         by_distance.setdefault(distance, []).append(member)
     chosen: list[Member] = []
     for distance in sorted(by_distance):
-        if len(chosen) < _FEWEST_WITH_SPARE:
+        if len(chosen) < _MIN_WITH_FALLBACK:
             chosen.extend(by_distance[distance])
     rng.shuffle(chosen)
-    return tuple(chosen[:most])
+    return tuple(chosen[:max_count])
 
 
 def _usable(members: Iterable[Member]) -> list[Member]:
@@ -100,18 +100,18 @@
 
 def _distance(member: Member, region: str, data_centre: str) -> int:
     if member.region != region:
-        return _FAR
+        return _OTHER_REGION
     if member.data_centre != data_centre:
         return _SAME_REGION
     return _SAME_DATA_CENTRE
 
 
-def _with_spare(ordered: list[Member], count: int) -> tuple[Member, ...]:
+def _with_fallback(ordered: list[Member], count: int) -> tuple[Member, ...]:
     chosen = ordered[:count]
     centres = {member.data_centre for member in chosen}
-    if count < _FEWEST_WITH_SPARE or len(centres) > 1:
+    if count < _MIN_WITH_FALLBACK or len(centres) > 1:
         return tuple(chosen)
-    spares = [member for member in ordered if member.data_centre not in centres]
-    if spares:
-        chosen[-1] = spares[0]
+    others = [member for member in ordered if member.data_centre not in centres]
+    if others:
+        chosen[-1] = others[0]
     return tuple(chosen)
--- a/packages/fennelfork/src/fennelfork/_stop.py
+++ b/packages/fennelfork/src/fennelfork/_stop.py
@@ -1,4 +1,4 @@
-"""A graceful stop: cut no request, and say so if one had to be cut."""
+"""State machine of the graceful stop of a daemon."""
 
 import enum
 from collections.abc import Callable
@@ -11,13 +11,14 @@
 
 @enum.unique
 class StopPhase(enum.Enum):
-    """How far a daemon's stop has come.
-
-    `SERVING`: no stop is asked for. `ANNOUNCING`: the members are being
-    told. `LINGERING`: all know; callers may still come until the longest
-    `ttl_ms` that was given out has passed. `DRAINED`: nobody should come any
-    more, and no end was asked for yet. `CLOSING`: it listens no more and
-    finishes what runs. `ENDED`: the process may go.
+    """Phase of the stop of a daemon.
+
+    `SERVING`: no stop is requested. `ANNOUNCING`: the members are informed that
+    the daemon leaves. `LINGERING`: all members are informed, and callers may
+    still connect until the longest `ttl_ms` of an entry answer has passed.
+    `DRAINED`: no more callers are expected, and termination is not requested
+    yet. `CLOSING`: the listeners are closed and requests in progress complete.
+    `ENDED`: the process may exit.
     """
 
     SERVING = 'serving'
@@ -28,121 +29,124 @@
     ENDED = 'ended'
 
 
-def _no_longer() -> float:
-    """Tell that others hear of a leave within the margin."""
+def _no_delay() -> float:
+    """Return a propagation delay within the margin."""
     return 0
 
 
 @attrs.frozen(kw_only=True)
 class StopPolicy:
-    """Bounds of a stop.
+    """Time limits of a graceful stop.
 
     Attributes:
-        entry_ttl_ms: how long callers may keep an entry answer.
-        announce_ms: how long telling the members may take.
-        asked_twice_ends: whether to end at once if asked to end again, as a
-            person does who will not wait.
-        stop_ms: the whole stop, after which what runs is cut.
-        hear_ms: gives how long other daemons may take to hear of the leave
-            beyond a margin of half a second, asked when they are told.
+        entry_ttl_ms: time for which callers may cache an entry answer.
+        stop_ms: timeout of the whole stop, after which requests in progress
+            are aborted.
+        announce_ms: timeout of the announcement to the members.
+        repeat_forces_end: whether a second request to terminate
+            aborts the requests in progress, as for an interactive interrupt.
+        propagation_ms: function that returns the time other daemons may need
+            to learn of the leave, beyond a margin of half a second; called
+            when the announcement is complete.
     """
 
     entry_ttl_ms: float
     stop_ms: float
     announce_ms: float = 5000
-    asked_twice_ends: bool = True
-    hear_ms: Callable[[], float] = _no_longer
+    repeat_forces_end: bool = True
+    propagation_ms: Callable[[], float] = _no_delay
 
 
 @attrs.frozen(kw_only=True)
-class StopFacts:
-    """What a stop looks at.
+class StopConditions:
+    """Conditions on which the phase of a stop depends.
 
     Attributes:
-        now_ms: the time.
-        told: whether every member knows of the leave, or does not answer.
-        running: requests in progress.
+        now_ms: current time.
+        announced: whether every member that responds knows of the leave.
+        running: number of requests in progress.
     """
 
     now_ms: float
-    told: bool
+    announced: bool
     running: int
 
 
 @attrs.define(kw_only=True)
 class GracefulStop:
-    """The stop of one daemon.
+    """Graceful stop of one daemon.
 
     Attributes:
-        phase: how far it has come.
-        cut: requests that were in progress when it had to end, else 0.
+        phase: current phase of the stop.
+        aborted_requests: number of requests that were in progress when the
+            stop was forced or timed out.
     """
 
     phase: StopPhase = StopPhase.SERVING
-    cut: int = 0
+    aborted_requests: int = 0
     _policy: StopPolicy
-    _ending: bool = False
+    _end_requested: bool = False
     _forced: bool = False
-    _asked_ms: float = 0
-    _ending_ms: float = 0
-    _quiet_ms: float = 0
+    _announcing_since_ms: float = 0
+    _end_ms: float = 0
+    _linger_until_ms: float = 0
 
     @property
-    def is_leaving(self) -> bool:
-        """Whether the daemon should get no new callers."""
+    def is_draining(self) -> bool:
+        """Whether callers should connect to other daemons."""
         return self.phase is not StopPhase.SERVING
 
     @property
     def exit_status(self) -> int:
-        """What the process should end with: 0 if nothing was cut."""
-        return 1 if self.cut else 0
+        """Exit status of the process: 0 if no request was aborted, else 1."""
+        return 1 if self.aborted_requests else 0
 
     def drain(self, now_ms: float) -> None:
-        """Have callers go elsewhere; the daemon serves on until `end`."""
+        """Start to drain; the daemon serves requests until `end` is called."""
         if self.phase is StopPhase.SERVING:
             self.phase = StopPhase.ANNOUNCING
-            self._asked_ms = now_ms
+            self._announcing_since_ms = now_ms
 
     def end(self, now_ms: float) -> None:
-        """Have the daemon end gracefully; see the policy for asking again."""
+        """Request termination; a second call may force the end."""
         self.drain(now_ms)
-        self._forced = self._ending and self._policy.asked_twice_ends
-        if not self._ending:
-            self._ending = True
-            self._ending_ms = now_ms
-
-    def step(self, facts: StopFacts) -> StopPhase:
-        """Move on as far as the facts allow."""
-        if self._must_end(facts):
+        self._forced = self._end_requested and self._policy.repeat_forces_end
+        if not self._end_requested:
+            self._end_requested = True
+            self._end_ms = now_ms
+
+    def step(self, conditions: StopConditions) -> StopPhase:
+        """Advance the phase as far as the conditions allow."""
+        if self._must_abort(conditions):
             self.phase = StopPhase.ENDED
-            self.cut = facts.running
-        while self._passes(facts):
-            self.phase = _FOLLOWING[self.phase]
+            self.aborted_requests = conditions.running
+        while self._is_phase_over(conditions):
+            self.phase = _NEXT_PHASE[self.phase]
             if self.phase is StopPhase.LINGERING:
                 ttl_ms = self._policy.entry_ttl_ms + _TTL_MARGIN_MS
-                heard_ms = facts.now_ms + self._policy.hear_ms()
-                self._quiet_ms = heard_ms + ttl_ms
+                informed_ms = conditions.now_ms + self._policy.propagation_ms()
+                self._linger_until_ms = informed_ms + ttl_ms
         return self.phase
 
-    def _must_end(self, facts: StopFacts) -> bool:
-        if self.phase is StopPhase.ENDED or not self._ending:
+    def _must_abort(self, conditions: StopConditions) -> bool:
+        if self.phase is StopPhase.ENDED or not self._end_requested:
             return False
-        late = facts.now_ms - self._ending_ms >= self._policy.stop_ms
-        return self._forced or late
+        timed_out = conditions.now_ms - self._end_ms >= self._policy.stop_ms
+        return self._forced or timed_out
 
-    def _passes(self, facts: StopFacts) -> bool:
-        """Tell whether the phase is over."""
+    def _is_phase_over(self, conditions: StopConditions) -> bool:
+        """Return whether the current phase is over."""
         if self.phase is StopPhase.ANNOUNCING:
-            waited_ms = facts.now_ms - self._asked_ms
-            return facts.told or waited_ms >= self._policy.announce_ms
+            waited_ms = conditions.now_ms - self._announcing_since_ms
+            return conditions.announced or waited_ms >= self._policy.announce_ms
         if self.phase is StopPhase.LINGERING:
-            return facts.now_ms >= self._quiet_ms
+            return conditions.now_ms >= self._linger_until_ms
         if self.phase is StopPhase.DRAINED:
-            return self._ending
-        return self.phase is StopPhase.CLOSING and not facts.running
+            return self._end_requested
+        return self.phase is StopPhase.CLOSING and not conditions.running
 
 
-_FOLLOWING: Final = {
+_NEXT_PHASE: Final = {
     StopPhase.ANNOUNCING: StopPhase.LINGERING,
     StopPhase.LINGERING: StopPhase.DRAINED,
     StopPhase.DRAINED: StopPhase.CLOSING,
@@ -151,5 +155,5 @@
 
 
 def graceful_stop(policy: StopPolicy) -> GracefulStop:
-    """Build the stop of a daemon that was not asked to stop."""
+    """Build the stop of a daemon that serves requests."""
     return GracefulStop(policy=policy)
--- a/packages/fennelfork/src/fennelfork/_verdict.py
+++ b/packages/fennelfork/src/fennelfork/_verdict.py
@@ -1,4 +1,4 @@
-"""What is known of whether a request ran, and the error that carries it."""
+"""Failure of a request and the verdict on whether the request ran."""
 
 import enum
 from typing import Self
@@ -15,14 +15,14 @@
     MAY_HAVE_RUN = 'may_have_run'
 
     def join(self, other: 'Verdict') -> 'Verdict':
-        """Give the verdict on two parts of one request.
+        """Combine the verdicts on two parts of one request.
 
         Args:
-            other: the verdict on the other part.
+            other: verdict on the other part.
 
         Returns:
-            `NOT_RUN` only if neither part ran, `RAN` if one surely did,
-            `MAY_HAVE_RUN` otherwise.
+            `NOT_RUN` if neither part ran, `RAN` if either part ran, otherwise
+            `MAY_HAVE_RUN`.
         """
         if self is other:
             return self
@@ -33,7 +33,7 @@
 
 @enum.unique
 class FailureCode(enum.Enum):
-    """Why a request or a part of it failed."""
+    """Reason for the failure of a request or of a part of a request."""
 
     BAD_REQUEST = 'bad_request'
     UNKNOWN_FRONT = 'unknown_front'
@@ -58,15 +58,16 @@
 
 @attrs.frozen(kw_only=True)
 class Failure:
-    """A failed request, with what is known of whether it ran.
+    """Failure of a request.
 
     Attributes:
-        code: why it failed.
-        verdict: whether a backend server may have run it.
-        detail: one sentence for a person.
-        retry_after_ms: when asking again may help; none if it never will.
-        broken_off: whether the connection ended, or was reset, while the
-            answer was awaited.
+        code: reason for the failure.
+        verdict: whether a backend server may have run the request.
+        detail: human-readable explanation in one sentence.
+        retry_after_ms: time after which a retry may succeed, none if a retry
+            is useless.
+        broken_off: whether the connection was closed or reset while the
+            response was pending.
     """
 
     code: FailureCode
@@ -76,7 +77,7 @@
     broken_off: bool = False
 
     def with_verdict(self, verdict: Verdict) -> Self:
-        """Give the same failure under another verdict."""
+        """Return a copy of this failure with another verdict."""
         return attrs.evolve(self, verdict=verdict)
 
 
@@ -85,7 +86,7 @@
     detail: str,
     retry_after_ms: int | None = None,
 ) -> Failure:
-    """Build a failure of which it is certain that nothing ran."""
+    """Build a failure of a request that no backend server ran."""
     return Failure(
         code=code,
         verdict=Verdict.NOT_RUN,
@@ -95,7 +96,7 @@
 
 
 def may_have_run(code: FailureCode, detail: str) -> Failure:
-    """Build a failure of which it is unknown whether something ran."""
+    """Build a failure of a request that a backend server may have run."""
     return Failure(
         code=code,
         verdict=Verdict.MAY_HAVE_RUN,
--- /dev/null
+++ b/packages/fennelfork/src/fennelfork/routes/_attempt_outcome.py
@@ -0,0 +1,158 @@
+"""Effect of the outcome of an attempt on the state of a backend server."""
+
+import functools
+from typing import Final
+
+import attrs
+
+from fennelfork._verdict import Failure, FailureCode, Verdict
+from fennelfork.routes._pace import Pace
+from fennelfork.routes._send import Send
+from fennelfork.routes._server_state import ServerState
+
+
+@attrs.frozen(kw_only=True)
+class Succeeded:
+    """The backend server sent a successful response."""
+
+
+@attrs.frozen(kw_only=True)
+class Failed:
+    """The backend server sent an error or the connection failed.
+
+    Attributes:
+        failure: failure of the attempt.
+    """
+
+    failure: Failure
+
+
+@attrs.frozen(kw_only=True)
+class Unresponsive:
+    """The backend server sent no response before the attempt timed out."""
+
+
+@attrs.frozen(kw_only=True)
+class Inconclusive:
+    """The attempt ended for a reason unrelated to the backend server."""
+
+
+AttemptOutcome = Succeeded | Failed | Unresponsive | Inconclusive
+
+
+# Below this time limit, a connection that is not established in time says
+# nothing about its server, which may be in another region.
+_MIN_CONNECT_MS: Final = 300.0
+
+
+def classify_failure(failure: Failure, left_ms: float) -> AttemptOutcome:
+    """Return the outcome of a failed attempt.
+
+    Args:
+        failure: failure of the attempt.
+        left_ms: time between the start of the attempt and the deadline of the
+            request.
+    """
+    unreached = failure.verdict is Verdict.NOT_RUN
+    hurried = left_ms < _MIN_CONNECT_MS
+    if unreached and hurried and failure.code is FailureCode.UNREACHABLE:
+        return Inconclusive()
+    return Failed(failure=failure)
+
+
+@attrs.frozen(kw_only=True)
+class AttemptRecord:
+    """Completed attempt.
+
+    Attributes:
+        send: attempt as it was sent.
+        now_ms: time at which the attempt ended.
+        pace: latency baseline of the route.
+        nearby: whether the server is close enough for its latency to exclude
+            the network distance.
+    """
+
+    send: Send
+    now_ms: float
+    pace: Pace
+    nearby: bool
+
+    @property
+    def took_ms(self) -> float:
+        """Duration of the attempt."""
+        return self.now_ms - self.send.sent_ms
+
+
+@functools.singledispatch
+def record_outcome(
+    outcome: object,
+    record: AttemptRecord,
+    state: ServerState,
+) -> None:
+    """Record the outcome of an attempt in the state of its server.
+
+    Args:
+        outcome: outcome of the attempt.
+        record: completed attempt.
+        state: state of the backend server.
+
+    Raises:
+        TypeError: if the outcome has an unsupported type.
+    """
+    raise TypeError(f'unsupported outcome of an attempt: {outcome!r}')
+
+
+@record_outcome.register
+def _record_success(
+    outcome: Succeeded,
+    record: AttemptRecord,
+    state: ServerState,
+) -> None:
+    state.record_response(record.send.attempt, record.now_ms)
+    state.standing.note_good(record.send.server.slots)
+    if record.nearby:
+        state.sample(record.took_ms / record.pace.usual_ms, record.now_ms)
+        record.pace.record(record.took_ms)
+
+
+@record_outcome.register
+def _record_failure(
+    outcome: Failed,
+    record: AttemptRecord,
+    state: ServerState,
+) -> None:
+    if outcome.failure.code is FailureCode.QUEUE_FULL:
+        # The request did not reach the server.
+        state.lost(record.send.attempt)
+        state.record_no_connection(record.now_ms)
+        return
+    state.record_response(record.send.attempt, record.now_ms)
+    if outcome.failure.code is FailureCode.SHED:
+        return
+    state.standing.note_bad()
+    unreached = outcome.failure.verdict is Verdict.NOT_RUN
+    if unreached or state.standing.doubted:
+        # No process listens on the address, or the server fails repeatedly.
+        state.standing.eject(record.now_ms)
+
+
+@record_outcome.register
+def _record_timeout(
+    outcome: Unresponsive,
+    record: AttemptRecord,
+    state: ServerState,
+) -> None:
+    state.lost(record.send.attempt)
+    state.sample(record.took_ms / record.pace.usual_ms, record.now_ms)
+    state.standing.note_bad()
+    if state.standing.doubted:
+        state.standing.eject(record.now_ms)
+
+
+@record_outcome.register
+def _record_inconclusive(
+    outcome: Inconclusive,
+    record: AttemptRecord,
+    state: ServerState,
+) -> None:
+    state.lost(record.send.attempt)
--- a/packages/fennelfork/src/fennelfork/routes/_caution.py
+++ b/packages/fennelfork/src/fennelfork/routes/_caution.py
@@ -1,9 +1,9 @@
-"""Which copies of a request wait until another one has been answered.
+"""Limit on the attempts of a request that may be a poison request.
 
-A request that crashes whatever runs it ends a server with each copy. Once one
-copy has broken off, or the request is known to have ended servers before, only
-one further server is risked at a time: if it answers, all other copies may go
-out, and if it ends too, none does.
+A poison request crashes one backend server with each attempt. After the
+connection of an attempt is lost, or if the request is already suspected, only
+one isolated attempt is in flight at a time. A response to the isolated attempt
+lets all deferred attempts proceed; another lost connection stops them.
 """
 
 from collections.abc import Iterable
@@ -16,69 +16,87 @@
 
 
 @attrs.define(kw_only=True)
-class Caution:
-    """The state of one request.
+class AttemptGate:
+    """State that decides which attempts of one request may proceed.
 
     Attributes:
-        suspected: whether the request is known to have ended servers.
-        wary: whether copies are risked one at a time now.
+        is_suspected: whether backend servers crashed during earlier attempts
+            of the request.
+        is_serial: whether attempts are sent one at a time now.
     """
 
-    suspected: bool
-    wary: bool
-    _risked: set[int] = attrs.field(factory=set)
-    _held: list[Leg[Any]] = attrs.field(factory=list)
+    is_suspected: bool
+    is_serial: bool
+    _isolated: set[int] = attrs.field(factory=set)
+    _deferred: list[Leg[Any]] = attrs.field(factory=list)
 
     @property
-    def at_risk(self) -> bool:
-        """Whether a copy is out on whose end the others wait."""
-        return bool(self._risked)
+    def has_isolated_attempt(self) -> bool:
+        """Whether an isolated attempt is in flight."""
+        return bool(self._isolated)
 
-    def risks_any(self, attempts: Iterable[int]) -> bool:
-        """Tell whether one of some copies is out on whose end others wait."""
-        return not self._risked.isdisjoint(attempts)
+    def isolates_any(self, attempts: Iterable[int]) -> bool:
+        """Return whether any of the attempts is an isolated attempt."""
+        return not self._isolated.isdisjoint(attempts)
 
-    def note_sent(self, sends: Iterable[Send]) -> None:
-        """Note copies that go out; the others wait for those sent alone."""
-        self._risked.update(send.attempt for send in sends if send.alone)
+    def record_sent(self, sends: Iterable[Send]) -> None:
+        """Record the isolated attempts among new attempts."""
+        self._isolated.update(send.attempt for send in sends if send.alone)
 
-    def hold(self, leg: Leg[Any]) -> None:
-        """Let a leg wait."""
-        self._held.append(leg)
+    def defer(self, leg: Leg[Any]) -> None:
+        """Defer the next attempt of a sub-request."""
+        self._deferred.append(leg)
 
-    def take_held(self) -> list[Leg[Any]]:
-        """Give the legs that wait, which do not any more."""
-        held = list(self._held)
-        self._held.clear()
-        return held
+    def take_deferred(self) -> list[Leg[Any]]:
+        """Return the deferred sub-requests and clear the list."""
+        deferred = list(self._deferred)
+        self._deferred.clear()
+        return deferred
 
-    def is_cleared_by(self, attempt: int) -> bool:
-        """Note that a copy was answered; tell if all others may go out.
+    def record_response(self, attempt: int) -> bool:
+        """Record the response to an attempt.
 
-        One that nothing was held against is cleared by any answer: it does not
-        end whatever runs it.
+        Any response clears a request that was not suspected from the start. A
+        suspected request is cleared by the response to an isolated attempt.
+
+        Args:
+            attempt: number of the attempt.
+
+        Returns:
+            Whether the response lets all deferred attempts proceed.
         """
-        cleared = self.wary and (not self.suspected or attempt in self._risked)
-        self._risked.discard(attempt)
+        cleared = self.is_serial and (
+            not self.is_suspected or attempt in self._isolated
+        )
+        self._isolated.discard(attempt)
         if cleared:
-            self.wary = False
-            self.suspected = False
-            self._risked.clear()
+            self.is_serial = False
+            self.is_suspected = False
+            self._isolated.clear()
         return cleared
 
-    def is_lost_by(self, attempt: int, *, broken_off: bool) -> bool:
-        """Note that a copy failed; tell if no other one may go out.
+    def record_failure(self, attempt: int, *, broken_off: bool) -> bool:
+        """Record the failure of an attempt.
 
         Args:
-            attempt: which copy.
-            broken_off: whether its server may have ended.
+            attempt: number of the attempt.
+            broken_off: whether the connection was lost, so that the backend
+                server may have crashed.
+
+        Returns:
+            Whether the failure stops all further attempts.
         """
-        was_risked = attempt in self._risked
-        self._risked.discard(attempt)
-        self.wary = self.wary or broken_off
-        return was_risked and broken_off
+        was_isolated = attempt in self._isolated
+        self._isolated.discard(attempt)
+        self.is_serial = self.is_serial or broken_off
+        return was_isolated and broken_off
+
 
+def caution(*, suspected: bool) -> AttemptGate:
+    """Build the gate of a request that has no attempts yet.
 
-def caution(*, suspected: bool) -> Caution:
-    """Build the state of a request that nothing was sent for yet."""
-    return Caution(suspected=suspected, wary=suspected)
+    Args:
+        suspected: whether backend servers crashed during earlier attempts of
+            the request.
+    """
+    return AttemptGate(is_suspected=suspected, is_serial=suspected)
--- a/packages/fennelfork/src/fennelfork/routes/_copies.py
+++ b/packages/fennelfork/src/fennelfork/routes/_copies.py
@@ -1,4 +1,4 @@
-"""Which copies of a request go out, one after the other or all at once."""
+"""Attempts of one request, sent at once or one at a time."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -6,7 +6,7 @@
 import attrs
 
 from fennelfork._verdict import Failure, Verdict
-from fennelfork.routes._caution import Caution
+from fennelfork.routes._caution import AttemptGate
 from fennelfork.routes._leg import Leg
 from fennelfork.routes._send import Send
 from fennelfork.routes._sender import Sender
@@ -14,26 +14,34 @@
 
 @attrs.frozen(kw_only=True)
 class Copies:
-    """The copies of one request, within what its caution allows."""
+    """Sends the attempts of one request that its attempt gate allows."""
 
     _idempotent: bool
     _sender: Sender
-    _caution: Caution
+    _caution: AttemptGate
 
     def first(self, legs: Iterable[Leg[Any]], now_ms: float) -> list[Send]:
-        """Send the first copies: to all services, or to one if in doubt."""
+        """Send the first attempts.
+
+        The first attempts go to all services at once, or to a single service
+        if the request is suspected.
+
+        Args:
+            legs: sub-requests of the request.
+            now_ms: current time.
+        """
         known = list(legs)
         for leg in known:
             self._sender.note_request(leg)
-        if self._caution.wary:
-            return self._risk(known, now_ms)
+        if self._caution.is_serial:
+            return self._send_isolated(known, now_ms)
         return self._send_all(known, now_ms)
 
     def after_answer(self, attempt: int, now_ms: float) -> list[Send]:
-        """Send what waited for the answer to a copy."""
-        if not self._caution.is_cleared_by(attempt):
+        """Send the deferred attempts that a response lets proceed."""
+        if not self._caution.record_response(attempt):
             return []
-        return self._send_all(self._caution.take_held(), now_ms)
+        return self._send_all(self._caution.take_deferred(), now_ms)
 
     def after_failure(
         self,
@@ -44,49 +52,54 @@
         *,
         in_time: bool,
     ) -> list[Send]:
-        """Send another copy, now or once that is safe, if one is allowed.
+        """Send or defer a retry after a failed attempt, if a retry is allowed.
 
         Args:
-            leg: whose copy failed.
-            attempt: which copy.
-            failure: why.
-            now_ms: the time.
-            in_time: whether the request still has time.
+            leg: sub-request of the failed attempt.
+            attempt: number of the failed attempt.
+            failure: failure of the attempt.
+            now_ms: current time.
+            in_time: whether the deadline of the request is in the future.
         """
-        if self._caution.is_lost_by(attempt, broken_off=failure.broken_off):
-            self._give_up(leg, now_ms)
+        if self._caution.record_failure(attempt, broken_off=failure.broken_off):
+            self._abandon_all(leg, now_ms)
             return []
         if leg.part is not None:
             return []
         safe = self._idempotent or failure.verdict is Verdict.NOT_RUN
         allowed = safe and in_time
-        if allowed and not self._caution.wary:
+        if allowed and not self._caution.is_serial:
             return self._send(leg, now_ms)
         if allowed:
-            self._caution.hold(leg)
+            self._caution.defer(leg)
         else:
             leg.abandoned = not leg.running
-        return self._risk_next(now_ms)
+        return self._send_next_deferred(now_ms)
 
     def hedge(self, leg: Leg[Any], now_ms: float) -> list[Send]:
-        """Send a second copy where the first is late.
+        """Send a hedge for a sub-request whose response is late.
+
+        While attempts are sent one at a time, only the isolated attempt is
+        hedged, so that a slow server delays the deferred attempts no longer
+        than the hedge delay.
 
-        While one server at a time is risked, only for the copy that the others
-        wait for: a server that is slow keeps them waiting no longer than that.
+        Args:
+            leg: sub-request whose response is late.
+            now_ms: current time.
         """
         if not self._idempotent:
             return []
-        alone = self._caution.wary
-        if alone and not self._caution.risks_any(leg.running):
+        alone = self._caution.is_serial
+        if alone and not self._caution.isolates_any(leg.running):
             return []
         sends = self._sender.send(leg, now_ms, only_healthy=True, alone=alone)
-        self._caution.note_sent(sends)
+        self._caution.record_sent(sends)
         return sends
 
     def _send(self, leg: Leg[Any], now_ms: float) -> list[Send]:
-        sends = self._sender.send(leg, now_ms, alone=self._caution.wary)
+        sends = self._sender.send(leg, now_ms, alone=self._caution.is_serial)
         leg.abandoned = not sends and not leg.running
-        self._caution.note_sent(sends)
+        self._caution.record_sent(sends)
         return sends
 
     def _send_all(
@@ -96,24 +109,28 @@
     ) -> list[Send]:
         return [send for leg in legs for send in self._send(leg, now_ms)]
 
-    def _risk_next(self, now_ms: float) -> list[Send]:
-        """Send for one of the legs that wait, unless a copy is at risk."""
-        if self._caution.at_risk:
+    def _send_next_deferred(self, now_ms: float) -> list[Send]:
+        """Send one deferred attempt unless an isolated one is in flight."""
+        if self._caution.has_isolated_attempt:
             return []
-        return self._risk(self._caution.take_held(), now_ms)
+        return self._send_isolated(self._caution.take_deferred(), now_ms)
 
-    def _risk(self, legs: Iterable[Leg[Any]], now_ms: float) -> list[Send]:
-        """Send for the first leg that has a server; the others wait."""
+    def _send_isolated(
+        self,
+        legs: Iterable[Leg[Any]],
+        now_ms: float,
+    ) -> list[Send]:
+        """Send for the first sub-request with a server, defer the others."""
         sends: list[Send] = []
         for leg in legs:
             if sends:
-                self._caution.hold(leg)
+                self._caution.defer(leg)
             else:
                 sends = self._send(leg, now_ms)
         return sends
 
-    def _give_up(self, broken: Leg[Any], now_ms: float) -> None:
-        """Send nothing more: the one copy that was risked has broken off."""
-        for leg in (broken, *self._caution.take_held()):
+    def _abandon_all(self, failed: Leg[Any], now_ms: float) -> None:
+        """Abandon the failed and all deferred sub-requests."""
+        for leg in (failed, *self._caution.take_deferred()):
             leg.abandoned = not leg.running
-            leg.denied('no further server is risked', now_ms)
+            leg.denied('no further attempt after a lost connection', now_ms)
--- a/packages/fennelfork/src/fennelfork/routes/_failure.py
+++ b/packages/fennelfork/src/fennelfork/routes/_failure.py
@@ -1,4 +1,4 @@
-"""Why a request without a success failed, in one failure."""
+"""Failure of a request, merged from the failures of its sub-requests."""
 
 import functools
 from collections.abc import Iterable
@@ -9,20 +9,21 @@
 from fennelfork._verdict import Failure, FailureCode, Verdict
 from fennelfork.routes._leg import Leg
 
-# When asking again may help: pauses of a server last some 300 ms, and a
-# caller has to have time left for its own next try.
+# Long enough for most pauses of a backend server to pass, and short enough to
+# leave a caller time for its own retry.
 RETRY_AFTER_MS: Final = 250
 
 
 def failure_of(legs: Iterable[Leg[Any]], *, timed_out: bool) -> Failure:
-    """Join the failures of all parts of a request.
+    """Merge the failures of all sub-requests of a request.
 
     Args:
-        legs: at least one.
-        timed_out: whether the time of the request is over.
+        legs: sub-requests of the request, at least one.
+        timed_out: whether the deadline of the request has passed.
 
     Returns:
-        `NOT_RUN`, with a time to ask again, only if no part may have run.
+        The failure of the request. The verdict is `NOT_RUN`, with a time after
+        which a retry may help, only if no sub-request may have run.
     """
     known = list(legs)
     verdicts = [leg.verdict for leg in known]
@@ -37,21 +38,26 @@
     return failure
 
 
-def weigh_reset(failure: Failure, *, settled: bool) -> Failure:
-    """Judge the reset of a new connection that had carried nothing back.
+def classify_reset(failure: Failure, *, is_warmed_up: bool) -> Failure:
+    """Classify the reset of a new connection before its first response.
 
-    Soon after a start it is the server's limit, which connections of before a
-    loss of power still fill: no arrival, no attempt, no fault of the server, and
-    no sign that it ended. Later, limits are kept, so the server itself resets what it gets:
-    each is paid for as a repeat, and counts against the server.
+    Soon after the start of a daemon, such a reset is attributed to the
+    connection limit of the server, which connections from before a power loss
+    may still fill. The reset then neither counts as an attempt nor as a failure
+    or crash of the server. Later, the reset is attributed to the server, uses
+    the retry budget and counts as a failure of the server.
 
     Args:
-        failure: of a call, perhaps another one.
-        settled: whether the start of this daemon is some seconds ago.
+        failure: failure of an attempt, not necessarily a reset.
+        is_warmed_up: whether the daemon started at least some seconds ago.
+
+    Returns:
+        The failure with the code or the `broken_off` flag adjusted, or the
+        unchanged failure if it is no reset of a new connection.
     """
     may_have_run = failure.verdict is Verdict.MAY_HAVE_RUN
     if not may_have_run or failure.code is not FailureCode.QUEUE_FULL:
         return failure
-    if settled:
+    if is_warmed_up:
         return attrs.evolve(failure, code=FailureCode.UNREACHABLE)
     return attrs.evolve(failure, broken_off=False)
--- a/packages/fennelfork/src/fennelfork/routes/_fingerprint.py
+++ b/packages/fennelfork/src/fennelfork/routes/_fingerprint.py
@@ -1,23 +1,23 @@
-"""What makes two requests the same, whatever their ids are."""
+"""Fingerprints that identify equal requests across request ids."""
 
 import hashlib
 from collections.abc import Iterable
 from typing import Final
 
-# Half of the digest of SHA-256: nobody finds a second request that has it.
+# Half of a SHA-256 digest is still collision-resistant.
 _DIGEST_BYTES: Final = 16
 _LENGTH_BYTES: Final = 8
 
 
 def fingerprint(parts: Iterable[bytes]) -> str:
-    """Name a request by all that decides what its servers do with it.
+    """Return the fingerprint of a request.
 
-    Each part counts with its length, so that no two requests share a name
-    because one has at the end of a part what the other has at the beginning
-    of the next.
+    The length of each part is hashed with the part, so that two requests that
+    split the same bytes differently have different fingerprints.
 
     Args:
-        parts: of the request, always in the same order.
+        parts: parts of the request that determine how backend servers process
+            the request, always in the same order.
 
     Returns:
         32 hexadecimal digits.
--- a/packages/fennelfork/src/fennelfork/routes/_quarantine.py
+++ b/packages/fennelfork/src/fennelfork/routes/_quarantine.py
@@ -1,13 +1,13 @@
-"""Requests under which backend servers ended, by their fingerprints.
-
-A request may crash each server that runs it, and come again at any daemon.
-What is certain of such a request is that no server ever answers it, so one
-answer clears a request, and ends that came together prove nothing: when many
-servers crash for another reason, every request under way has met several of
-them. So a request under suspicion is risked on one server at a time. If two
-such servers end as well, a second or more apart and with no answer between, it
-is refused. That costs an innocent request one answer's time, and a guilty one
-ends few servers after its first try.
+"""Detection and quarantine of poison requests.
+
+A poison request crashes each backend server that runs it, and may arrive at
+any daemon. No server ever responds to a poison request, so a response clears a
+request. Simultaneous crashes prove nothing: when many servers crash for an
+unrelated reason, every request in flight meets several crashes. A suspected
+request is therefore sent to one server at a time, and is refused after two
+isolated crashes that are at least a second apart without a response between
+them. An ordinary request is delayed by one response, and a poison request
+crashes only few servers after its first fan-out.
 """
 
 from typing import Final
@@ -16,29 +16,28 @@
 
 from fennelfork._clock import Clock
 from fennelfork.routes._suspicion import (
-    RequestStanding,
-    ServerEnd,
+    RequestStatus,
+    ServerCrash,
     Suspicion,
     SuspicionRecord,
 )
 from fennelfork.routes._suspicion_exchange import SuspicionExchange
-from fennelfork.routes._suspicion_memory import suspicion_memory
-from fennelfork.routes._suspicion_news import PendingNews
+from fennelfork.routes._suspicion_table import suspicion_table
+from fennelfork.routes._suspicion_updates import PendingUpdates
 
-# Whoever was put into quarantine by mistake is cleared by one trial, once those
-# servers are back that ended together.
-_TRIAL_AFTER_MS: Final = 30_000.0
-# The request or the servers may have been mended. Up to two tries may have
-# reached servers after the third end, before all daemons knew.
-_MOST_TRIALS: Final = 1
+# Leaves crashed servers time to restart before a trial.
+_TRIAL_DELAY_MS: Final = 30_000.0
+# Up to two attempts may have reached servers after the third crash, before all
+# daemons received the update, so the number of trials stays minimal.
+_MAX_TRIALS: Final = 1
 
 
 @attrs.frozen(kw_only=True)
 class Quarantine:
-    """What this daemon knows of requests that ended servers.
+    """Suspicions of one daemon and the rules that quarantine requests.
 
     Attributes:
-        exchange: tells other daemons of it, and takes what they tell.
+        exchange: synchronisation of the suspicions with other daemons.
     """
 
     exchange: SuspicionExchange
@@ -47,88 +46,103 @@
 
     @property
     def records(self) -> tuple[SuspicionRecord, ...]:
-        """All that is known."""
+        """The records of all suspicions of this daemon."""
         return self.exchange.records
 
     def find(self, fingerprint: str) -> Suspicion | None:
-        """Give what is held against a request, if anything."""
-        known = self.exchange.memory.find(fingerprint)
-        if known is None or known.standing is RequestStanding.RELEASED:
+        """Return the suspicion of a request, none if absent or released."""
+        known = self.exchange.table.find(fingerprint)
+        if known is None or known.status is RequestStatus.RELEASED:
             return None
         return known
 
-    def note_end(
-        self, fingerprint: str, end: ServerEnd
-    ) -> RequestStanding | None:
-        """Note the end of a server under a request.
+    def record_crash(
+        self, fingerprint: str, crash: ServerCrash
+    ) -> RequestStatus | None:
+        """Record the crash of a server during an attempt of a request.
+
+        Args:
+            fingerprint: fingerprint of the request.
+            crash: crash of the backend server.
 
         Returns:
-            The standing of the request, if that is another one now.
+            The new status of the request, or none if it did not change.
         """
         known = self.find(fingerprint)
-        before = known.standing if known else None
+        before = known.status if known else None
         if known is None:
-            known = self.exchange.memory.begin(fingerprint)
-        ended_ms = int(self._wall.now_ms())
-        if known.add(end, self._clock.now_ms(), ended_ms):
-            self.exchange.tell(fingerprint)
-        return None if known.standing is before else known.standing
+            known = self.exchange.table.create(fingerprint)
+        crash_ms = int(self._wall.now_ms())
+        if known.add_crash(crash, self._clock.now_ms(), crash_ms):
+            self.exchange.publish(fingerprint)
+        return None if known.status is before else known.status
 
-    def note_answer(
+    def record_response(
         self,
         fingerprint: str,
         service: str,
         *,
         alone: bool,
     ) -> bool:
-        """Note that a service answered a request; tell if that clears it.
+        """Record the response of a service to a request.
 
         Args:
-            fingerprint: of the request.
-            service: whose server answered.
-            alone: whether no other server was risked with it. Such an answer
-                of a service that lost servers clears of all of them.
+            fingerprint: fingerprint of the request.
+            service: service of the backend server that responded.
+            alone: whether the attempt was the only one in flight. Such a
+                response of a service with crashes clears the crashes of all
+                services.
+
+        Returns:
+            Whether the response releases the request.
         """
         known = self.find(fingerprint)
         if known is None:
             return False
         cleared = alone and service in known.services
-        if not (cleared or known.answered_by(service)):
+        if not (cleared or known.record_response(service)):
             return False
         return self.release(fingerprint)
 
     def release(self, fingerprint: str) -> bool:
-        """Hold nothing against a request any more; tell if anything was."""
+        """Release a request.
+
+        Args:
+            fingerprint: fingerprint of the request.
+
+        Returns:
+            Whether the request was suspected or quarantined.
+        """
         known = self.find(fingerprint)
         if known is None:
             return False
-        if known.lasts:
-            # Said and not only removed: who hears of nothing now has to be
-            # able to tell it from what a store forgot.
+        if known.is_durable:
+            # A published release lets other daemons tell a released request
+            # from an entry that the store lost.
             known.release(self._clock.now_ms())
-            self.exchange.tell(fingerprint)
+            self.exchange.publish(fingerprint)
         else:
-            self.exchange.forget(fingerprint)
+            self.exchange.remove(fingerprint)
         return True
 
-    def trial_due(self, fingerprint: str) -> bool:
-        """Tell whether a request in quarantine may be tried once more."""
+    def is_trial_due(self, fingerprint: str) -> bool:
+        """Return whether a quarantined request may be sent as a trial."""
         known = self.find(fingerprint)
-        if known is None or known.trials >= _MOST_TRIALS:
+        if known is None or known.trials >= _MAX_TRIALS:
             return False
-        return self._clock.now_ms() - known.since_ms >= _TRIAL_AFTER_MS
+        return self._clock.now_ms() - known.status_since_ms >= _TRIAL_DELAY_MS
 
 
 def quarantine(clock: Clock, wall: Clock) -> Quarantine:
-    """Build what a daemon knows that starts now: nothing.
+    """Build the quarantine of a daemon without any suspicions.
 
     Args:
-        clock: of the daemon.
-        wall: time of day, for what outlives the daemon.
+        clock: monotonic clock of the daemon.
+        wall: wall clock, for times that outlive the daemon.
     """
     exchange = SuspicionExchange(
-        memory=suspicion_memory(clock, wall),
+        table=suspicion_table(clock, wall),
         clock=clock,
-        pending=PendingNews(),
+        pending=PendingUpdates(),
     )
     return Quarantine(exchange=exchange, clock=clock, wall=wall)
--- a/packages/fennelfork/src/fennelfork/routes/_records.py
+++ b/packages/fennelfork/src/fennelfork/routes/_records.py
@@ -1,23 +1,23 @@
-"""Merging of records of a fixed size, which are compared byte by byte."""
+"""Merge of fixed-size records that are ordered bytewise."""
 
 import heapq
 from collections.abc import Iterable, Iterator
 from typing import Final
 
-# Size of one record; a shorter rest of a part is no record.
+# Size of a record; trailing bytes of a part that are shorter are ignored.
 RECORD_BYTES: Final = 16
 
 
-def greatest(parts: Iterable[bytes], most: int) -> bytes:
-    """Give the greatest records of all parts, the greatest first.
+def greatest(parts: Iterable[bytes], max_records: int) -> bytes:
+    """Return the greatest records of all parts in descending order.
 
     Args:
-        parts: records one after the other, in no order. Equal records all
-            count.
-        most: how many records to give at most.
+        parts: concatenated records in any order. Equal records are not
+            deduplicated.
+        max_records: maximum number of records to return.
     """
     records = (record for part in parts for record in _records(part))
-    return b''.join(heapq.nlargest(most, records))
+    return b''.join(heapq.nlargest(max_records, records))
 
 
 def _records(part: bytes) -> Iterator[bytes]:
--- a/packages/fennelfork/src/fennelfork/routes/_suspicion.py
+++ b/packages/fennelfork/src/fennelfork/routes/_suspicion.py
@@ -1,4 +1,4 @@
-"""What is known of one request under which backend servers ended."""
+"""State that one daemon keeps of a suspected poison request."""
 
 import enum
 import math
@@ -6,24 +6,23 @@
 
 import attrs
 
-# Ends within this time tell the same thing once: servers that crash one after
-# the other for a reason of their own meet many copies of one request.
-_ROUND_MS: Final = 1000.0
-# One round may be chance, as a server may crash for another reason while it has
-# the one copy that was risked; a second one in a row hardly is.
-_ROUNDS: Final = 2
-_ENDS: Final = 3
-# More say nothing new; all daemons hold them.
-_MOST_ENDS: Final = 16
+# Crashes within this time count as one, because servers that crash one after
+# the other for an unrelated reason meet many attempts of the same request.
+_MIN_INTERVAL_MS: Final = 1000.0
+# A single isolated crash may be a coincidence.
+_MIN_ISOLATED_CRASHES: Final = 2
+_MIN_CRASHES: Final = 3
+# Bounds the size of a record, which every daemon holds.
+_MAX_CRASHES: Final = 16
 
 
 @enum.unique
-class RequestStanding(enum.StrEnum):
-    """How a request is treated that ended servers.
+class RequestStatus(enum.StrEnum):
+    """Status of a request during whose attempts backend servers crashed.
 
-    `SUSPECTED`: risked on one server at a time, until one has answered it.
-    `QUARANTINED`: refused. `RELEASED`: like any other again, whoever still
-    holds something against it.
+    `SUSPECTED`: sent to one backend server at a time until a server responds.
+    `QUARANTINED`: refused. `RELEASED`: treated as an ordinary request;
+    overrides the suspicions that other daemons still hold.
     """
 
     SUSPECTED = 'suspected'
@@ -32,15 +31,15 @@
 
 
 @attrs.frozen(kw_only=True)
-class ServerEnd:
-    """The end of a backend server that had a request.
+class ServerCrash:
+    """Crash of a backend server during an attempt of a request.
 
     Attributes:
-        run: of the server.
-        service: that it belonged to.
-        alone: whether the request had ended a server before and so was sent
-            to this one only. Such an end cannot be one of many that have a
-            common cause.
+        run: incarnation of the backend server.
+        service: service of the backend server.
+        alone: whether the request was already suspected and this attempt was
+            the only one in flight. An isolated crash rules out that many
+            servers crashed for a common cause.
     """
 
     run: str
@@ -50,164 +49,198 @@
 
 @attrs.frozen(kw_only=True)
 class SuspicionRecord:
-    """What daemons tell each other of a request.
+    """Suspicion as daemons exchange it through the store.
 
     Attributes:
-        fingerprint: of the request.
-        standing: of it.
-        ends: of servers, the first ones.
-        rounds: how many of them, apart in time, it met alone.
-        trials: how often it was tried since it is in quarantine.
-        ended_ms: time of day of the last end, by the clock of whoever saw it.
+        fingerprint: fingerprint of the request.
+        status: status of the request.
+        crashes: the first crashes during attempts of the request.
+        isolated_crashes: number of isolated crashes, where crashes within one
+            second count once.
+        trials: number of attempts since the request is quarantined.
+        last_crash_ms: time of day of the last crash, by the clock of the
+            daemon that observed the crash.
     """
 
     fingerprint: str
-    standing: RequestStanding
-    ends: tuple[ServerEnd, ...] = ()
-    rounds: int = 0
+    status: RequestStatus
+    crashes: tuple[ServerCrash, ...] = ()
+    isolated_crashes: int = 0
     trials: int = 0
-    ended_ms: int = 0
+    last_crash_ms: int = 0
 
     @property
-    def lasts(self) -> bool:
-        """Whether it matters beyond the life of the daemon that tells it."""
-        return _lasts(self.standing, self.rounds)
+    def is_durable(self) -> bool:
+        """Whether the record outlives the daemon that published it."""
+        return _is_durable(self.status, self.isolated_crashes)
 
 
 @attrs.define(kw_only=True)
 class Suspicion:
-    """What this daemon knows of one request.
+    """State that this daemon keeps of one suspected poison request.
 
     Attributes:
-        standing: how it is treated.
-        rounds: ends that it met alone, apart in time.
-        trials: sends of it since it is in quarantine.
-        since_ms: when this daemon learned its standing.
-        heard_ms: when this daemon last saw or was told of an end.
-        ended_ms: time of day of the last end.
-        stored: what the store holds of it and by which revision, if anything.
-        is_own: whether this daemon told the store of it.
+        status: status of the request.
+        isolated_crashes: number of isolated crashes, where crashes within one
+            second count once.
+        trials: number of attempts since the request is quarantined.
+        status_since_ms: time at which this daemon set the status.
+        updated_ms: time at which this daemon last learned of a crash.
+        last_crash_ms: time of day of the last crash.
+        stored: record in the store and the revision of the entry, none if the
+            store holds no record.
+        is_own: whether this daemon published the record.
     """
 
-    standing: RequestStanding = RequestStanding.SUSPECTED
-    rounds: int = 0
+    status: RequestStatus = RequestStatus.SUSPECTED
+    isolated_crashes: int = 0
     trials: int = 0
-    since_ms: float = 0
-    heard_ms: float = 0
-    ended_ms: int = 0
+    status_since_ms: float = 0
+    updated_ms: float = 0
+    last_crash_ms: int = 0
     stored: tuple[SuspicionRecord, int] | None = None
     is_own: bool = False
-    _ends: dict[str, ServerEnd] = attrs.field(factory=dict)
-    _round_ms: float = -math.inf
+    _crashes: dict[str, ServerCrash] = attrs.field(factory=dict)
+    _isolated_ms: float = -math.inf
 
     @property
-    def ends(self) -> tuple[ServerEnd, ...]:
-        """The ends that nothing speaks against."""
-        return tuple(self._ends.values())
+    def crashes(self) -> tuple[ServerCrash, ...]:
+        """The crashes of services that have not responded since."""
+        return tuple(self._crashes.values())
 
     @property
     def services(self) -> frozenset[str]:
-        """Whose servers ended."""
-        return frozenset(end.service for end in self._ends.values())
+        """The services whose backend servers crashed."""
+        return frozenset(crash.service for crash in self._crashes.values())
 
     @property
-    def lasts(self) -> bool:
-        """Whether what is known matters beyond the life of this daemon."""
-        return _lasts(self.standing, self.rounds)
+    def is_durable(self) -> bool:
+        """Whether the suspicion outlives this daemon."""
+        return _is_durable(self.status, self.isolated_crashes)
 
-    def add(self, end: ServerEnd, now_ms: float, ended_ms: int) -> bool:
-        """Note an end that this daemon saw; tell whether it was new."""
-        if not self._note(end):
+    def add_crash(
+        self,
+        crash: ServerCrash,
+        now_ms: float,
+        crash_ms: int,
+    ) -> bool:
+        """Record a crash that this daemon observed.
+
+        Args:
+            crash: crash of a backend server.
+            now_ms: current time.
+            crash_ms: time of day of the crash, in milliseconds.
+
+        Returns:
+            Whether the crash was not known before.
+        """
+        if not self._insert_crash(crash):
             return False
-        self.heard_ms = now_ms
-        self.ended_ms = max(self.ended_ms, ended_ms)
-        if end.alone and now_ms - self._round_ms >= _ROUND_MS:
-            self._round_ms = now_ms
-            self.rounds += 1
-        self._judge(now_ms)
+        self.updated_ms = now_ms
+        self.last_crash_ms = max(self.last_crash_ms, crash_ms)
+        if crash.alone and now_ms - self._isolated_ms >= _MIN_INTERVAL_MS:
+            self._isolated_ms = now_ms
+            self.isolated_crashes += 1
+        self._update_status(now_ms)
         return True
 
-    def take(
+    def apply_record(
         self,
         record: SuspicionRecord,
         revision: int,
         now_ms: float,
     ) -> None:
-        """Take what the store holds, by which revision.
+        """Merge a record from the store into this suspicion.
+
+        The arrival of a record does not tell when its crashes happened, so
+        only the daemons that observed a crash count isolated crashes. The
+        current time is an upper bound of the time of a crash.
 
-        When an end is heard of says nothing of when it was, so rounds are
-        counted by those alone who saw them. One that is heard of now was not
-        later than now.
+        Args:
+            record: record in the store.
+            revision: revision of the entry in the store.
+            now_ms: current time.
         """
         self.stored = (record, revision)
-        if record.standing is RequestStanding.RELEASED:
+        if record.status is RequestStatus.RELEASED:
             self.release(now_ms)
             return
-        if any([self._note(end) for end in record.ends]):
-            self.heard_ms = now_ms
-        self.ended_ms = max(self.ended_ms, record.ended_ms)
-        if record.rounds > self.rounds:
-            self.rounds = record.rounds
-            self._round_ms = now_ms
+        if any([self._insert_crash(crash) for crash in record.crashes]):
+            self.updated_ms = now_ms
+        self.last_crash_ms = max(self.last_crash_ms, record.last_crash_ms)
+        if record.isolated_crashes > self.isolated_crashes:
+            self.isolated_crashes = record.isolated_crashes
+            self._isolated_ms = now_ms
         self.trials = max(self.trials, record.trials)
-        if record.standing is RequestStanding.QUARANTINED:
-            self._turn(record.standing, now_ms)
-        self._judge(now_ms)
+        if record.status is RequestStatus.QUARANTINED:
+            self._set_status(record.status, now_ms)
+        self._update_status(now_ms)
+
+    def record_response(self, service: str) -> bool:
+        """Remove the crashes of a service that responded to the request.
 
-    def answered_by(self, service: str) -> bool:
-        """Note an answer of a service; tell if nothing is left against it.
+        Args:
+            service: name of the service.
 
-        A request that ends whatever runs it has no answer.
+        Returns:
+            Whether no crashes remain. A poison request never gets a response.
         """
-        for run, end in tuple(self._ends.items()):
-            if end.service == service:
-                self._ends.pop(run)
-        return not self._ends
+        for run, crash in tuple(self._crashes.items()):
+            if crash.service == service:
+                self._crashes.pop(run)
+        return not self._crashes
 
     def release(self, now_ms: float) -> None:
-        """Hold nothing against it any more."""
-        self._ends.clear()
-        self.rounds = 0
-        self.heard_ms = now_ms
-        self._turn(RequestStanding.RELEASED, now_ms)
-
-    def trial(self, fingerprint: str) -> SuspicionRecord:
-        """Give what others are to know while it is tried once more."""
-        known = self.record(fingerprint)
+        """Remove all crashes and set the status to `RELEASED`."""
+        self._crashes.clear()
+        self.isolated_crashes = 0
+        self.updated_ms = now_ms
+        self._set_status(RequestStatus.RELEASED, now_ms)
+
+    def to_trial_record(self, fingerprint: str) -> SuspicionRecord:
+        """Return the record to publish when this daemon claims a trial."""
+        known = self.to_record(fingerprint)
         return attrs.evolve(known, trials=known.trials + 1)
 
-    def record(self, fingerprint: str) -> SuspicionRecord:
-        """Give what to tell other daemons."""
+    def to_record(self, fingerprint: str) -> SuspicionRecord:
+        """Return the record of this suspicion for other daemons."""
         return SuspicionRecord(
             fingerprint=fingerprint,
-            standing=self.standing,
-            ends=self.ends,
-            rounds=self.rounds,
+            status=self.status,
+            crashes=self.crashes,
+            isolated_crashes=self.isolated_crashes,
             trials=self.trials,
-            ended_ms=self.ended_ms,
+            last_crash_ms=self.last_crash_ms,
         )
 
-    def _note(self, end: ServerEnd) -> bool:
-        """Remember an end; tell whether it was new."""
-        if end.run in self._ends:
+    def _insert_crash(self, crash: ServerCrash) -> bool:
+        """Insert a crash and return whether it was not known before."""
+        if crash.run in self._crashes:
             return False
-        self._ends[end.run] = end
-        if len(self._ends) > _MOST_ENDS:
-            # Those that it met alone say most.
-            least = min(self._ends, key=lambda run: self._ends[run].alone)
-            self._ends.pop(least)
+        self._crashes[crash.run] = crash
+        if len(self._crashes) > _MAX_CRASHES:
+            # Isolated crashes are the strongest evidence and are kept.
+            evicted = min(
+                self._crashes,
+                key=lambda run: self._crashes[run].alone,
+            )
+            self._crashes.pop(evicted)
         return True
 
-    def _judge(self, now_ms: float) -> None:
-        if self.rounds >= _ROUNDS and len(self._ends) >= _ENDS:
-            self._turn(RequestStanding.QUARANTINED, now_ms)
+    def _update_status(self, now_ms: float) -> None:
+        """Quarantine the request if enough crashes are known."""
+        if (
+            self.isolated_crashes >= _MIN_ISOLATED_CRASHES
+            and len(self._crashes) >= _MIN_CRASHES
+        ):
+            self._set_status(RequestStatus.QUARANTINED, now_ms)
 
-    def _turn(self, standing: RequestStanding, now_ms: float) -> None:
-        if self.standing is not standing:
-            self.standing = standing
-            self.since_ms = now_ms
+    def _set_status(self, status: RequestStatus, now_ms: float) -> None:
+        if self.status is not status:
+            self.status = status
+            self.status_since_ms = now_ms
 
 
-def _lasts(standing: RequestStanding, rounds: int) -> bool:
-    """Tell whether a request's standing rests on more than one moment."""
-    return rounds > 0 or standing is not RequestStanding.SUSPECTED
+def _is_durable(status: RequestStatus, isolated_crashes: int) -> bool:
+    """Return whether the status rests on more than simultaneous crashes."""
+    return isolated_crashes > 0 or status is not RequestStatus.SUSPECTED
--- a/packages/fennelfork/src/fennelfork/routes/_suspicion_exchange.py
+++ b/packages/fennelfork/src/fennelfork/routes/_suspicion_exchange.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of requests that ended servers."""
+"""Synchronisation of suspicions between daemons through the store."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -7,143 +7,166 @@
 
 from fennelfork._clock import Clock
 from fennelfork.routes._suspicion import (
-    RequestStanding,
+    RequestStatus,
     Suspicion,
     SuspicionRecord,
 )
-from fennelfork.routes._suspicion_memory import WEAK_MS, SuspicionMemory
-from fennelfork.routes._suspicion_news import News, PendingNews
+from fennelfork.routes._suspicion_table import (
+    TRANSIENT_TTL_MS,
+    SuspicionTable,
+)
+from fennelfork.routes._suspicion_updates import (
+    PendingUpdates,
+    SuspicionUpdates,
+)
 
-# Of a request that is not remembered any more.
-_NOTHING_HELD: Final = Suspicion(standing=RequestStanding.RELEASED)
+# Stands for a request that the table no longer contains.
+_NO_SUSPICION: Final = Suspicion(status=RequestStatus.RELEASED)
 
 
 @attrs.frozen(kw_only=True)
 class SuspicionExchange:
-    """Keeps one daemon's memory and what a store holds alike.
+    """Synchronises the suspicions of one daemon with the store.
 
     Attributes:
-        memory: of this daemon.
+        table: suspicions of this daemon.
     """
 
-    memory: SuspicionMemory
+    table: SuspicionTable
     _clock: Clock
-    _pending: PendingNews
+    _pending: PendingUpdates
 
     @property
     def records(self) -> tuple[SuspicionRecord, ...]:
-        """All that is known."""
-        return tuple(map(self.record_of, self.memory))
+        """The records of all suspicions of this daemon."""
+        return tuple(map(self.record_of, self.table))
 
     @property
-    def is_urgent(self) -> bool:
-        """Whether other daemons would act on some of it."""
+    def has_durable_changes(self) -> bool:
+        """Whether a pending change affects the behaviour of other daemons."""
         return any(
-            self.memory[changed].lasts for changed in self._pending.changed
+            self.table[changed].is_durable for changed in self._pending.changed
         )
 
     def record_of(self, fingerprint: str) -> SuspicionRecord:
-        """Give what other daemons are to know of a request."""
-        known = self.memory.find(fingerprint) or _NOTHING_HELD
-        return known.record(fingerprint)
+        """Return the record of a request for other daemons."""
+        known = self.table.find(fingerprint) or _NO_SUSPICION
+        return known.to_record(fingerprint)
 
-    def tell(self, fingerprint: str) -> None:
-        """Have the store told what is known of a request."""
-        self.memory[fingerprint].is_own = True
-        self._pending.note_changed(fingerprint)
+    def publish(self, fingerprint: str) -> None:
+        """Queue the record of a request for publication."""
+        self.table[fingerprint].is_own = True
+        self._pending.mark_changed(fingerprint)
 
-    def forget(self, fingerprint: str) -> None:
-        """Remember a request no longer, neither here nor in the store."""
-        self._forgotten(fingerprint, self.memory.pop(fingerprint))
+    def remove(self, fingerprint: str) -> None:
+        """Remove a suspicion from the table and queue its store removal."""
+        self._queue_removal(fingerprint, self.table.pop(fingerprint))
 
-    def take_news(self, most_weak: int) -> News:
-        """Give what the store is to be told, once.
+    def take_updates(self, max_transient: int) -> SuspicionUpdates:
+        """Return the changes to publish and clear the queue.
 
         Args:
-            most_weak: how many requests may be told of that met ends at one
-                moment only; the others are not told of.
+            max_transient: maximum number of suspicions without an isolated
+                crash to publish; the remaining ones are not published.
         """
-        for fingerprint, known in self.memory.take_outdated():
-            self._forgotten(fingerprint, known)
-        weak = [
+        for fingerprint, known in self.table.evict():
+            self._queue_removal(fingerprint, known)
+        transient = [
             changed
             for changed in self._pending.changed
-            if not self.memory[changed].lasts
+            if not self.table[changed].is_durable
         ]
-        for untold in weak[most_weak:]:
-            self.memory[untold].is_own = False
-            self._pending.forget(untold)
-        return self._pending.take(self.record_of)
-
-    def tell_again(self, news: News) -> None:
-        """Note that the store did not take some news."""
-        for record in news.records:
-            if record.fingerprint in self.memory:
-                self.tell(record.fingerprint)
-        for fingerprint in news.gone:
-            if fingerprint not in self.memory:
-                self._pending.note_gone(fingerprint)
-
-    def take(
+        for unpublished in transient[max_transient:]:
+            self.table[unpublished].is_own = False
+            self._pending.discard(unpublished)
+        return self._pending.take_all(self.record_of)
+
+    def requeue(self, updates: SuspicionUpdates) -> None:
+        """Queue changes again that the store did not accept."""
+        for record in updates.records:
+            if record.fingerprint in self.table:
+                self.publish(record.fingerprint)
+        for fingerprint in updates.removed:
+            if fingerprint not in self.table:
+                self._pending.mark_removed(fingerprint)
+
+    def apply_record(
         self, record: SuspicionRecord, revision: int
-    ) -> RequestStanding | None:
-        """Take what the store holds of a request.
+    ) -> RequestStatus | None:
+        """Merge a record from the store into the table.
+
+        Args:
+            record: record in the store.
+            revision: revision of the entry in the store.
 
         Returns:
-            The standing of the request, if that is another one now.
+            The new status of the request, or none if it did not change.
         """
-        known = self.memory.find(record.fingerprint)
+        known = self.table.find(record.fingerprint)
         if known is not None and known.stored == (record, revision):
             return None
-        before = known.standing if known else None
-        if known is None or RequestStanding.RELEASED in {
+        before = known.status if known else None
+        if known is None or RequestStatus.RELEASED in {
             before,
-            record.standing,
+            record.status,
         }:
-            # The last that was written counts.
-            known = self.memory.begin(record.fingerprint)
-            self._pending.forget(record.fingerprint)
-        known.take(record, revision, self._clock.now_ms())
-        self._compare(known, record)
-        return None if known.standing is before else known.standing
-
-    def drop(self, fingerprint: str) -> bool:
-        """Forget a request that the store holds no more; tell if known."""
-        self._pending.forget(fingerprint)
-        return fingerprint in self.memory and bool(
-            self.memory.pop(fingerprint),
+            # The last write wins when either side is released.
+            known = self.table.create(record.fingerprint)
+            self._pending.discard(record.fingerprint)
+        known.apply_record(record, revision, self._clock.now_ms())
+        self._resolve_conflict(known, record)
+        return None if known.status is before else known.status
+
+    def discard(self, fingerprint: str) -> bool:
+        """Remove a suspicion whose entry was removed from the store.
+
+        Returns:
+            Whether the table contained the suspicion.
+        """
+        self._pending.discard(fingerprint)
+        return fingerprint in self.table and bool(
+            self.table.pop(fingerprint),
         )
 
-    def keep(self, fingerprints: Iterable[str], told_age_ms: float) -> None:
-        """Compare with all that the store holds.
+    def reconcile(
+        self,
+        fingerprints: Iterable[str],
+        last_update_age_ms: float,
+    ) -> None:
+        """Reconcile the table with a listing of the store.
 
-        What it lacks was removed while this daemon heard nothing, or is
-        forgotten by a store that came back from an older copy. A request that
-        was let through again is still there as such for ten minutes, so what
-        is known is younger than that it is told once more.
+        An entry that is missing from the listing was either removed while
+        this daemon received no updates, or lost by a store that was restored
+        from a backup. The store keeps a release for ten minutes, so a durable
+        or own suspicion is published again if the last update is younger.
 
         Args:
-            fingerprints: that the store holds.
-            told_age_ms: since the store last told this daemon anything.
+            fingerprints: fingerprints of the entries in the store.
+            last_update_age_ms: time since the last update from the store.
         """
-        for fingerprint in set(self.memory) - set(fingerprints):
-            known = self.memory[fingerprint]
-            if told_age_ms >= WEAK_MS or not (known.is_own or known.lasts):
-                self.drop(fingerprint)
+        for fingerprint in set(self.table) - set(fingerprints):
+            known = self.table[fingerprint]
+            if last_update_age_ms >= TRANSIENT_TTL_MS or not (
+                known.is_own or known.is_durable
+            ):
+                self.discard(fingerprint)
             else:
                 known.stored = None
-                self.tell(fingerprint)
-
-    def _compare(self, known: Suspicion, told: SuspicionRecord) -> None:
-        """Tell again what is known beyond what the store holds, or nothing."""
-        if known.record(told.fingerprint) == told:
-            self._pending.forget(told.fingerprint)
-        elif known.is_own and known.standing is not told.standing:
-            # Another daemon wrote over it what it had known until then.
-            self.tell(told.fingerprint)
-
-    def _forgotten(self, fingerprint: str, known: Suspicion) -> None:
-        """Have the store forget it too, if this daemon may say so."""
-        self._pending.forget(fingerprint)
-        if known.is_own or known.lasts:
-            self._pending.note_gone(fingerprint)
+                self.publish(fingerprint)
+
+    def _resolve_conflict(
+        self,
+        known: Suspicion,
+        stored: SuspicionRecord,
+    ) -> None:
+        """Publish again if another daemon overwrote the record."""
+        if known.to_record(stored.fingerprint) == stored:
+            self._pending.discard(stored.fingerprint)
+        elif known.is_own and known.status is not stored.status:
+            self.publish(stored.fingerprint)
+
+    def _queue_removal(self, fingerprint: str, known: Suspicion) -> None:
+        """Queue the removal of a store entry that this daemon may remove."""
+        self._pending.discard(fingerprint)
+        if known.is_own or known.is_durable:
+            self._pending.mark_removed(fingerprint)
--- /dev/null
+++ b/packages/fennelfork/tests/test_routes_attempt_outcome.py
@@ -0,0 +1,92 @@
+"""Effect of the outcome of an attempt on the state of its server."""
+
+import pytest
+from core_builders_routes import (
+    AIM_MS,
+    BROKEN,
+    NO_CONNECTION,
+    SHED,
+    UNREACHED,
+    server,
+)
+
+from fennelfork.routes import (
+    AttemptOutcome,
+    AttemptRecord,
+    Failed,
+    Inconclusive,
+    Send,
+    ServerState,
+    Succeeded,
+    Unresponsive,
+    classify_failure,
+    pace,
+    record_outcome,
+)
+
+_SEND = Send(
+    attempt=1,
+    server=server('archive', 'here'),
+    repeat=False,
+    sent_ms=0,
+)
+
+
+class TestRecordOutcome:
+    """Ejection and latency after the outcomes of attempts."""
+
+    @pytest.mark.parametrize(
+        ('outcome', 'ejected'),
+        [
+            (Failed(failure=UNREACHED), True),
+            (Failed(failure=BROKEN), False),
+            (Failed(failure=SHED), False),
+            (Failed(failure=NO_CONNECTION), False),
+            (Unresponsive(), False),
+            (Inconclusive(), False),
+            (Succeeded(), False),
+        ],
+    )
+    def test_first_failure(
+        self, outcome: AttemptOutcome, ejected: bool
+    ) -> None:
+        """Only a refused connection ejects a server at once."""
+        state = _state_after(outcome, 1)
+        assert state.standing.ejected(101) is ejected
+        assert state.outstanding == 0
+
+    @pytest.mark.parametrize(
+        'outcome', [Failed(failure=BROKEN), Unresponsive()]
+    )
+    def test_repeated_failure(self, outcome: AttemptOutcome) -> None:
+        """Five consecutive failures eject a server."""
+        assert _state_after(outcome, 5).standing.ejected(101)
+
+    @pytest.mark.parametrize('outcome', [Failed(failure=SHED), Inconclusive()])
+    def test_not_attributed_to_server(self, outcome: AttemptOutcome) -> None:
+        """Load shedding and inconclusive attempts never eject a server."""
+        assert not _state_after(outcome, 50).standing.ejected(101)
+
+    def test_timeout_raises_latency(self) -> None:
+        """A server that does not respond in time counts as slow."""
+        assert _state_after(Unresponsive(), 1).slowness(100) > 1
+
+    def test_short_time_limit(self) -> None:
+        """A connection with too little time to open is inconclusive."""
+        assert classify_failure(UNREACHED, 1) == Inconclusive()
+        assert classify_failure(UNREACHED, 1000) == Failed(failure=UNREACHED)
+        assert classify_failure(BROKEN, 1) == Failed(failure=BROKEN)
+
+
+def _state_after(outcome: AttemptOutcome, times: int) -> ServerState:
+    state = ServerState()
+    record = AttemptRecord(
+        send=_SEND,
+        now_ms=100,
+        pace=pace(AIM_MS),
+        nearby=True,
+    )
+    for _ in range(times):
+        state.sent(1, 0)
+        record_outcome(outcome, record, state)
+    return state
