--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_call.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_call.py
@@ -15,13 +15,13 @@
 
 _HEADERS: Final = {'Content-Type': 'application/json'}
 # The library adds these of its own accord unless told not to.
-_UNWANTED: Final = ('Accept-Encoding', 'User-Agent')
+_OMITTED_HEADERS: Final = ('Accept-Encoding', 'User-Agent')
 
 HeaderPairs = tuple[tuple[str, str], ...]
 
 
 @attrs.frozen(kw_only=True)
-class BackendCall:
+class JsonRequest:
     """One call of a backend server.
 
     Attributes:
@@ -47,14 +47,14 @@
 
     def header(self, name: str) -> str | None:
         """Give the first header of a name, whatever its case."""
-        wanted = name.lower()
-        for found, text in self.headers:
-            if found.lower() == wanted:
+        name_lower = name.lower()
+        for header_name, text in self.headers:
+            if header_name.lower() == name_lower:
                 return text
         return None
 
 
-def _anything(response: BackendResponse) -> Result[BackendResponse, Failure]:
+def _accept_any(response: BackendResponse) -> Result[BackendResponse, Failure]:
     return Success(response)
 
 
@@ -82,44 +82,44 @@
     connect_ms: float
     fresh: bool = False
     check: Callable[[BackendResponse], Result[BackendResponse, Failure]] = (
-        _anything
+        _accept_any
     )
 
 
-Call = BackendCall | ForwardCall
+AnyRequest = JsonRequest | ForwardCall
 
 
 @functools.singledispatch
-def send_call(call: Any, http: HTTPConnection) -> None:
+def send_request(request: Any, http: HTTPConnection) -> None:
     """Send a call.
 
     Raises:
         TypeError: for a call of another type.
     """
-    raise TypeError(f'not a call: {call!r}')
+    raise TypeError(f'not a call: {request!r}')
 
 
-@send_call.register
-def _send_json(call: BackendCall, http: HTTPConnection) -> None:
-    has_body = call.body is not None
+@send_request.register
+def _send_json(request: JsonRequest, http: HTTPConnection) -> None:
+    has_body = request.body is not None
     http.request(
         'POST' if has_body else 'GET',
-        call.path,
-        body=json.dumps(call.body).encode() if has_body else None,
+        request.path,
+        body=json.dumps(request.body).encode() if has_body else None,
         headers=_HEADERS,
         preload_content=False,
     )
 
 
-@send_call.register
-def _send_forward(call: ForwardCall, http: HTTPConnection) -> None:
-    headers = HTTPHeaderDict(call.headers)
-    for name in _UNWANTED:
+@send_request.register
+def _send_forward(request: ForwardCall, http: HTTPConnection) -> None:
+    headers = HTTPHeaderDict(request.headers)
+    for name in _OMITTED_HEADERS:
         headers.setdefault(name, SKIP_HEADER)
     http.request(
-        call.method,
-        call.target,
-        body=call.body,
+        request.method,
+        request.target,
+        body=request.body,
         headers=headers,
         preload_content=False,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
@@ -8,17 +8,17 @@
 from fennelfork import Failure
 from fennelfork.gather import ExpectedReply, Reply
 from fennelfork.home import ServerReport
-from fennelfork_daemon.backend._call import BackendCall
+from fennelfork_daemon.backend._call import JsonRequest
 from fennelfork_daemon.backend._pool import BackendPool, Trace
 from fennelfork_daemon.backend._reply import (
     read_health,
+    read_json,
     read_search,
-    read_tree,
 )
 
 
 @attrs.frozen(kw_only=True)
-class Sending:
+class SendOptions:
     """How a call is sent.
 
     Attributes:
@@ -44,7 +44,7 @@
         self,
         expected: ExpectedReply,
         query: Any,
-        sending: Sending,
+        options: SendOptions,
     ) -> Result[Reply, Failure]:
         """Run one sub-query; its reply is checked."""
         body = {
@@ -54,9 +54,9 @@
             'lo': expected.span.lo,
             'hi': expected.span.hi,
             'query': query,
-            'deadline_ms': int(sending.left_ms),
+            'deadline_ms': int(options.left_ms),
         }
-        return self._call('/v1/search', body, sending).bind(
+        return self._send('/v1/search', body, options).bind(
             lambda tree: read_search(tree, expected),
         )
 
@@ -64,36 +64,36 @@
         self,
         request_id: str,
         sub_query: str,
-        sending: Sending,
+        options: SendOptions,
     ) -> Result[bool, Failure]:
         """Tell the server that a copy is of no use any more."""
         body = {'request_id': request_id, 'sub_query': sub_query}
-        return self._call('/v1/cancel', body, sending).map(_was_cancelled)
+        return self._send('/v1/cancel', body, options).map(_read_cancelled)
 
     def health(self, timeout_ms: float) -> Result[ServerReport, Failure]:
         """Ask what the server says of itself."""
-        sending = Sending(
+        options = SendOptions(
             left_ms=timeout_ms,
             timeout_ms=timeout_ms,
             fresh=False,
             trace=Trace(),
         )
-        return self._call('/v1/health', None, sending).bind(read_health)
+        return self._send('/v1/health', None, options).bind(read_health)
 
-    def _call(
+    def _send(
         self,
         path: str,
         body: dict[str, Any] | None,
-        sending: Sending,
+        options: SendOptions,
     ) -> Result[Any, Failure]:
-        call = BackendCall(
+        request = JsonRequest(
             path=path,
             body=body,
-            timeout_ms=sending.timeout_ms,
-            fresh=sending.fresh,
+            timeout_ms=options.timeout_ms,
+            fresh=options.fresh,
         )
-        return self.pool.carry(call, sending.trace).bind(read_tree)
+        return self.pool.carry(request, options.trace).bind(read_json)
 
 
-def _was_cancelled(tree: Any) -> bool:
+def _read_cancelled(tree: Any) -> bool:
     return bool(tree.get('cancelled'))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
@@ -16,10 +16,10 @@
 from fennelfork_daemon._address import Address
 from fennelfork_daemon._sockets import ConnectionBroken, reset_aware
 from fennelfork_daemon.backend._call import (
+    AnyRequest,
     BackendResponse,
-    Call,
     ForwardCall,
-    send_call,
+    send_request,
 )
 
 _MS: Final = 1000
@@ -27,7 +27,7 @@
 _USER_TIMEOUT_MS: Final = 3000
 # A connection that went silent is found out after two probes, a second apart:
 # a waiting watch has no other way to tell.
-_OPTIONS: Final = (
+_SOCKET_OPTIONS: Final = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -36,18 +36,18 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
 )
 # What ends a call whose bytes were sent.
-_BROKEN: Final = (HTTPError, HTTPException, OSError, EOFError)
+_TRANSPORT_ERRORS: Final = (HTTPError, HTTPException, OSError, EOFError)
 # Those of them that say nothing of the connection.
-_TIMEOUTS: Final = (TimeoutError, LibraryTimeoutError)
+_TIMEOUT_ERRORS: Final = (TimeoutError, LibraryTimeoutError)
 
 
-class _OneWriteConnection(HTTPConnection):
+class _SingleWriteConnection(HTTPConnection):
     """Sends head and body of a request in one write.
 
     Two writes wake the server twice and cost two system calls.
     """
 
-    _held: list[bytes] | None = None
+    _buffered: list[bytes] | None = None
 
     def connect(self) -> None:
         """Connect with a socket that tells a reset from an end."""
@@ -56,18 +56,18 @@
 
     def request(self, *args: Any, **options: Any) -> None:
         """Send a request whose body is bytes."""
-        self._held = []
+        self._buffered = []
         super().request(*args, **options)
-        whole = b''.join(self._held)
-        self._held = None
-        self.send(whole)
+        message = b''.join(self._buffered)
+        self._buffered = None
+        self.send(message)
 
     def send(self, data: Any) -> None:
         """Hold what belongs to a request back until it is whole."""
-        if self._held is None:
+        if self._buffered is None:
             super().send(data)
         else:
-            self._held.append(data)
+            self._buffered.append(data)
 
 
 @attrs.define(kw_only=True)
@@ -79,13 +79,13 @@
             it said so.
     """
 
-    keep_ms: float | None = None
+    keep_alive_ms: float | None = None
     _http: HTTPConnection
-    _most_bytes: int
-    _heard: bool = False
+    _max_reply_bytes: int
+    _has_responded: bool = False
 
     @property
-    def alive(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the server has not closed it, as far as is known here."""
         return self._http.is_connected
 
@@ -100,10 +100,12 @@
         try:
             self._http.connect()
         except (HTTPError, OSError) as error:
-            return Bad(not_run(_code_of(error), _says(error)))
+            return Bad(
+                not_run(_connect_failure_code(error), _describe_error(error))
+            )
         return Success(None)
 
-    def carry(self, call: Call) -> Result[BackendResponse, Failure]:
+    def carry(self, request: AnyRequest) -> Result[BackendResponse, Failure]:
         """Make one call and read its reply.
 
         Returns:
@@ -111,43 +113,49 @@
             is `SHED` where the connection was reset before it carried any
             byte back, as a server does that takes no further one.
         """
-        self._http.timeout = call.timeout_ms / _MS
+        self._http.timeout = request.timeout_ms / _MS
         if self._http.sock is not None:
-            self._http.sock.settimeout(call.timeout_ms / _MS)
+            self._http.sock.settimeout(request.timeout_ms / _MS)
         try:
-            return self._exchange(call).bind(functools.partial(_checked, call))
-        except _BROKEN as error:
-            return Bad(self._break(error))
+            return self._send_and_read(request).bind(
+                functools.partial(_check_response, request)
+            )
+        except _TRANSPORT_ERRORS as error:
+            return Bad(self._to_failure(error))
 
     def close(self) -> None:
         """Close it; what still arrives is lost."""
         self._http.close()
 
-    def _break(self, error: Exception) -> Failure:
-        code = self._code_of_break(error)
+    def _to_failure(self, error: Exception) -> Failure:
+        code = self._broken_failure_code(error)
         return attrs.evolve(
-            may_have_run(code, _says(error)),
-            connection_lost=not isinstance(error, _TIMEOUTS),
+            may_have_run(code, _describe_error(error)),
+            connection_lost=not isinstance(error, _TIMEOUT_ERRORS),
         )
 
-    def _code_of_break(self, error: Exception) -> FailureCode:
+    def _broken_failure_code(self, error: Exception) -> FailureCode:
         is_reset = isinstance(error, ConnectionBroken | ConnectionResetError)
         # The library takes an orderly end for a kind of reset.
         is_end = isinstance(error, RemoteDisconnected)
-        if is_reset and not is_end and not self._heard:
+        if is_reset and not is_end and not self._has_responded:
             return FailureCode.SHED
         return FailureCode.UNREACHABLE
 
-    def _exchange(self, call: Call) -> Result[BackendResponse, Failure]:
-        send_call(call, self._http)
+    def _send_and_read(
+        self, request: AnyRequest
+    ) -> Result[BackendResponse, Failure]:
+        send_request(request, self._http)
         response = self._http.getresponse()
-        self._heard = True
-        body = response.read(self._most_bytes + 1)
-        if len(body) > self._most_bytes:
-            detail = f'the reply is longer than {self._most_bytes} bytes'
+        self._has_responded = True
+        body = response.read(self._max_reply_bytes + 1)
+        if len(body) > self._max_reply_bytes:
+            detail = f'the reply is longer than {self._max_reply_bytes} bytes'
             return Bad(may_have_run(FailureCode.BAD_REPLY, detail))
         response.release_conn()
-        self.keep_ms = _keep_ms(response.headers.get('Keep-Alive', ''))
+        self.keep_alive_ms = _read_keep_alive_ms(
+            response.headers.get('Keep-Alive', '')
+        )
         return Success(
             BackendResponse(
                 status=response.status,
@@ -159,7 +167,7 @@
 
 def backend_connection(
     address: Address,
-    most_bytes: int,
+    max_reply_bytes: int,
 ) -> BackendConnection:
     """Build a connection that is not open yet.
 
@@ -167,15 +175,15 @@
         address: of the server.
         most_bytes: the largest reply that is read.
     """
-    http = _OneWriteConnection(
+    http = _SingleWriteConnection(
         address.host,
         address.port,
-        socket_options=_OPTIONS,
+        socket_options=_SOCKET_OPTIONS,
     )
-    return BackendConnection(http=http, most_bytes=most_bytes)
+    return BackendConnection(http=http, max_reply_bytes=max_reply_bytes)
 
 
-def _code_of(error: Exception) -> FailureCode:
+def _connect_failure_code(error: Exception) -> FailureCode:
     """Tell a server at its limit, which resets, from nobody, who refuses."""
     cause = error.__cause__ or error.__context__
     if isinstance(cause or error, ConnectionResetError):
@@ -183,25 +191,25 @@
     return FailureCode.UNREACHABLE
 
 
-def _says(error: Exception) -> str:
+def _describe_error(error: Exception) -> str:
     # The library puts the connection first, whose address in memory tells nobody.
     detail = error.args[-1] if error.args else error
     return f'{type(error).__name__}: {detail}'
 
 
-def _checked(
-    call: Call,
+def _check_response(
+    request: AnyRequest,
     response: BackendResponse,
 ) -> Result[BackendResponse, Failure]:
-    if isinstance(call, ForwardCall):
-        return call.check(response)
+    if isinstance(request, ForwardCall):
+        return request.check(response)
     return Success(response)
 
 
-def _keep_ms(text: str) -> float | None:
+def _read_keep_alive_ms(text: str) -> float | None:
     """Read the timeout of a Keep-Alive header such as `timeout=5, max=9`."""
-    for word in text.split(','):
-        name, _, seconds = word.strip().partition('=')
+    for parameter in text.split(','):
+        name, _, seconds = parameter.strip().partition('=')
         if name.lower() == 'timeout' and seconds.isdecimal():
             return float(seconds) * _MS
     return None
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_liveness.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_liveness.py
@@ -10,12 +10,12 @@
 _MS: Final = 1000
 # A process that ends closes its connections and its listening socket one after
 # the other.
-_SETTLE_MS: Final = 20.0
+_SHUTDOWN_DELAY_MS: Final = 20.0
 # Nobody answers at an address whose VM is gone; that says nothing of the server.
-_CONNECT_MS: Final = 300.0
+_CONNECT_TIMEOUT_MS: Final = 300.0
 
 
-def has_ended(at: Address) -> bool:
+def has_ended(server_address: Address) -> bool:
     """Tell whether nobody listens at an address any more.
 
     A connection that ends before its answer is also one that was reset on the
@@ -23,9 +23,12 @@
     one says that the process is gone; no answer, or one connection more, does
     not.
     """
-    eventlet.sleep(_SETTLE_MS / _MS)
+    eventlet.sleep(_SHUTDOWN_DELAY_MS / _MS)
     try:
-        socket.create_connection((at.host, at.port), _CONNECT_MS / _MS).close()
+        socket.create_connection(
+            (server_address.host, server_address.port),
+            _CONNECT_TIMEOUT_MS / _MS,
+        ).close()
     except ConnectionRefusedError:
         return True
     except OSError:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
@@ -12,27 +12,27 @@
 from fennelfork.servers import ConnectionChoice, ConnectionLedger
 from fennelfork_daemon._address import Address
 from fennelfork_daemon.backend._call import (
-    BackendCall,
+    AnyRequest,
     BackendResponse,
-    Call,
     ForwardCall,
+    JsonRequest,
 )
 from fennelfork_daemon.backend._connection import (
     BackendConnection,
     backend_connection,
 )
-from fennelfork_daemon.backend._turns import Turns
+from fennelfork_daemon.backend._wait_queue import WaitQueue
 
-_PROBE_MS: Final = 50.0
+_PROBE_TIMEOUT_MS: Final = 50.0
 # Asks a backend server for a sign of life on an idle connection.
-HEALTH_PROBE: Final = BackendCall(
+HEALTH_PROBE: Final = JsonRequest(
     path='/v1/health',
     body=None,
-    timeout_ms=_PROBE_MS,
+    timeout_ms=_PROBE_TIMEOUT_MS,
 )
 # The other end closes an idle connection about when it said; a request sent
 # within the last fifth of that time may cross the close.
-_KEPT_SHARE: Final = 0.8
+_KEEP_ALIVE_SHARE: Final = 0.8
 
 
 @attrs.define(kw_only=True)
@@ -62,7 +62,7 @@
     reset_is_full: bool = False
 
 
-_FAIL_AT_ONCE: Final = WhenFull()
+_FAIL_IMMEDIATELY: Final = WhenFull()
 
 
 @attrs.define(kw_only=True)
@@ -72,15 +72,15 @@
     _address: Address
     _ledger: ConnectionLedger
     _clock: Clock
-    _most_bytes: int
-    _probe: BackendCall | None
+    _max_reply_bytes: int
+    _probe: JsonRequest | None
     _when_full: WhenFull
-    _turns: Turns = attrs.field(factory=Turns)
+    _wait_queue: WaitQueue = attrs.field(factory=WaitQueue)
     _open: dict[int, BackendConnection] = attrs.field(factory=dict)
 
     def carry(
         self,
-        call: Call,
+        request: AnyRequest,
         trace: Trace,
     ) -> Result[BackendResponse, Failure]:
         """Make one call on a connection that can be trusted.
@@ -89,19 +89,21 @@
             call: the call.
             trace: where to note the connection that carries it.
         """
-        use = self._use(call)
-        if use is None:
+        choice = self._acquire(request)
+        if choice is None:
             return Bad(not_run(self._when_full.code, 'no connection is free'))
-        self._close(use.close)
-        if use.opened:
-            return self._carry_on_new(use.connection, call, trace)
-        if self._trusted(use):
-            return self._carry_on(use.connection, call, trace)
-        self._close((use.connection,))
-        self._ledger.release(use.connection, self._clock.now_ms(), usable=False)
-        return self.carry(call, trace)
-
-    def silence(self, trace: Trace) -> None:
+        self._close(choice.close)
+        if choice.opened:
+            return self._exchange_on_new(choice.connection, request, trace)
+        if self._is_usable(choice):
+            return self._exchange_on(choice.connection, request, trace)
+        self._close((choice.connection,))
+        self._ledger.release(
+            choice.connection, self._clock.now_ms(), usable=False
+        )
+        return self.carry(request, trace)
+
+    def discard_unresponsive(self, trace: Trace) -> None:
         """Close a connection that carries nothing, and its peers of age."""
         self._close(self._ledger.record_unresponsive(trace.connection))
 
@@ -117,46 +119,48 @@
         """Close all connections; calls under way on them fail."""
         self._close(tuple(self._open))
 
-    def _use(self, call: Call) -> ConnectionChoice | None:
+    def _acquire(self, request: AnyRequest) -> ConnectionChoice | None:
         """Take a connection, or wait for one that another call gives back."""
         now_ms = self._clock.now_ms()
-        until_ms = now_ms + min(self._when_full.wait_ms, call.timeout_ms)
-        use = self._ledger.use(now_ms, fresh=call.fresh)
-        while use is None and now_ms < until_ms:
-            self._turns.wait(until_ms - now_ms)
+        until_ms = now_ms + min(self._when_full.wait_ms, request.timeout_ms)
+        choice = self._ledger.use(now_ms, fresh=request.fresh)
+        while choice is None and now_ms < until_ms:
+            self._wait_queue.wait(until_ms - now_ms)
             now_ms = self._clock.now_ms()
-            use = self._ledger.use(now_ms, fresh=call.fresh)
-        return use
+            choice = self._ledger.use(now_ms, fresh=request.fresh)
+        return choice
 
-    def _trusted(self, use: ConnectionChoice) -> bool:
+    def _is_usable(self, choice: ConnectionChoice) -> bool:
         """Tell whether an idle connection still carries bytes."""
-        connection = self._open[use.connection]
-        if not connection.alive or _outlived(connection, use.idle_ms):
+        connection = self._open[choice.connection]
+        if not connection.is_open or _exceeds_keep_alive(
+            connection, choice.idle_ms
+        ):
             return False
-        if self._probe is None or not use.probe:
+        if self._probe is None or not choice.probe:
             return True
-        answers = is_successful(connection.carry(self._probe))
-        if not answers:
-            self._close(self._ledger.record_unresponsive(use.connection))
-        return answers
+        is_responsive = is_successful(connection.carry(self._probe))
+        if not is_responsive:
+            self._close(self._ledger.record_unresponsive(choice.connection))
+        return is_responsive
 
-    def _carry_on_new(
+    def _exchange_on_new(
         self,
         number: int,
-        call: Call,
+        request: AnyRequest,
         trace: Trace,
     ) -> Result[BackendResponse, Failure]:
-        connection = backend_connection(self._address, self._most_bytes)
+        connection = backend_connection(self._address, self._max_reply_bytes)
         self._open[number] = connection
-        opened = connection.open(_connect_ms(call))
+        opened = connection.open(_connect_ms(request))
         if is_successful(opened):
-            carried = self._carry_on(number, call, trace)
+            response = self._exchange_on(number, request, trace)
         else:
-            self._give_back(number, usable=False)
-            carried = Bad(opened.failure())
-        return carried.lash(self._note_turned_away)
+            self._release(number, usable=False)
+            response = Bad(opened.failure())
+        return response.lash(self._handle_refused_connection)
 
-    def _note_turned_away(
+    def _handle_refused_connection(
         self,
         failure: Failure,
     ) -> Result[BackendResponse, Failure]:
@@ -168,27 +172,27 @@
         self._ledger.record_refused_connection(self._clock.now_ms())
         return Bad(attrs.evolve(failure, code=self._when_full.code))
 
-    def _carry_on(
+    def _exchange_on(
         self,
         number: int,
-        call: Call,
+        request: AnyRequest,
         trace: Trace,
     ) -> Result[BackendResponse, Failure]:
         trace.connection = number
         with contextlib.ExitStack() as unusable:
             # Also when the green thread of the call is ended from outside.
-            unusable.callback(self._give_back, number, usable=False)
-            carried = self._open[number].carry(call)
-            if is_successful(carried):
+            unusable.callback(self._release, number, usable=False)
+            response = self._open[number].carry(request)
+            if is_successful(response):
                 unusable.pop_all()
-                self._give_back(number, usable=True)
-        return carried
+                self._release(number, usable=True)
+        return response
 
-    def _give_back(self, number: int, *, usable: bool) -> None:
+    def _release(self, number: int, *, usable: bool) -> None:
         now_ms = self._clock.now_ms()
         if not self._ledger.release(number, now_ms, usable=usable):
             self._close((number,))
-        self._turns.wake()
+        self._wait_queue.wake_first()
 
     def _close(self, numbers: tuple[int, ...]) -> None:
         for number in numbers:
@@ -201,9 +205,9 @@
     address: Address,
     ledger: ConnectionLedger,
     clock: Clock,
-    most_bytes: int,
-    probe: BackendCall | None = HEALTH_PROBE,
-    when_full: WhenFull = _FAIL_AT_ONCE,
+    max_reply_bytes: int,
+    probe: JsonRequest | None = HEALTH_PROBE,
+    when_full: WhenFull = _FAIL_IMMEDIATELY,
 ) -> BackendPool:
     """Build the connections to one server.
 
@@ -220,19 +224,19 @@
         address=address,
         ledger=ledger,
         clock=clock,
-        most_bytes=most_bytes,
+        max_reply_bytes=max_reply_bytes,
         probe=probe,
         when_full=when_full,
     )
 
 
-def _connect_ms(call: Call) -> float:
-    if isinstance(call, ForwardCall):
-        return min(call.connect_ms, call.timeout_ms)
-    return call.timeout_ms
+def _connect_ms(request: AnyRequest) -> float:
+    if isinstance(request, ForwardCall):
+        return min(request.connect_ms, request.timeout_ms)
+    return request.timeout_ms
 
 
-def _outlived(connection: BackendConnection, idle_ms: float) -> bool:
-    if connection.keep_ms is None:
+def _exceeds_keep_alive(connection: BackendConnection, idle_ms: float) -> bool:
+    if connection.keep_alive_ms is None:
         return False
-    return idle_ms > _KEPT_SHARE * connection.keep_ms
+    return idle_ms > _KEEP_ALIVE_SHARE * connection.keep_alive_ms
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_reply.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_reply.py
@@ -23,14 +23,14 @@
 _OK: Final = 200
 
 
-def read_tree(response: BackendResponse) -> Result[Any, Failure]:
+def read_json(response: BackendResponse) -> Result[Any, Failure]:
     """Read the JSON of a success, or the failure that a problem tells."""
     try:
         tree = json.loads(response.body)
     except ValueError:
-        return _bad('the body is not JSON')
+        return _bad_reply('the body is not JSON')
     if not isinstance(tree, dict):
-        return _bad('the body is not an object')
+        return _bad_reply('the body is not an object')
     if response.status == _OK:
         return Success(tree)
     return Bad(_read_problem(response.status, tree))
@@ -39,9 +39,9 @@
 def read_search(tree: Any, expected: ExpectedReply) -> Result[Reply, Failure]:
     """Read the reply to a search and check it against what was sent."""
     try:
-        reply = _reply(tree)
+        reply = _read_reply(tree)
     except (KeyError, TypeError) as error:
-        return _bad(f'the reply lacks {error}')
+        return _bad_reply(f'the reply lacks {error}')
     return check_reply(expected, reply)
 
 
@@ -51,19 +51,21 @@
         report = ServerReport(
             cold=tree['state'] == 'cold',
             draining=tree['state'] == 'draining',
-            snapshots=tuple(_snapshot(held) for held in tree['snapshots']),
+            snapshots=tuple(
+                _read_snapshot(snapshot) for snapshot in tree['snapshots']
+            ),
         )
     except (KeyError, TypeError, ValueError) as error:
-        return _bad(f'the health report lacks {error}')
+        return _bad_reply(f'the health report lacks {error}')
     return Success(report)
 
 
-def _snapshot(held: Any) -> SnapshotView:
-    ranges = tuple(itertools.starmap(key_range, held['ranges']))
-    return SnapshotView(version=held['version'], ranges=ranges)
+def _read_snapshot(snapshot: Any) -> SnapshotView:
+    ranges = tuple(itertools.starmap(key_range, snapshot['ranges']))
+    return SnapshotView(version=snapshot['version'], ranges=ranges)
 
 
-def _reply(tree: Any) -> Reply:
+def _read_reply(tree: Any) -> Reply:
     return Reply(
         request_id=tree['request_id'],
         sub_query=tree['sub_query'],
@@ -89,5 +91,5 @@
         return may_have_run(FailureCode.BAD_REPLY, f'status {status}')
 
 
-def _bad(detail: str) -> Result[Any, Failure]:
+def _bad_reply(detail: str) -> Result[Any, Failure]:
     return Bad(may_have_run(FailureCode.BAD_REPLY, detail))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_entries_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_entries_face.py
@@ -15,7 +15,7 @@
     json_reply,
 )
 
-_COUNT: Final = 3
+_MAX_ENTRIES: Final = 3
 
 
 @attrs.frozen(kw_only=True)
@@ -39,7 +39,7 @@
             request.options.get('region', local.region),
             request.options.get('data_centre', local.data_centre),
             self._board.members.values(),
-            _COUNT,
+            _MAX_ENTRIES,
             request.options.get('caller', ''),
             self._rng,
         )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_face.py
@@ -67,10 +67,10 @@
             self._observer.refused(query, answered.failure(), trace)
             return failure_reply(answered.failure(), query.request_id)
         self._observer.answered(query, answered.unwrap(), trace)
-        return json_reply(answer_tree(query, answered.unwrap(), took_ms))
+        return json_reply(answer_document(query, answered.unwrap(), took_ms))
 
 
-def answer_tree(
+def answer_document(
     query: QueryRequest,
     answered: QueryAnswer,
     took_ms: float,
@@ -84,7 +84,9 @@
         'coverage': {
             'complete': answer.coverage.complete,
             'fraction': answer.coverage.fraction,
-            'missing': [_gap(missing) for missing in answer.coverage.missing],
+            'missing': [
+                _missing_range(missing) for missing in answer.coverage.missing
+            ],
         },
         'config_version': answered.config_version,
         'work': attrs.asdict(answered.work),
@@ -92,7 +94,7 @@
     }
 
 
-def _gap(missing: MissingRange) -> dict[str, Any]:
+def _missing_range(missing: MissingRange) -> dict[str, Any]:
     return {
         'lo': missing.span.lo,
         'hi': missing.span.hi,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_request.py
@@ -13,7 +13,7 @@
     QueryRequest,
 )
 
-_KNOWN: Final = frozenset(
+_MEMBERS: Final = frozenset(
     (
         'request_id',
         'deadline_ms',
@@ -23,10 +23,10 @@
         'coverage',
     ),
 )
-_LONGEST_NAME: Final = 128
+_MAX_NAME_CHARS: Final = 128
 
 
-class _Invalid(ValueError):
+class _InvalidQueryError(ValueError):
     """A body that is no query; says what is wrong and what is allowed."""
 
 
@@ -34,7 +34,7 @@
     front: str,
     body: dict[str, Any],
     clock: Clock,
-    longest_deadline_ms: int,
+    max_deadline_ms: int,
 ) -> Result[QueryRequest, Failure]:
     """Check a query and take its deadline from now on.
 
@@ -48,44 +48,46 @@
         The query, or a failure that names the member that is wrong.
     """
     try:
-        return Success(_query(front, body, clock, longest_deadline_ms))
-    except _Invalid as error:
+        return Success(_parse_query(front, body, clock, max_deadline_ms))
+    except _InvalidQueryError as error:
         return Bad(not_run(FailureCode.BAD_REQUEST, str(error)))
 
 
-def _query(
+def _parse_query(
     front: str,
     body: dict[str, Any],
     clock: Clock,
-    longest_deadline_ms: int,
+    max_deadline_ms: int,
 ) -> QueryRequest:
-    unknown = sorted(body.keys() - _KNOWN)
+    unknown = sorted(body.keys() - _MEMBERS)
     if unknown:
-        known = ', '.join(sorted(_KNOWN))
-        raise _Invalid(f'unknown member {unknown[0]!r}; known are {known}')
-    deadline_ms = _deadline(body, longest_deadline_ms)
+        known = ', '.join(sorted(_MEMBERS))
+        raise _InvalidQueryError(
+            f'unknown member {unknown[0]!r}; known are {known}'
+        )
+    deadline_ms = _parse_deadline(body, max_deadline_ms)
     query = body.get('query', {})
     if not isinstance(query, dict):
-        raise _Invalid('query: must be an object')
+        raise _InvalidQueryError('query: must be an object')
     return QueryRequest(
-        request_id=_name(body, 'request_id'),
+        request_id=_parse_name(body, 'request_id'),
         front=front,
         deadline_at_ms=clock.now_ms() + deadline_ms,
-        tenant=_name(body, 'tenant'),
-        traffic_class=_name(body, 'class'),
+        tenant=_parse_name(body, 'tenant'),
+        traffic_class=_parse_name(body, 'class'),
         query=query,
-        demand=_demand(body.get('coverage', {})),
+        demand=_parse_coverage(body.get('coverage', {})),
     )
 
 
-def _name(body: dict[str, Any], member: str) -> str:
+def _parse_name(body: dict[str, Any], member: str) -> str:
     text = body.get(member)
-    if not isinstance(text, str) or not 0 < len(text) <= _LONGEST_NAME:
-        raise _Invalid(
-            f'{member}: must be a text of 1 to {_LONGEST_NAME} characters',
+    if not isinstance(text, str) or not 0 < len(text) <= _MAX_NAME_CHARS:
+        raise _InvalidQueryError(
+            f'{member}: must be a text of 1 to {_MAX_NAME_CHARS} characters',
         )
     if not _is_unicode(text):
-        raise _Invalid(f'{member}: must not hold half of a character')
+        raise _InvalidQueryError(f'{member}: must not hold half of a character')
     return text
 
 
@@ -98,29 +100,29 @@
     return True
 
 
-def _deadline(body: dict[str, Any], longest_ms: int) -> int:
-    wanted = body.get('deadline_ms')
-    if not _is_whole(wanted) or not 0 < wanted <= longest_ms:
-        raise _Invalid(
-            f'deadline_ms: must be a whole number from 1 to {longest_ms}',
+def _parse_deadline(body: dict[str, Any], max_deadline_ms: int) -> int:
+    deadline_ms = body.get('deadline_ms')
+    if not _is_integer(deadline_ms) or not 0 < deadline_ms <= max_deadline_ms:
+        raise _InvalidQueryError(
+            f'deadline_ms: must be a whole number from 1 to {max_deadline_ms}',
         )
-    return int(wanted)
+    return int(deadline_ms)
 
 
-def _demand(coverage: Any) -> CoverageDemand:
+def _parse_coverage(coverage: Any) -> CoverageDemand:
     if not isinstance(coverage, dict):
-        raise _Invalid('coverage: must be an object')
+        raise _InvalidQueryError('coverage: must be an object')
     mode = coverage.get('mode', 'whole')
     if mode == 'whole':
         return CompleteCoverage()
     if mode != 'partial':
-        raise _Invalid('coverage.mode: must be "whole" or "partial"')
+        raise _InvalidQueryError('coverage.mode: must be "whole" or "partial"')
     floor = coverage.get('floor', 0)
-    number = isinstance(floor, int | float) and not isinstance(floor, bool)
-    if not number or not 0 <= floor <= 1:
-        raise _Invalid('coverage.floor: must be a number from 0 to 1')
+    is_number = isinstance(floor, int | float) and not isinstance(floor, bool)
+    if not is_number or not 0 <= floor <= 1:
+        raise _InvalidQueryError('coverage.floor: must be a number from 0 to 1')
     return PartialCoverage(floor=floor)
 
 
-def _is_whole(number: Any) -> bool:
+def _is_integer(number: Any) -> bool:
     return isinstance(number, int) and not isinstance(number, bool)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_api.py
@@ -6,10 +6,10 @@
 
 from fennelfork import Blackboard, Clock
 from fennelfork_daemon.execute._observer import ExecuteObserver
-from fennelfork_daemon.execute._order import (
-    ExecuteOrder,
-    doubted,
+from fennelfork_daemon.execute._received_request import (
+    ReceivedRequest,
     read_execute,
+    with_unknown_verdict,
 )
 from fennelfork_daemon.execute._service import ExecuteService
 from fennelfork_daemon.http._body import body_limits, refused_body
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ExecuteFace:
+class ExecuteApi:
     """Answers callers that want something done once."""
 
     _service: ExecuteService
@@ -51,28 +51,28 @@
         body = read_json_object(request.environ, limits)
         if isinstance(body, Failed):
             refusal = body.failure()
-            doubt = doubted(refusal.failure)
+            failure = with_unknown_verdict(refusal.failure)
             return refused_body(
                 request,
-                attrs.evolve(refusal, failure=doubt),
+                attrs.evolve(refusal, failure=failure),
             )
         tree = body.unwrap()
-        order = read_execute(
+        received = read_execute(
             request.names['front'],
             tree,
             self._clock.now_ms(),
             self._settings.timeouts.longest_deadline_ms,
         )
-        if isinstance(order, Success):
-            return self._answer(order.unwrap())
-        return failure_reply(order.failure(), str(tree.get('request_id')))
+        if isinstance(received, Success):
+            return self._answer(received.unwrap())
+        return failure_reply(received.failure(), str(tree.get('request_id')))
 
-    def _answer(self, order: ExecuteOrder) -> HttpReply:
+    def _answer(self, received: ReceivedRequest) -> HttpReply:
         started_ms = self._clock.now_ms()
-        result = self._service.answer(order)
+        result = self._service.answer(received)
         took_ms = self._clock.now_ms() - started_ms
-        self._observer.answered(order, result, took_ms)
-        request = order.request
+        self._observer.record_answer(received, result, took_ms)
+        request = received.request
         if isinstance(result, Failed):
             return failure_reply(result.failure(), request.request_id)
         return json_reply(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
@@ -7,13 +7,13 @@
 
 from fennelfork import Blackboard, Clock
 from fennelfork.once import OnceGate, once_gate, ticket_key
-from fennelfork_daemon.execute._connection import ExecutePatience
-from fennelfork_daemon.execute._face import ExecuteFace
+from fennelfork_daemon.execute._api import ExecuteApi
+from fennelfork_daemon.execute._connection import ExecuteTimeouts
 from fennelfork_daemon.execute._observer import ExecuteObserver
 from fennelfork_daemon.execute._peer import ExecutePeer
 from fennelfork_daemon.execute._runner import ExecuteRunner
 from fennelfork_daemon.execute._service import ExecuteService
-from fennelfork_daemon.execute._targets import execute_targets
+from fennelfork_daemon.execute._targets import home_target_finder
 from fennelfork_daemon.execute._ticket_issuer import TicketIssuer
 from fennelfork_daemon.home._calls import Home
 from fennelfork_daemon.peer._client import PeerClient
@@ -22,7 +22,7 @@
 
 _SECRET_BYTES: Final = 32
 _INCARNATION_BITS: Final = 62
-_MOST_RUNNING: Final = 64
+_MAX_RUNNING: Final = 64
 _SETTLE_MS: Final = 10_000
 
 
@@ -36,7 +36,7 @@
         peer: the peer face's part.
     """
 
-    face: ExecuteFace
+    face: ExecuteApi
     issuer: TicketIssuer
     peer: ExecutePeer
 
@@ -63,19 +63,19 @@
         runner=ExecuteRunner(
             table=gate.table,
             clock=clock,
-            targets=execute_targets(board, clock, home),
-            patience=ExecutePatience(
+            target_finder=home_target_finder(board, clock, home),
+            timeouts=ExecuteTimeouts(
                 probe_ms=settings.timeouts.connect_ms,
                 settle_ms=_SETTLE_MS,
             ),
-            limit=_MOST_RUNNING,
+            limit=_MAX_RUNNING,
         ),
         board=board,
         peers=PeerClient(),
         clock=clock,
     )
     return ExecuteParts(
-        face=ExecuteFace(
+        face=ExecuteApi(
             service=service,
             board=board,
             clock=clock,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_codec.py
@@ -7,12 +7,12 @@
 
 from fennelfork import Failure
 from fennelfork.once import ExecuteRequest, unknown_outcome
-from fennelfork_daemon.execute._order import ExecuteOrder
+from fennelfork_daemon.execute._received_request import ReceivedRequest
 from fennelfork_daemon.peer._codec_fault import fault_from_peer, fault_to_peer
 from fennelfork_daemon.peer._idl import peer
 
 
-def order_to_peer(
+def request_to_peer(
     request: ExecuteRequest,
     traffic_class: str,
     left_ms: float,
@@ -30,9 +30,9 @@
     )
 
 
-def order_from_peer(message: Any, now_ms: float) -> ExecuteOrder:
+def request_from_peer(message: Any, now_ms: float) -> ReceivedRequest:
     """Read a request and take its deadline from now on."""
-    return ExecuteOrder(
+    return ReceivedRequest(
         request=ExecuteRequest(
             request_id=message.request_id,
             ticket=message.ticket,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
@@ -22,10 +22,10 @@
 from fennelfork.once import ExecuteCall, classify_execute_response
 
 _MS: Final = 1000
-_OK: Final = 200
+_HTTP_OK: Final = 200
 _DRAINING: Final = 'draining'
-_REPLY_BYTES: Final = 65_536
-_ERRORS: Final = (HTTPError, HTTPException, OSError, eventlet.Timeout)
+_MAX_REPLY_BYTES: Final = 65_536
+_TRANSPORT_ERRORS: Final = (HTTPError, HTTPException, OSError, eventlet.Timeout)
 
 
 @attrs.frozen(kw_only=True)
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ExecutePatience:
+class ExecuteTimeouts:
     """How long an attempt may take.
 
     Attributes:
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class _Window:
+class _StartWindow:
     """When the server may start.
 
     Attributes:
@@ -67,14 +67,14 @@
 
 # Asked immediately before the first byte is sent; gives the milliseconds
 # within which the server must have run the request.
-Leave = Callable[[], Result[float, Failure]]
+BeginSend = Callable[[], Result[float, Failure]]
 
 
 def attempt_execute(
     target: ExecuteTarget,
     call: ExecuteCall,
-    leave: Leave,
-    patience: ExecutePatience,
+    begin_send: BeginSend,
+    timeouts: ExecuteTimeouts,
 ) -> Result[str, Failure]:
     """Probe a backend server and, if it answers, send it the request.
 
@@ -91,49 +91,49 @@
     with contextlib.closing(
         HTTPConnection(target.host, target.port),
     ) as connection:
-        return _attempt(connection, target, call, leave, patience)
+        return _attempt(connection, target, call, begin_send, timeouts)
 
 
 def _attempt(
     connection: HTTPConnection,
     target: ExecuteTarget,
     call: ExecuteCall,
-    leave: Leave,
-    patience: ExecutePatience,
+    begin_send: BeginSend,
+    timeouts: ExecuteTimeouts,
 ) -> Result[str, Failure]:
-    probed = _probe(connection, target, patience.probe_ms)
+    probed = _probe(connection, target, timeouts.probe_ms)
     if isinstance(probed, Failed):
         return Failed(probed.failure())
     # Without this, a connection lost since the probe would be opened anew.
     connection.auto_open = 0
-    left = leave()
+    left = begin_send()
     if isinstance(left, Failed):
         return Failed(left.failure())
     window = _window(left.unwrap(), probed.unwrap())
-    return _send(connection, target, call, window, patience)
+    return _send(connection, target, call, window, timeouts)
 
 
-def _window(left_ms: float, server_now_ms: float | None) -> _Window:
+def _window(left_ms: float, server_now_ms: float | None) -> _StartWindow:
     # The server's reading is older than `left_ms`, so this errs on the early
     # side, whatever either process spent paused in between.
     not_after_ms = None if server_now_ms is None else server_now_ms + left_ms
-    return _Window(left_ms=left_ms, not_after_ms=not_after_ms)
+    return _StartWindow(left_ms=left_ms, not_after_ms=not_after_ms)
 
 
 def _probe(
     connection: HTTPConnection,
     target: ExecuteTarget,
-    within_ms: float,
+    timeout_ms: float,
 ) -> Result[float | None, Failure]:
     """Give the reading of the server's clock, none if it tells none."""
-    timeout = eventlet.Timeout(within_ms / _MS)
+    timeout = eventlet.Timeout(timeout_ms / _MS)
     try:
         return _ask_health(connection)
-    except _ERRORS as error:
-        fault = type(error).__name__
+    except _TRANSPORT_ERRORS as error:
+        error_name = type(error).__name__
     finally:
         timeout.cancel()
-    detail = f'backend server {target.name} failed the probe: {fault}'
+    detail = f'backend server {target.name} failed the probe: {error_name}'
     return Failed(not_run(FailureCode.UNREACHABLE, detail))
 
 
@@ -141,8 +141,8 @@
     """Ask a server that may be leaving, which must get no new work."""
     connection.request('GET', '/v1/health', preload_content=False)
     response = connection.getresponse()
-    content = response.read(_REPLY_BYTES)
-    usable = response.status == _OK and not response.length_remaining
+    content = response.read(_MAX_REPLY_BYTES)
+    usable = response.status == _HTTP_OK and not response.length_remaining
     if not usable or connection.sock is None:
         detail = f'the probe was answered with status {response.status}'
         return Failed(not_run(FailureCode.UNREACHABLE, detail))
@@ -159,32 +159,32 @@
         return Failed(not_run(FailureCode.UNREACHABLE, detail))
     if health.get('state') == _DRAINING:
         return Failed(not_run(FailureCode.DRAINING, 'the server is draining'))
-    told = health.get('now_ms')
-    return Success(told if isinstance(told, int | float) else None)
+    now_ms = health.get('now_ms')
+    return Success(now_ms if isinstance(now_ms, int | float) else None)
 
 
 def _send(
     connection: HTTPConnection,
     target: ExecuteTarget,
     call: ExecuteCall,
-    window: _Window,
-    patience: ExecutePatience,
+    window: _StartWindow,
+    timeouts: ExecuteTimeouts,
 ) -> Result[str, Failure]:
-    timeout = eventlet.Timeout((window.left_ms + patience.settle_ms) / _MS)
+    timeout = eventlet.Timeout((window.left_ms + timeouts.settle_ms) / _MS)
     try:
         return _exchange(connection, call, window)
-    except _ERRORS as error:
-        fault = type(error).__name__
+    except _TRANSPORT_ERRORS as error:
+        error_name = type(error).__name__
     finally:
         timeout.cancel()
-    detail = f'backend server {target.name} gave no reply: {fault}'
+    detail = f'backend server {target.name} gave no reply: {error_name}'
     return Failed(may_have_run(FailureCode.UNREACHABLE, detail))
 
 
 def _exchange(
     connection: HTTPConnection,
     call: ExecuteCall,
-    window: _Window,
+    window: _StartWindow,
 ) -> Result[str, Failure]:
     body = {**attrs.asdict(call), 'deadline_ms': int(window.left_ms)}
     if window.not_after_ms is not None:
@@ -197,5 +197,5 @@
         preload_content=False,
     )
     response = connection.getresponse()
-    content = response.read(_REPLY_BYTES)
+    content = response.read(_MAX_REPLY_BYTES)
     return classify_execute_response(call, response.status, content)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
@@ -8,7 +8,7 @@
 
 from fennelfork import Blackboard, Failure, Verdict
 from fennelfork.once import OnceTable
-from fennelfork_daemon.execute._order import ExecuteOrder
+from fennelfork_daemon.execute._received_request import ReceivedRequest
 from fennelfork_daemon.metrics._metrics import DaemonMetrics
 from fennelfork_daemon.tracing._trace import ExplainRing
 
@@ -24,39 +24,39 @@
     _ring: ExplainRing
     _table: OnceTable
 
-    def answered(
+    def record_answer(
         self,
-        order: ExecuteOrder,
+        received: ReceivedRequest,
         result: Result[str, Failure],
         took_ms: float,
     ) -> None:
         """Count and remember one answer."""
-        request = order.request
+        request = received.request
         self._metrics.follow(self._board.document)
         labels = self._metrics.labels(
             request.front,
             request.tenant,
-            order.traffic_class,
+            received.traffic_class,
         )
-        told = _told(result)
-        verdict = Verdict(told['verdict'])
-        self._metrics.count_answer(labels, verdict, told['outcome'])
+        result_fields = _result_fields(result)
+        verdict = Verdict(result_fields['verdict'])
+        self._metrics.count_answer(labels, verdict, result_fields['outcome'])
         self._metrics.observe_execute(labels, took_ms)
         self._metrics.show_remembered(self._table.size)
-        story = {
+        record = {
             'request_id': request.request_id,
             'front': request.front,
             'tenant': request.tenant,
-            'class': order.traffic_class,
+            'class': received.traffic_class,
             'key': request.key,
-            **told,
+            **result_fields,
             'took_ms': round(took_ms, 1),
             'events': (),
         }
-        self._ring.remember(request.request_id, story)
+        self._ring.remember(request.request_id, record)
 
 
-def _told(result: Result[str, Failure]) -> dict[str, Any]:
+def _result_fields(result: Result[str, Failure]) -> dict[str, Any]:
     if isinstance(result, Failed):
         failure = result.failure()
         return {
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_peer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_peer.py
@@ -3,7 +3,7 @@
 import attrs
 
 from fennelfork import Clock
-from fennelfork_daemon.execute._codec import order_from_peer, reply_to_peer
+from fennelfork_daemon.execute._codec import reply_to_peer, request_from_peer
 from fennelfork_daemon.execute._service import ExecuteService
 
 
@@ -16,5 +16,5 @@
 
     def execute(self, request: object) -> object:
         """Answer as the incarnation that the ticket should name."""
-        order = order_from_peer(request, self._clock.now_ms())
-        return reply_to_peer(self._service.answer_here(order))
+        received = request_from_peer(request, self._clock.now_ms())
+        return reply_to_peer(self._service.answer_locally(received))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_order.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_received_request.py
@@ -9,22 +9,22 @@
 from fennelfork import Failure, FailureCode, Verdict, may_have_run
 from fennelfork.once import ExecuteRequest
 
-_LONGEST_NAME: Final = 128
-_LONGEST_ACTION: Final = 4096
-_LONGEST_TICKET: Final = 512
-_LARGEST_KEY: Final = 9_007_199_254_740_991
-_TEXTS: Final = (
+_MAX_NAME_CHARS: Final = 128
+_MAX_ACTION_CHARS: Final = 4096
+_MAX_TICKET_CHARS: Final = 512
+_MAX_KEY: Final = 9_007_199_254_740_991
+_STRING_MEMBERS: Final = (
     ('request_id', 160),
-    ('ticket', _LONGEST_TICKET),
-    ('tenant', _LONGEST_NAME),
-    ('class', _LONGEST_NAME),
-    ('action', _LONGEST_ACTION),
+    ('ticket', _MAX_TICKET_CHARS),
+    ('tenant', _MAX_NAME_CHARS),
+    ('class', _MAX_NAME_CHARS),
+    ('action', _MAX_ACTION_CHARS),
 )
-_NUMBERS: Final = ('key', 'deadline_ms')
+_INTEGER_MEMBERS: Final = ('key', 'deadline_ms')
 
 
 @attrs.frozen(kw_only=True)
-class ExecuteOrder:
+class ReceivedRequest:
     """A request together with what is not part of its content.
 
     Attributes:
@@ -42,15 +42,15 @@
     front: str,
     body: dict[str, Any],
     now_ms: float,
-    longest_deadline_ms: int,
-) -> Result[ExecuteOrder, Failure]:
+    max_deadline_ms: int,
+) -> Result[ReceivedRequest, Failure]:
     """Check a request and take its deadline from now on.
 
     Returns:
         The request; or a failure that says `MAY_HAVE_RUN`, since the same id
         may have run when it came with a proper body.
     """
-    problem = _problem(body, longest_deadline_ms)
+    problem = _problem(body, max_deadline_ms)
     if problem is not None:
         return Failed(may_have_run(FailureCode.BAD_REQUEST, problem))
     request = ExecuteRequest(
@@ -62,7 +62,7 @@
         tenant=body['tenant'],
     )
     return Success(
-        ExecuteOrder(
+        ReceivedRequest(
             request=request,
             traffic_class=body['class'],
             deadline_at_ms=now_ms + body['deadline_ms'],
@@ -70,33 +70,33 @@
     )
 
 
-def doubted(failure: Failure) -> Failure:
+def with_unknown_verdict(failure: Failure) -> Failure:
     """Take back a `NOT_RUN` that speaks of an attempt, not of the id."""
     return failure.with_verdict(Verdict.MAY_HAVE_RUN)
 
 
-def _problem(body: dict[str, Any], longest_deadline_ms: int) -> str | None:
-    known = {*dict(_TEXTS), *_NUMBERS}
+def _problem(body: dict[str, Any], max_deadline_ms: int) -> str | None:
+    known = {*dict(_STRING_MEMBERS), *_INTEGER_MEMBERS}
     unknown = sorted(body.keys() - known)
     if unknown:
         return f'unknown member {unknown[0]!r}'
-    for member, longest in _TEXTS:
-        if not _is_text(body.get(member), longest):
-            return f'{member}: must be a text of 1 to {longest} characters'
-    if not _is_whole(body.get('key'), 0, _LARGEST_KEY):
+    for member, max_chars in _STRING_MEMBERS:
+        if not _is_text(body.get(member), max_chars):
+            return f'{member}: must be a text of 1 to {max_chars} characters'
+    if not _is_integer(body.get('key'), 0, _MAX_KEY):
         return 'key: must be a whole number from 0'
-    if not _is_whole(body.get('deadline_ms'), 1, longest_deadline_ms):
-        return f'deadline_ms: must be from 1 to {longest_deadline_ms}'
+    if not _is_integer(body.get('deadline_ms'), 1, max_deadline_ms):
+        return f'deadline_ms: must be from 1 to {max_deadline_ms}'
     return None
 
 
-def _is_text(text: Any, longest: int) -> bool:
-    if not isinstance(text, str) or not 0 < len(text) <= longest:
+def _is_text(text: Any, max_chars: int) -> bool:
+    if not isinstance(text, str) or not 0 < len(text) <= max_chars:
         return False
     # A lone surrogate, which JSON can spell, cannot be sent on.
     return text.encode(errors='ignore').decode() == text
 
 
-def _is_whole(number: Any, least: int, most: int) -> bool:
-    whole = isinstance(number, int) and not isinstance(number, bool)
-    return whole and least <= number <= most
+def _is_integer(number: Any, minimum: int, maximum: int) -> bool:
+    is_integer = isinstance(number, int) and not isinstance(number, bool)
+    return is_integer and minimum <= number <= maximum
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_runner.py
@@ -15,19 +15,19 @@
 from fennelfork import Clock, Failure, FailureCode, Verdict, not_run
 from fennelfork.once import ExecuteCall, ExecuteRequest, OnceTable
 from fennelfork_daemon.execute._connection import (
-    ExecutePatience,
     ExecuteTarget,
+    ExecuteTimeouts,
     attempt_execute,
 )
 
-_MOST_ATTEMPTS: Final = 3
+_MAX_ATTEMPTS: Final = 3
 # The server's own word on a missed deadline should arrive before the caller's.
-_RESERVE_MS: Final = 10
-_BUSY_RETRY_MS: Final = 200
+_REPLY_MARGIN_MS: Final = 10
+_RETRY_AFTER_MS: Final = 200
 _MS: Final = 1000
 
 
-class Targets(Protocol):
+class TargetFinder(Protocol):
     """Knows the backend servers of records."""
 
     def find(
@@ -37,10 +37,10 @@
     ) -> Result[tuple[ExecuteTarget, ...], Failure]:
         """List the servers that hold the record, the best first."""
 
-    def forget(self, request: ExecuteRequest) -> None:
+    def invalidate(self, request: ExecuteRequest) -> None:
         """Ask anew the next time."""
 
-    def note_leaving(self, target: ExecuteTarget) -> None:
+    def record_draining(self, target: ExecuteTarget) -> None:
         """Leave a server out for a while, as it refuses as draining."""
 
 
@@ -50,8 +50,8 @@
 
     _table: OnceTable
     _clock: Clock
-    _targets: Targets
-    _patience: ExecutePatience
+    _target_finder: TargetFinder
+    _timeouts: ExecuteTimeouts
     _limit: int
     _running: dict[str, Event] = attrs.field(factory=dict)
     _attempts: int = 0
@@ -72,14 +72,14 @@
             reason = not_run(
                 FailureCode.QUEUE_FULL,
                 'too many non-idempotent requests in progress',
-                _BUSY_RETRY_MS,
+                _RETRY_AFTER_MS,
             )
             self._table.abandon(request.request_id, reason)
             return
         self._running[request.request_id] = Event()
         eventlet.spawn_n(self._run, request, deadline_at_ms)
 
-    def wait(self, request_id: str, within_ms: float) -> bool:
+    def wait(self, request_id: str, timeout_ms: float) -> bool:
         """Wait for the end of a request.
 
         Returns:
@@ -88,47 +88,47 @@
         event = self._running.get(request_id)
         if event is None:
             return True
-        with eventlet.Timeout(max(0, within_ms) / _MS, exception=False):
+        with eventlet.Timeout(max(0, timeout_ms) / _MS, exception=False):
             event.wait()
         return event.ready()
 
     def _run(self, request: ExecuteRequest, deadline_at_ms: float) -> None:
         with contextlib.ExitStack() as ending:
-            ending.callback(self._end, request.request_id)
-            reason = self._try_rounds(request, deadline_at_ms)
+            ending.callback(self._finish, request.request_id)
+            reason = self._run_with_refresh(request, deadline_at_ms)
             if reason is not None:
                 self._table.abandon(request.request_id, reason)
 
-    def _end(self, request_id: str) -> None:
+    def _finish(self, request_id: str) -> None:
         """Let nothing stay open, whatever stopped the run."""
         reason = not_run(FailureCode.INTERNAL, 'the request was given up')
         self._table.abandon(request_id, reason)
         self._running.pop(request_id).send()
 
-    def _try_rounds(
+    def _run_with_refresh(
         self,
         request: ExecuteRequest,
         deadline_at_ms: float,
     ) -> Failure | None:
         """Run it, and look for the record once more if it has moved."""
-        failure = self._try_targets(request, deadline_at_ms)
+        failure = self._run_on_targets(request, deadline_at_ms)
         if failure is None or failure.code is not FailureCode.NOT_HELD:
             return failure
         if failure.verdict is not Verdict.NOT_RUN:
             return failure
-        self._targets.forget(request)
-        return self._try_targets(request, deadline_at_ms)
+        self._target_finder.invalidate(request)
+        return self._run_on_targets(request, deadline_at_ms)
 
-    def _try_targets(
+    def _run_on_targets(
         self,
         request: ExecuteRequest,
         deadline_at_ms: float,
     ) -> Failure | None:
-        found = self._targets.find(request, deadline_at_ms)
+        found = self._target_finder.find(request, deadline_at_ms)
         if isinstance(found, Failed):
             return found.failure()
         failure = not_run(FailureCode.NOT_HELD, 'no server holds the record')
-        for target in found.unwrap()[:_MOST_ATTEMPTS]:
+        for target in found.unwrap()[:_MAX_ATTEMPTS]:
             result = self._attempt(request, target, deadline_at_ms)
             if isinstance(result, Success):
                 self._table.record_outcome(request.request_id, result.unwrap())
@@ -137,7 +137,7 @@
             if failure.verdict is not Verdict.NOT_RUN:
                 return failure
             if failure.code is FailureCode.DRAINING:
-                self._targets.note_leaving(target)
+                self._target_finder.record_draining(target)
             self._table.revert_send(request.request_id)
         return failure
 
@@ -157,17 +157,17 @@
         return attempt_execute(
             target,
             call,
-            lambda: self._leave(request.request_id, deadline_at_ms),
-            self._patience,
+            lambda: self._begin_send(request.request_id, deadline_at_ms),
+            self._timeouts,
         )
 
-    def _leave(
+    def _begin_send(
         self,
         request_id: str,
         deadline_at_ms: float,
     ) -> Result[float, Failure]:
-        left_ms = deadline_at_ms - self._clock.now_ms() - _RESERVE_MS
+        left_ms = deadline_at_ms - self._clock.now_ms() - _REPLY_MARGIN_MS
         if left_ms <= 0:
             return Failed(not_run(FailureCode.DEADLINE, 'no time left to send'))
-        leave = self._table.begin_send(request_id)
-        return leave.map(lambda ticket_ms: min(left_ms, ticket_ms))
+        begun = self._table.begin_send(request_id)
+        return begun.map(lambda ticket_ms: min(left_ms, ticket_ms))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
@@ -24,13 +24,13 @@
     StartExecution,
     unknown_outcome,
 )
-from fennelfork_daemon.execute._codec import order_to_peer, reply_from_peer
-from fennelfork_daemon.execute._order import ExecuteOrder
+from fennelfork_daemon.execute._codec import reply_from_peer, request_to_peer
+from fennelfork_daemon.execute._received_request import ReceivedRequest
 from fennelfork_daemon.execute._runner import ExecuteRunner
 from fennelfork_daemon.peer._client import PeerClient
 
-_MOST_PASSES: Final = 2
-_TOO_LATE: Final = not_run(
+_MAX_FORWARDS: Final = 2
+_DEADLINE_PASSED: Final = not_run(
     FailureCode.DEADLINE,
     'the deadline passed before anything was sent',
 )
@@ -46,24 +46,24 @@
     _peers: PeerClient
     _clock: Clock
 
-    def answer(self, order: ExecuteOrder) -> Result[str, Failure]:
+    def answer(self, received: ReceivedRequest) -> Result[str, Failure]:
         """Answer a caller.
 
         Returns:
             The outcome, or a failure; see `docs/operators/at-most-once.md`
             for what a caller may do after each verdict.
         """
-        routed = self._gate.route(order.request)
+        routed = self._gate.route(received.request)
         if isinstance(routed, Failed):
             return Failed(routed.failure())
-        place = routed.unwrap()
-        if isinstance(place, ForwardToPeer):
-            return self._pass_on(place, order)
-        return self.answer_here(order)
+        route = routed.unwrap()
+        if isinstance(route, ForwardToPeer):
+            return self._forward(route, received)
+        return self.answer_locally(received)
 
-    def answer_here(self, order: ExecuteOrder) -> Result[str, Failure]:
+    def answer_locally(self, received: ReceivedRequest) -> Result[str, Failure]:
         """Answer a request as the incarnation that its ticket should name."""
-        request = order.request
+        request = received.request
         admitted = self._gate.admit(request)
         if isinstance(admitted, Failed):
             return Failed(admitted.failure())
@@ -71,29 +71,33 @@
         if isinstance(admission, ReplayAnswer):
             return admission.answer
         if isinstance(admission, StartExecution):
-            self._runner.start(request, order.deadline_at_ms)
-        ended = self._runner.wait(request.request_id, self._left_ms(order))
+            self._runner.start(request, received.deadline_at_ms)
+        ended = self._runner.wait(request.request_id, self._left_ms(received))
         if isinstance(admission, StartExecution) and not ended:
-            self._gate.table.abandon_unsent(request.request_id, _TOO_LATE)
-        return _told(self._gate.table.state(request.request_id))
+            self._gate.table.abandon_unsent(
+                request.request_id, _DEADLINE_PASSED
+            )
+        return _result_of_state(self._gate.table.state(request.request_id))
 
-    def _pass_on(
+    def _forward(
         self,
-        place: ForwardToPeer,
-        order: ExecuteOrder,
+        route: ForwardToPeer,
+        received: ReceivedRequest,
     ) -> Result[str, Failure]:
         """Ask the daemon of the ticket, whose memory makes repeats safe."""
-        member = self._board.members.get(place.daemon)
+        member = self._board.members.get(route.daemon)
         if member is None:
             return Failed(
                 unknown_outcome('the daemon of the ticket is not known')
             )
-        for _ in range(_MOST_PASSES):
-            left_ms = self._left_ms(order)
+        for _ in range(_MAX_FORWARDS):
+            left_ms = self._left_ms(received)
             reply = self._peers.call(
                 member.peer,
                 'execute',
-                order_to_peer(order.request, order.traffic_class, left_ms),
+                request_to_peer(
+                    received.request, received.traffic_class, left_ms
+                ),
                 left_ms,
             )
             if isinstance(reply, Success):
@@ -101,11 +105,11 @@
         detail = f'the daemon of the ticket: {reply.failure().detail}'
         return Failed(unknown_outcome(detail))
 
-    def _left_ms(self, order: ExecuteOrder) -> float:
-        return order.deadline_at_ms - self._clock.now_ms()
+    def _left_ms(self, received: ReceivedRequest) -> float:
+        return received.deadline_at_ms - self._clock.now_ms()
 
 
-def _told(state: OnceState | None) -> Result[str, Failure]:
+def _result_of_state(state: OnceState | None) -> Result[str, Failure]:
     if isinstance(state, Done):
         return Success(state.outcome)
     if isinstance(state, Ended):
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -13,23 +13,23 @@
 from fennelfork.placement import peer_health
 from fennelfork_daemon._address import address
 from fennelfork_daemon.execute._connection import ExecuteTarget
-from fennelfork_daemon.home._calls import Home, HomeCalls
+from fennelfork_daemon.home._calls import Home, HomeClient
 from fennelfork_daemon.peer._client import PeerClient
-from fennelfork_daemon.root._describer import Describer
+from fennelfork_daemon.root._describer import ShardDescriber
 from fennelfork_daemon.root._view_cache import ViewCache
 
-_RETRY_MS: Final = 1000
+_RETRY_AFTER_MS: Final = 1000
 
 
 @attrs.define(kw_only=True)
-class ExecuteTargets:
+class HomeTargetFinder:
     """What is known of where records are, asked for when it is not."""
 
     _board: Blackboard
-    _describer: Describer
+    _describer: ShardDescriber
     _views: ViewCache
     _rng: random.Random
-    _leaving: DrainingServers
+    _draining: DrainingServers
 
     def find(
         self,
@@ -46,57 +46,59 @@
         if front is None:
             detail = f'there is no front {request.front!r}'
             return Failed(not_run(FailureCode.UNKNOWN_FRONT, detail))
-        self._describer.learn(request.front, front, deadline_at_ms)
+        self._describer.describe_unknown(request.front, front, deadline_at_ms)
         servers = servers_for_record(
             front,
-            self._views.known(request.front),
+            self._views.for_front(request.front),
             request.key,
             self._board.local.data_centre,
             self._rng,
         )
-        staying = self._leaving.exclude_draining(servers)
-        if servers and not staying:
+        candidates = self._draining.exclude_draining(servers)
+        if servers and not candidates:
             detail = 'every server of the record is leaving'
-            return Failed(not_run(FailureCode.DRAINING, detail, _RETRY_MS))
-        return Success(tuple(_target(named) for named in staying))
+            return Failed(
+                not_run(FailureCode.DRAINING, detail, _RETRY_AFTER_MS)
+            )
+        return Success(tuple(_target(named) for named in candidates))
 
-    def forget(self, request: ExecuteRequest) -> None:
+    def invalidate(self, request: ExecuteRequest) -> None:
         """Ask anew, as the servers that were named do not hold the record."""
-        self._views.keep_only(request.front, ())
+        self._views.retain_shards(request.front, ())
 
-    def note_leaving(self, target: ExecuteTarget) -> None:
+    def record_draining(self, target: ExecuteTarget) -> None:
         """Leave a server out for a while, as it refuses as draining."""
-        self._leaving.record_refusal(f'{target.host}:{target.port}')
+        self._draining.record_refusal(f'{target.host}:{target.port}')
 
 
-def execute_targets(
+def home_target_finder(
     board: Blackboard,
     clock: Clock,
     home: Home,
-) -> ExecuteTargets:
+) -> HomeTargetFinder:
     """Build the search for servers, which asks homes and knows none yet."""
     health = peer_health(clock)
     views = ViewCache()
-    calls = HomeCalls(
+    calls = HomeClient(
         local_name=board.local.name,
         local=home,
         peers=PeerClient(),
         health=health,
-        doubted=board.unreachable_peers,
+        unreachable=board.unreachable_peers,
     )
-    describer = Describer(
+    describer = ShardDescriber(
         board=board,
         calls=calls,
         health=health,
         views=views,
         clock=clock,
     )
-    return ExecuteTargets(
+    return HomeTargetFinder(
         board=board,
         describer=describer,
         views=views,
         rng=random.Random(),
-        leaving=draining_servers(clock),
+        draining=draining_servers(clock),
     )
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
@@ -20,7 +20,7 @@
     _board: Blackboard
     _lifetime_ms: int
 
-    def members(self) -> dict[str, Any]:
+    def ticket_fields(self) -> dict[str, Any]:
         """Give the members that an entry answer carries for its ticket.
 
         All are none when this daemon is leaving: another one has to be asked.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_calls.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_calls.py
@@ -25,8 +25,8 @@
 class Home(Protocol):
     """What the home of some shards does for a root."""
 
-    def scatter(self, order: ScatterRequest) -> ScatterOutcome:
-        """Run the sub-queries of `order`, within its deadline."""
+    def scatter(self, request: ScatterRequest) -> ScatterOutcome:
+        """Run the sub-queries of `request`, within its deadline."""
 
     def describe(
         self,
@@ -36,22 +36,22 @@
         """Tell which snapshots and ranges the shards hold."""
 
 
-def _gate_of_system() -> EntryGate:
+def _new_gate() -> EntryGate:
     return entry_gate(system_clock())
 
 
 @attrs.define(kw_only=True)
-class HomeCalls:
+class HomeClient:
     """Reaches a home: in this process by a call, elsewhere by thrift."""
 
     _local_name: str
     _local: Home
     _peers: PeerClient
     _health: PeerHealth
-    _doubted: set[str]
-    _gate: EntryGate = attrs.field(factory=_gate_of_system)
+    _unreachable: set[str]
+    _gate: EntryGate = attrs.field(factory=_new_gate)
 
-    def let_in(self, request: QueryRequest) -> Result[float, Failure]:
+    def admit(self, request: QueryRequest) -> Result[float, Failure]:
         """Refuse a query at once if some home would refuse its part.
 
         Returns:
@@ -63,25 +63,25 @@
     def scatter(
         self,
         home: Member,
-        order: ScatterRequest,
+        request: ScatterRequest,
         timeout_ms: float,
     ) -> Result[ScatterOutcome, Failure]:
         """Have a home run sub-queries."""
         if home.name == self._local_name:
-            outcome = self._local.scatter(order)
-            self._learn_level(home, order, outcome)
+            outcome = self._local.scatter(request)
+            self._record_level(home, request, outcome)
             return Success(outcome)
         reply = self._peers.call(
             home.peer,
             'scatter',
-            order_to_peer(order),
+            order_to_peer(request),
             timeout_ms,
         )
-        self._note(home, reply)
+        self._record_health(home, reply)
         return reply.map(
-            lambda message: outcome_from_peer(message, order),
+            lambda message: outcome_from_peer(message, request),
         ).map(
-            lambda outcome: self._learn_level(home, order, outcome),
+            lambda outcome: self._record_level(home, request, outcome),
         )
 
     def describe(
@@ -92,15 +92,17 @@
         timeout_ms: float,
     ) -> Result[tuple[ShardView, ...], Failure]:
         """Have a home tell what shards hold."""
-        asked = tuple(sorted(shards))
+        shard_names = tuple(sorted(shards))
         if home.name == self._local_name:
-            return Success(self._local.describe(front, asked))
-        request = peer.DescribeRequest(front=front, shards=list(asked))
+            return Success(self._local.describe(front, shard_names))
+        request = peer.DescribeRequest(front=front, shards=list(shard_names))
         reply = self._peers.call(home.peer, 'describe', request, timeout_ms)
-        self._note(home, reply)
+        self._record_health(home, reply)
         return reply.map(lambda message: views_from_peer(message.shards))
 
-    def lives(self, home: Member, front: str, timeout_ms: float) -> bool:
+    def is_responsive(
+        self, home: Member, front: str, timeout_ms: float
+    ) -> bool:
         """Tell whether a home answers at all, however busy it is.
 
         Asked to describe no shard, it answers at once.
@@ -108,25 +110,29 @@
         described = self.describe(home, front, frozenset(), timeout_ms)
         return is_successful(described)
 
-    def _learn_level(
+    def _record_level(
         self,
         home: Member,
-        order: ScatterRequest,
+        request: ScatterRequest,
         outcome: ScatterOutcome,
     ) -> ScatterOutcome:
-        told = AdmissionLevel(
-            front=order.front,
-            flow=Flow(tenant=order.tenant, traffic_class=order.traffic_class),
+        admission_level = AdmissionLevel(
+            front=request.front,
+            flow=Flow(
+                tenant=request.tenant, traffic_class=request.traffic_class
+            ),
             home=home.name,
             level=outcome.level,
         )
-        self._gate.record_level(told)
+        self._gate.record_level(admission_level)
         return outcome
 
-    def _note(self, home: Member, reply: Result[object, Failure]) -> None:
+    def _record_health(
+        self, home: Member, reply: Result[object, Failure]
+    ) -> None:
         reply.map(lambda _: self._health.record_reply(home.name))
-        reply.alt(lambda _: self._note_silence(home.name))
+        reply.alt(lambda _: self._record_unreachable(home.name))
 
-    def _note_silence(self, name: str) -> None:
+    def _record_unreachable(self, name: str) -> None:
         self._health.record_failure(name)
-        self._doubted.add(name)
+        self._unreachable.add(name)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
@@ -17,37 +17,41 @@
     SubQueryOutcome,
 )
 from fennelfork.home import Flow, ServerStatus, Task, TaskStats
-from fennelfork_daemon.home._orders import Errand, Outcome, SearchOrder
-from fennelfork_daemon.home._runners import HomeRunners, ShardName
+from fennelfork_daemon.home._runners import ShardName, ShardRunners
+from fennelfork_daemon.home._tasks import (
+    RunnableTask,
+    SearchRequest,
+    TaskOutcome,
+)
 from fennelfork_daemon.metrics._metrics import DaemonMetrics
 from fennelfork_daemon.settings._tables import LimitSettings
 
-_UNKNOWN: Final = not_run(
+_UNKNOWN_SHARD: Final = not_run(
     FailureCode.NO_SERVER,
     'the shard is not configured at this home',
 )
 
 
 @attrs.define(kw_only=True)
-class _Gathering:
+class _OutcomeCollector:
     """Waits for the parts of one order."""
 
-    awaited: int
+    expected_count: int
     parts: list[SubQueryOutcome] = attrs.field(factory=list)
-    _full: eventlet.event.Event = attrs.field(
+    _completed: eventlet.event.Event = attrs.field(
         factory=eventlet.event.Event,
     )
 
-    def take(self, part: SubQueryOutcome) -> None:
+    def add(self, part: SubQueryOutcome) -> None:
         """Take one part; each sub-query gives just one."""
         self.parts.append(part)
-        if len(self.parts) == self.awaited:
-            self._full.send()
+        if len(self.parts) == self.expected_count:
+            self._completed.send()
 
     def wait(self) -> tuple[SubQueryOutcome, ...]:
         """Wait for all parts; the scheduler ends each by the deadline."""
-        if self.awaited:
-            self._full.wait()
+        if self.expected_count:
+            self._completed.wait()
         return tuple(self.parts)
 
 
@@ -57,7 +61,7 @@
 
     _board: Blackboard
     _clock: Clock
-    _runners: HomeRunners
+    _runners: ShardRunners
     _serials: Iterator[int] = attrs.field(factory=itertools.count)
 
     @property
@@ -65,22 +69,22 @@
         """The servers of each shard that this daemon is the home of."""
         return self._runners.sights
 
-    def scatter(self, order: ScatterRequest) -> ScatterOutcome:
-        """Run the sub-queries of `order`, within its deadline."""
-        deadline_ms = self._clock.now_ms() + order.deadline_ms
-        gathering = _Gathering(awaited=len(order.planned))
-        query = json.loads(order.query)
-        for planned in order.planned:
-            task = self._task(order, planned, deadline_ms)
-            search = SearchOrder(expected=planned.expected, query=query)
-            self._start(order.front, planned, task, search, gathering)
-        parts = gathering.wait()
-        shards = sorted({asked.shard for asked in order.planned})
+    def scatter(self, request: ScatterRequest) -> ScatterOutcome:
+        """Run the sub-queries of `request`, within its deadline."""
+        deadline_ms = self._clock.now_ms() + request.deadline_ms
+        collector = _OutcomeCollector(expected_count=len(request.planned))
+        query = json.loads(request.query)
+        for planned in request.planned:
+            task = self._task(request, planned, deadline_ms)
+            search = SearchRequest(expected=planned.expected, query=query)
+            self._start(request.front, planned, task, search, collector)
+        parts = collector.wait()
+        shards = sorted({planned.shard for planned in request.planned})
         return ScatterOutcome(
             parts=parts,
-            shards=self._views(order.front, shards),
+            shards=self._views(request.front, shards),
             config_version=self._board.config_version,
-            level=self._level(order, shards),
+            level=self._lowest_level(request, shards),
         )
 
     def describe(
@@ -91,7 +95,7 @@
         """Tell which snapshots and ranges the shards hold."""
         pool = eventlet.GreenPool()
         names = [ShardName(front=front, shard=shard) for shard in shards]
-        for _ in pool.imap(self._runners.of, names):
+        for _ in pool.imap(self._runners.get_runner, names):
             """Each runner learns what its servers hold."""
         return self._views(front, shards)
 
@@ -106,32 +110,36 @@
     ) -> tuple[ShardView, ...]:
         views = []
         for shard in shards:
-            runner = self._runners.of(ShardName(front=front, shard=shard))
+            runner = self._runners.get_runner(
+                ShardName(front=front, shard=shard)
+            )
             if runner is not None:
                 views.append(runner.scheduler.servers.view(shard))
         return tuple(views)
 
     def _task(
         self,
-        order: ScatterRequest,
+        request: ScatterRequest,
         planned: PlannedSubQuery,
         deadline_ms: float,
     ) -> Task:
         return Task(
             job=str(next(self._serials)),
-            request_id=order.request_id,
+            request_id=request.request_id,
             span=planned.expected.span,
-            snapshot=order.snapshot,
+            snapshot=request.snapshot,
             deadline_ms=deadline_ms,
-            flow=flow_of(order),
-            weight=1 / order.level,
+            flow=flow_for(request),
+            weight=1 / request.level,
         )
 
-    def _level(self, order: ScatterRequest, shards: list[str]) -> float:
+    def _lowest_level(
+        self, request: ScatterRequest, shards: list[str]
+    ) -> float:
         """Give the lowest level of the shards that were asked."""
-        names = [ShardName(front=order.front, shard=each) for each in shards]
-        runners = [self._runners.of(name) for name in names]
-        flow = flow_of(order)
+        names = [ShardName(front=request.front, shard=each) for each in shards]
+        runners = [self._runners.get_runner(name) for name in names]
+        flow = flow_for(request)
         return min(
             (runner.scheduler.level(flow) for runner in runners if runner),
             default=1,
@@ -142,25 +150,31 @@
         front: str,
         planned: PlannedSubQuery,
         task: Task,
-        search: SearchOrder,
-        gathering: _Gathering,
+        search: SearchRequest,
+        collector: _OutcomeCollector,
     ) -> None:
-        runner = self._runners.of(ShardName(front=front, shard=planned.shard))
+        runner = self._runners.get_runner(
+            ShardName(front=front, shard=planned.shard)
+        )
         if runner is None:
-            gathering.take(SubQueryOutcome(planned=planned, failure=_UNKNOWN))
+            collector.add(
+                SubQueryOutcome(planned=planned, failure=_UNKNOWN_SHARD)
+            )
             return
-        errand = Errand(
+        runnable = RunnableTask(
             name=planned.expected.sub_query,
             task=task,
-            order=search,
-            done=lambda outcome: gathering.take(_part(planned, outcome)),
+            search=search,
+            on_done=lambda outcome: collector.add(
+                _sub_query_outcome(planned, outcome)
+            ),
         )
-        runner.run(errand)
+        runner.run(runnable)
 
 
-def flow_of(order: ScatterRequest) -> Flow:
+def flow_for(request: ScatterRequest) -> Flow:
     """Tell whose share of the slots an order counts towards."""
-    return Flow(tenant=order.tenant, traffic_class=order.traffic_class)
+    return Flow(tenant=request.tenant, traffic_class=request.traffic_class)
 
 
 def home_service(
@@ -177,7 +191,7 @@
         limits: what bounds its memory.
         metrics: counts what servers shed or answered wrongly.
     """
-    runners = HomeRunners(
+    runners = ShardRunners(
         board=board,
         clock=clock,
         limits=limits,
@@ -186,7 +200,9 @@
     return HomeService(board=board, clock=clock, runners=runners)
 
 
-def _part(planned: PlannedSubQuery, outcome: Outcome) -> SubQueryOutcome:
+def _sub_query_outcome(
+    planned: PlannedSubQuery, outcome: TaskOutcome
+) -> SubQueryOutcome:
     stats: TaskStats = outcome.stats
     return SubQueryOutcome(
         planned=planned,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_settings.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_settings.py
@@ -16,7 +16,7 @@
 
 # Two daemons may think that they are the home of a shard; each takes at most
 # this part of a server's connections, so that both fit.
-_HOMES: Final = 2
+_MAX_HOMES: Final = 2
 
 
 def home_settings(
@@ -47,19 +47,21 @@
     )
 
 
-def server_facts(
+def server_config(
     board: Blackboard,
     name: str,
     server: Server,
 ) -> ServerConfig:
     """Give what this daemon may use of a server."""
     daemons = max(1, len(board.members))
-    usable = limit_slots(server, board.routing, daemons)
-    users = _HOMES if board.routing is RoutingMode.HOME else daemons
+    slot_limit = limit_slots(server, board.routing, daemons)
+    daemons_sharing = (
+        _MAX_HOMES if board.routing is RoutingMode.HOME else daemons
+    )
     return ServerConfig(
         name=name,
-        slots=usable.slots,
-        connections=max(1, server.connections // users),
+        slots=slot_limit.slots,
+        connections=max(1, server.connections // daemons_sharing),
     )
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
@@ -24,22 +24,24 @@
     home_scheduler,
 )
 from fennelfork_daemon._address import address
-from fennelfork_daemon.backend._client import BackendClient, Sending
+from fennelfork_daemon.backend._client import BackendClient, SendOptions
 from fennelfork_daemon.backend._pool import Trace, backend_pool
-from fennelfork_daemon.home._orders import Errand, Outcome
+from fennelfork_daemon.home._tasks import RunnableTask, TaskOutcome
 
 _MS: Final = 1000
-_CANCEL_MS: Final = 1000.0
+_CANCEL_TIMEOUT_MS: Final = 1000.0
 # How long a server that confirmed a cancel may take to say so to the copy.
 _GRACE_STEPS: Final = 10
 _GRACE_STEP_MS: Final = 10.0
 # A copy is ended by its cancel; this only bounds the wait on its socket.
-_BEYOND_DEADLINE_MS: Final = 3000.0
-_GONE: Final = not_run(FailureCode.NO_SERVER, 'the server was removed')
+_SOCKET_MARGIN_MS: Final = 3000.0
+_SERVER_REMOVED: Final = not_run(
+    FailureCode.NO_SERVER, 'the server was removed'
+)
 
 
 @attrs.define(kw_only=True)
-class _Copy:
+class _Attempt:
     """One attempt under way."""
 
     name: str
@@ -60,25 +62,25 @@
     scheduler: HomeScheduler
     _clock: Clock
     _label: str
-    _most_bytes: int
-    _notice: Callable[[Failure], None]
+    _max_reply_bytes: int
+    _failure_callback: Callable[[Failure], None]
     _clients: dict[str, BackendClient] = attrs.field(factory=dict)
     _addresses: dict[str, str] = attrs.field(factory=dict)
-    _errands: dict[str, Errand] = attrs.field(factory=dict)
-    _copies: dict[int, _Copy] = attrs.field(factory=dict)
-    _settled: dict[int, _Copy] = attrs.field(factory=dict)
-    _alarm: GreenThread | None = None
-    _alarm_ms: float = 0
+    _runnables: dict[str, RunnableTask] = attrs.field(factory=dict)
+    _attempts: dict[int, _Attempt] = attrs.field(factory=dict)
+    _answered_attempts: dict[int, _Attempt] = attrs.field(factory=dict)
+    _timer: GreenThread | None = None
+    _timer_at_ms: float = 0
 
     @property
     def clients(self) -> dict[str, BackendClient]:
         """The servers that can be called, by name."""
         return self._clients
 
-    def run(self, errand: Errand) -> None:
-        """Have one errand carried out; its `done` is called once."""
-        self._errands[errand.task.job] = errand
-        self.carry_out(self.scheduler.submit(errand.task))
+    def run(self, runnable: RunnableTask) -> None:
+        """Have one errand carried out; its `on_done` is called once."""
+        self._runnables[runnable.task.job] = runnable
+        self.apply_actions(self.scheduler.submit(runnable.task))
 
     def connect(self, servers: dict[str, Server]) -> None:
         """Build clients for the servers of the configuration in force."""
@@ -88,19 +90,19 @@
             if self._addresses.get(name) != server.address:
                 self._connect(name, server)
 
-    def carry_out(self, actions: Iterable[Action]) -> None:
+    def apply_actions(self, actions: Iterable[Action]) -> None:
         """Do what the scheduler decided."""
         for action in actions:
             match action:
                 case Send():
-                    self._start(action)
+                    self._start_attempt(action)
                 case Cancel():
-                    eventlet.spawn_n(self._cancel, action)
+                    eventlet.spawn_n(self._cancel_attempt, action)
                 case TaskAnswered():
-                    self._answer(action)
+                    self._complete_task(action)
                 case TaskRefused():
-                    self._refuse(action)
-        self._set_alarm()
+                    self._fail_task(action)
+        self._set_timer()
 
     def _connect(self, name: str, server: Server) -> None:
         ledger = self.scheduler.servers.connections(name)
@@ -110,108 +112,112 @@
             address(server.address),
             ledger,
             self._clock,
-            self._most_bytes,
+            self._max_reply_bytes,
         )
         self._addresses[name] = server.address
         self._clients[name] = BackendClient(pool=pool)
 
-    def _start(self, send: Send) -> None:
-        errand = self._errands[send.task.job]
-        copy = _Copy(
-            name=f'{errand.name}#{self._label}.{send.attempt}',
+    def _start_attempt(self, send: Send) -> None:
+        runnable = self._runnables[send.task.job]
+        attempt = _Attempt(
+            name=f'{runnable.name}#{self._label}.{send.attempt}',
             trace=Trace(),
             started_ms=self._clock.now_ms(),
         )
-        self._copies[send.attempt] = copy
-        copy.thread = eventlet.spawn(self._attempt, send, copy, errand)
+        self._attempts[send.attempt] = attempt
+        attempt.thread = eventlet.spawn(
+            self._run_attempt, send, attempt, runnable
+        )
 
-    def _attempt(self, send: Send, copy: _Copy, errand: Errand) -> None:
+    def _run_attempt(
+        self, send: Send, attempt: _Attempt, runnable: RunnableTask
+    ) -> None:
         """Send one copy and report how it ended."""
         left_ms = send.task.deadline_ms - self._clock.now_ms()
-        sending = Sending(
+        options = SendOptions(
             left_ms=left_ms,
-            timeout_ms=left_ms + _BEYOND_DEADLINE_MS,
+            timeout_ms=left_ms + _SOCKET_MARGIN_MS,
             fresh=send.fresh_connection,
-            trace=copy.trace,
+            trace=attempt.trace,
         )
         client = self._clients.get(send.server)
         result: Result[Reply, Failure] = (
-            errand.order.send(client, copy.name, sending)
+            runnable.search.send(client, attempt.name, options)
             if client
-            else Bad(_GONE)
+            else Bad(_SERVER_REMOVED)
         )
-        self._copies.pop(send.attempt, None)
+        self._attempts.pop(send.attempt, None)
         if is_successful(result):
-            copy.result = result
-            self._settled[send.attempt] = copy
-            self.carry_out(self.scheduler.on_reply(send.attempt))
-            self._settled.pop(send.attempt, None)
+            attempt.result = result
+            self._answered_attempts[send.attempt] = attempt
+            self.apply_actions(self.scheduler.on_reply(send.attempt))
+            self._answered_attempts.pop(send.attempt, None)
             return
-        self._notice(result.failure())
+        self._failure_callback(result.failure())
         failed = self.scheduler.on_failure(send.attempt, result.failure())
-        self.carry_out(failed)
+        self.apply_actions(failed)
 
-    def _answer(self, answered: TaskAnswered) -> None:
-        copy = self._settled[answered.attempt]
-        outcome = Outcome(
-            result=copy.result,
+    def _complete_task(self, answered: TaskAnswered) -> None:
+        attempt = self._answered_attempts[answered.attempt]
+        outcome = TaskOutcome(
+            result=attempt.result,
             stats=answered.stats,
             server=answered.server,
-            server_ms=self._clock.now_ms() - copy.started_ms,
+            server_ms=self._clock.now_ms() - attempt.started_ms,
         )
-        self._errands.pop(answered.task.job).done(outcome)
+        self._runnables.pop(answered.task.job).on_done(outcome)
 
-    def _refuse(self, refused: TaskRefused) -> None:
-        outcome = Outcome(result=Bad(refused.failure), stats=refused.stats)
-        self._errands.pop(refused.task.job).done(outcome)
+    def _fail_task(self, refused: TaskRefused) -> None:
+        outcome = TaskOutcome(result=Bad(refused.failure), stats=refused.stats)
+        self._runnables.pop(refused.task.job).on_done(outcome)
 
-    def _cancel(self, cancel: Cancel) -> None:
+    def _cancel_attempt(self, cancel: Cancel) -> None:
         """Have a server end a copy; find out whether its connection works."""
-        copy = self._copies.get(cancel.attempt)
+        attempt = self._attempts.get(cancel.attempt)
         client = self._clients.get(cancel.server)
-        if copy is None or client is None:
+        if attempt is None or client is None:
             return
-        sending = Sending(
-            left_ms=_CANCEL_MS,
-            timeout_ms=_CANCEL_MS,
+        options = SendOptions(
+            left_ms=_CANCEL_TIMEOUT_MS,
+            timeout_ms=_CANCEL_TIMEOUT_MS,
             fresh=cancel.suspect,
             trace=Trace(),
         )
         request_id = cancel.task.request_id
-        answered = client.cancel(request_id, copy.name, sending)
-        if _ends_soon(self._copies, cancel.attempt):
+        answered = client.cancel(request_id, attempt.name, options)
+        if _ends_in_grace_period(self._attempts, cancel.attempt):
             return
         if is_successful(answered):
             # The server spoke on a new connection, the old one is silent.
-            client.pool.silence(copy.trace)
-            self.carry_out(self.scheduler.on_cancelled(cancel.attempt))
-        self._copies.pop(cancel.attempt, None)
-        if copy.thread is not None:
-            copy.thread.kill()
+            client.pool.discard_unresponsive(attempt.trace)
+            self.apply_actions(self.scheduler.on_cancelled(cancel.attempt))
+        self._attempts.pop(cancel.attempt, None)
+        if attempt.thread is not None:
+            attempt.thread.kill()
 
-    def _set_alarm(self) -> None:
+    def _set_timer(self) -> None:
         """Wake up when the scheduler next has something to do."""
         next_ms = self.scheduler.next_tick_ms
         if next_ms is None:
             return
-        if self._alarm is not None:
-            if self._alarm_ms <= next_ms:
+        if self._timer is not None:
+            if self._timer_at_ms <= next_ms:
                 return
-            self._alarm.cancel()
+            self._timer.cancel()
         delay_ms = max(0, next_ms - self._clock.now_ms())
-        self._alarm_ms = next_ms
-        self._alarm = eventlet.spawn_after(delay_ms / _MS, self._wake)
+        self._timer_at_ms = next_ms
+        self._timer = eventlet.spawn_after(delay_ms / _MS, self._handle_timer)
 
-    def _wake(self) -> None:
-        self._alarm = None
-        self.carry_out(self.scheduler.tick())
+    def _handle_timer(self) -> None:
+        self._timer = None
+        self.apply_actions(self.scheduler.tick())
 
 
 def shard_runner(
     clock: Clock,
     label: str,
-    most_bytes: int,
-    notice: Callable[[Failure], None],
+    max_reply_bytes: int,
+    failure_callback: Callable[[Failure], None],
 ) -> ShardRunner:
     """Build the runner of a shard without servers.
 
@@ -225,15 +231,15 @@
         scheduler=home_scheduler(clock, random.Random()),
         clock=clock,
         label=label,
-        most_bytes=most_bytes,
-        notice=notice,
+        max_reply_bytes=max_reply_bytes,
+        failure_callback=failure_callback,
     )
 
 
-def _ends_soon(copies: dict[int, _Copy], attempt: int) -> bool:
+def _ends_in_grace_period(attempts: dict[int, _Attempt], attempt: int) -> bool:
     """Wait a little for a copy itself to hear of its end."""
     for _ in range(_GRACE_STEPS):
-        if attempt not in copies:
+        if attempt not in attempts:
             return True
         eventlet.sleep(_GRACE_STEP_MS / _MS)
-    return attempt not in copies
+    return attempt not in attempts
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_orders.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_tasks.py
@@ -9,11 +9,11 @@
 from fennelfork import Failure
 from fennelfork.gather import ExpectedReply, Reply
 from fennelfork.home import Task, TaskStats
-from fennelfork_daemon.backend._client import BackendClient, Sending
+from fennelfork_daemon.backend._client import BackendClient, SendOptions
 
 
 @attrs.frozen(kw_only=True)
-class Outcome:
+class TaskOutcome:
     """How a task ended.
 
     Attributes:
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class SearchOrder:
+class SearchRequest:
     """A sub-query: what its reply must echo, and the query's content."""
 
     expected: ExpectedReply
@@ -40,19 +40,19 @@
         self,
         client: BackendClient,
         sub_query: str,
-        sending: Sending,
+        options: SendOptions,
     ) -> Result[Reply, Failure]:
         """Send one copy under the name `sub_query`."""
         expected = attrs.evolve(self.expected, sub_query=sub_query)
-        reply = client.search(expected, self.query, sending)
-        return reply.map(self._rename)
+        reply = client.search(expected, self.query, options)
+        return reply.map(self._restore_name)
 
-    def _rename(self, reply: Reply) -> Reply:
+    def _restore_name(self, reply: Reply) -> Reply:
         return attrs.evolve(reply, sub_query=self.expected.sub_query)
 
 
 @attrs.frozen(kw_only=True)
-class Errand:
+class RunnableTask:
     """A task of the scheduler with all that is needed to carry it out.
 
     Attributes:
@@ -64,5 +64,5 @@
 
     name: str
     task: Task
-    order: SearchOrder
-    done: Callable[[Outcome], None]
+    search: SearchRequest
+    on_done: Callable[[TaskOutcome], None]
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
@@ -9,25 +9,27 @@
 from fennelfork.config import Front
 from fennelfork.home import HomeGroup, homes_of, route_homes
 from fennelfork.placement import PeerHealth
-from fennelfork_daemon.home._calls import HomeCalls
+from fennelfork_daemon.home._calls import HomeClient
 from fennelfork_daemon.root._view_cache import ViewCache
 
-_SHARE: Final = 0.5
-_LONGEST_MS: Final = 1000
-_MOST_ROUNDS: Final = 2
+_TIMEOUT_SHARE: Final = 0.5
+_MAX_TIMEOUT_MS: Final = 1000
+_MAX_ROUNDS: Final = 2
 
 
 @attrs.define(kw_only=True)
-class Describer:
+class ShardDescriber:
     """Fills the view cache before a query needs it."""
 
     _board: Blackboard
-    _calls: HomeCalls
+    _calls: HomeClient
     _health: PeerHealth
     _views: ViewCache
     _clock: Clock
 
-    def learn(self, name: str, front: Front, deadline_at_ms: float) -> None:
+    def describe_unknown(
+        self, name: str, front: Front, deadline_at_ms: float
+    ) -> None:
         """Ask the homes of unknown shards, then the next homes.
 
         Args:
@@ -35,30 +37,32 @@
             front: its settings.
             deadline_at_ms: reading of the clock that ends the asking.
         """
-        self._views.keep_only(name, front.shards)
-        silent = self._health.avoided
-        for _ in range(_MOST_ROUNDS):
-            unknown = self._views.unknown(name, front.shards)
-            groups = route_homes(self._board, name, unknown, silent)
+        self._views.retain_shards(name, front.shards)
+        unresponsive = self._health.avoided
+        for _ in range(_MAX_ROUNDS):
+            unknown_shards = self._views.unknown_shards(name, front.shards)
+            groups = route_homes(
+                self._board, name, unknown_shards, unresponsive
+            )
             if not groups:
                 return
-            self._ask(name, groups, deadline_at_ms)
-            silent |= homes_of(groups)
+            self._describe_groups(name, groups, deadline_at_ms)
+            unresponsive |= homes_of(groups)
 
-    def _ask(
+    def _describe_groups(
         self,
         front: str,
         groups: tuple[HomeGroup, ...],
         deadline_at_ms: float,
     ) -> None:
         left_ms = deadline_at_ms - self._clock.now_ms()
-        timeout_ms = min(left_ms * _SHARE, _LONGEST_MS)
+        timeout_ms = min(left_ms * _TIMEOUT_SHARE, _MAX_TIMEOUT_MS)
         pool = eventlet.GreenPool(len(groups))
         for group in groups:
-            pool.spawn_n(self._ask_home, front, group, timeout_ms)
+            pool.spawn_n(self._describe_group, front, group, timeout_ms)
         pool.waitall()
 
-    def _ask_home(
+    def _describe_group(
         self,
         front: str,
         group: HomeGroup,
@@ -70,4 +74,4 @@
             group.shards,
             timeout_ms,
         )
-        views.map(lambda described: self._views.learn(front, described))
+        views.map(lambda described: self._views.update(front, described))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_wave.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_fan_out.py
@@ -12,18 +12,18 @@
 from fennelfork_daemon.tracing._trace import RequestTrace
 
 # How long a home may be silent before it is asked whether it lives.
-_PATIENCE_SHARE: Final = 0.4
-_LONGEST_PATIENCE_MS: Final = 500
-_LEAST_PATIENCE_MS: Final = 20
+_PROBE_DELAY_SHARE: Final = 0.4
+_MAX_PROBE_DELAY_MS: Final = 500
+_MIN_PROBE_DELAY_MS: Final = 20
 
 
-def patience_ms(left_ms: float) -> float:
+def probe_delay_ms(left_ms: float) -> float:
     """Give how long homes may be silent, of what remains of a deadline."""
-    share_ms = min(left_ms * _PATIENCE_SHARE, _LONGEST_PATIENCE_MS)
-    return max(share_ms, _LEAST_PATIENCE_MS)
+    share_ms = min(left_ms * _PROBE_DELAY_SHARE, _MAX_PROBE_DELAY_MS)
+    return max(share_ms, _MIN_PROBE_DELAY_MS)
 
 
-def is_awaited(
+def should_wait(
     merge: Merge,
     demand: CoverageDemand,
     left_ms: float,
@@ -40,18 +40,18 @@
     return not is_unsatisfiable(merge, demand)
 
 
-def note_group(
+def trace_fallback(
     trace: RequestTrace,
     group: HomeGroup,
-    silent: frozenset[str],
+    unresponsive: frozenset[str],
 ) -> None:
     """Note that a home is asked in place of silent ones, if it is."""
-    if silent:
+    if unresponsive:
         trace.note(
             'asked the next home',
             home=group.home.name,
             shards=sorted(group.shards),
-            silent=sorted(silent),
+            silent=sorted(unresponsive),
         )
 
 
@@ -60,7 +60,9 @@
     return frozenset(planned.shard for planned in merge.pending)
 
 
-def pending_of(merge: Merge, group: HomeGroup) -> tuple[PlannedSubQuery, ...]:
+def pending_for_group(
+    merge: Merge, group: HomeGroup
+) -> tuple[PlannedSubQuery, ...]:
     """Give what is pending of the shards of a group."""
     return tuple(
         planned for planned in merge.pending if planned.shard in group.shards
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -18,9 +18,9 @@
     refusal_of,
 )
 from fennelfork.placement import PeerHealth, peer_health
-from fennelfork_daemon.home._calls import Home, HomeCalls
+from fennelfork_daemon.home._calls import Home, HomeClient
 from fennelfork_daemon.peer._client import PeerClient
-from fennelfork_daemon.root._describer import Describer
+from fennelfork_daemon.root._describer import ShardDescriber
 from fennelfork_daemon.root._scatter import RootScatter
 from fennelfork_daemon.root._view_cache import ViewCache
 from fennelfork_daemon.tracing._trace import RequestTrace
@@ -31,10 +31,10 @@
     """Answers queries that callers sent to this daemon."""
 
     _board: Blackboard
-    _calls: HomeCalls
+    _calls: HomeClient
     _health: PeerHealth
     _views: ViewCache
-    _describer: Describer
+    _describer: ShardDescriber
     _clock: Clock
 
     def answer(
@@ -56,15 +56,21 @@
         if front is None:
             detail = f'there is no front {request.front!r}'
             return Bad(not_run(FailureCode.UNKNOWN_FRONT, detail))
-        level = self._calls.let_in(request)
+        level = self._calls.admit(request)
         if not is_successful(level):
             return Bad(level.failure())
         config_version = self._board.config_version
-        self._describer.learn(request.front, front, request.deadline_at_ms)
+        self._describer.describe_unknown(
+            request.front, front, request.deadline_at_ms
+        )
         scatter = self._scatter(request, trace, level.unwrap())
-        merged = self._rounds(scatter, request, KeyRange(lo=0, hi=front.keys))
+        merged = self._run_with_rerun(
+            scatter, request, KeyRange(lo=0, hi=front.keys)
+        )
         return merged.bind(
-            lambda merge: _finish(request, merge, config_version, scatter),
+            lambda merge: _build_answer(
+                request, merge, config_version, scatter
+            ),
         )
 
     def _scatter(
@@ -85,36 +91,42 @@
             clock=self._clock,
         )
 
-    def _rounds(
+    def _run_with_rerun(
         self,
         scatter: RootScatter,
         request: QueryRequest,
-        whole: KeyRange,
+        key_space: KeyRange,
     ) -> Result[Merge, Failure]:
         """Run the query, and once more on another snapshot if one is gone."""
-        nothing_gone: frozenset[int] = frozenset()
-        first = self._round(scatter, request, whole, nothing_gone)
+        none_excluded: frozenset[int] = frozenset()
+        first = self._run_at_snapshot(
+            scatter, request, key_space, none_excluded
+        )
         merge = first.value_or(None)
         if merge is None or not merge.snapshot_gone or scatter.left_ms <= 0:
             return first
         scatter.work = attrs.evolve(scatter.work, reruns=1)
         scatter.trace.note('rerun on another snapshot', gone=merge.snapshot)
         gone = frozenset((merge.snapshot,))
-        again = self._round(scatter, request, whole, gone)
-        return again.map(lambda rerun: _better(merge, rerun)).lash(
+        again = self._run_at_snapshot(scatter, request, key_space, gone)
+        return again.map(lambda rerun: _choose_better(merge, rerun)).lash(
             lambda _: first,
         )
 
-    def _round(
+    def _run_at_snapshot(
         self,
         scatter: RootScatter,
         request: QueryRequest,
-        whole: KeyRange,
+        key_space: KeyRange,
         gone: frozenset[int],
     ) -> Result[Merge, Failure]:
-        pinned = pin_snapshot(self._views.known(request.front), whole, gone)
+        pinned = pin_snapshot(
+            self._views.for_front(request.front), key_space, gone
+        )
         planned = pinned.map(
-            lambda partition: plan_merge(request.request_id, partition, whole),
+            lambda partition: plan_merge(
+                request.request_id, partition, key_space
+            ),
         )
         if is_successful(planned):
             scatter.run(planned.unwrap())
@@ -130,15 +142,15 @@
         home: the home side of the same daemon.
     """
     health = peer_health(clock)
-    calls = HomeCalls(
+    calls = HomeClient(
         local_name=board.local.name,
         local=home,
         peers=PeerClient(),
         health=health,
-        doubted=board.unreachable_peers,
+        unreachable=board.unreachable_peers,
     )
     views = ViewCache()
-    describer = Describer(
+    describer = ShardDescriber(
         board=board,
         calls=calls,
         health=health,
@@ -155,7 +167,7 @@
     )
 
 
-def _finish(
+def _build_answer(
     request: QueryRequest,
     merge: Merge,
     config_version: int,
@@ -173,7 +185,7 @@
     )
 
 
-def _better(first: Merge, rerun: Merge) -> Merge:
+def _choose_better(first: Merge, rerun: Merge) -> Merge:
     rerun.earlier_verdict = first.verdict
     before = first.build_answer().coverage.fraction
     after = rerun.build_answer().coverage.fraction
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_view_cache.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_view_cache.py
@@ -17,15 +17,17 @@
 
     _views: dict[str, dict[str, ShardView]] = attrs.field(factory=dict)
 
-    def known(self, front: str) -> tuple[ShardView, ...]:
+    def for_front(self, front: str) -> tuple[ShardView, ...]:
         """Give the views of a front."""
         return tuple(self._views.get(front, {}).values())
 
-    def unknown(self, front: str, shards: Iterable[str]) -> frozenset[str]:
+    def unknown_shards(
+        self, front: str, shards: Iterable[str]
+    ) -> frozenset[str]:
         """Give those of `shards` that no view is held of."""
         return frozenset(shards) - self._views.get(front, {}).keys()
 
-    def learn(self, front: str, views: Iterable[ShardView]) -> None:
+    def update(self, front: str, views: Iterable[ShardView]) -> None:
         """Replace the views of the shards named in `views`.
 
         A shard that holds nothing is forgotten, so that it is asked again.
@@ -37,8 +39,8 @@
             else:
                 held.pop(view.shard, None)
 
-    def keep_only(self, front: str, shards: Iterable[str]) -> None:
+    def retain_shards(self, front: str, shards: Iterable[str]) -> None:
         """Forget shards that are no longer configured."""
         held = self._views.get(front, {})
-        for gone in held.keys() - set(shards):
-            held.pop(gone)
+        for removed in held.keys() - set(shards):
+            held.pop(removed)
