--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/__init__.py
@@ -1,1 +1,1 @@
-"""Calls to backend servers over HTTP, and the connections they take."""
+"""HTTP client and connection pool for backend servers."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_call.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_call.py
@@ -1,4 +1,4 @@
-"""Calls as they go out over HTTP, and what comes back."""
+"""HTTP requests to backend servers and their responses."""
 
 import functools
 import json
@@ -14,7 +14,7 @@
 from fennelfork import Failure
 
 _HEADERS: Final = {'Content-Type': 'application/json'}
-# The library adds these of its own accord unless told not to.
+# urllib3 adds these headers unless they are skipped explicitly.
 _OMITTED_HEADERS: Final = ('Accept-Encoding', 'User-Agent')
 
 HeaderPairs = tuple[tuple[str, str], ...]
@@ -22,13 +22,13 @@
 
 @attrs.frozen(kw_only=True)
 class JsonRequest:
-    """One call of a backend server.
+    """Request with an optional JSON body.
 
     Attributes:
-        path: of the call; a call without a body is a GET.
-        body: what to send as JSON.
-        timeout_ms: how long to wait for the whole reply.
-        fresh: open a new connection for it.
+        path: path of the request.
+        body: content of the JSON body; a request without a body is a GET.
+        timeout_ms: timeout for the complete response, in milliseconds.
+        fresh: whether the request needs a new connection.
     """
 
     path: str
@@ -39,14 +39,14 @@
 
 @attrs.frozen(kw_only=True)
 class BackendResponse:
-    """What came back, unread."""
+    """Response of a backend server with an undecoded body."""
 
     status: int
     body: bytes
     headers: HeaderPairs = ()
 
     def header(self, name: str) -> str | None:
-        """Give the first header of a name, whatever its case."""
+        """Return the first header with a name, which is case-insensitive."""
         name_lower = name.lower()
         for header_name, text in self.headers:
             if header_name.lower() == name_lower:
@@ -60,18 +60,19 @@
 
 @attrs.frozen(kw_only=True)
 class ForwardCall:
-    """A call that is sent as it is given.
+    """Request whose method, headers and body are forwarded unchanged.
 
     Attributes:
-        method: of the call.
-        target: path and query.
-        headers: all headers but the length of the body.
-        body: its bytes, if it has any.
-        timeout_ms: how long to wait for the whole reply.
-        connect_ms: how long a new connection may take, at most `timeout_ms`.
-        fresh: open a new connection for it.
-        check: fails for a reply that belongs to another call; its connection
-            is not used again.
+        method: HTTP method.
+        target: path and query string.
+        headers: all headers except Content-Length.
+        body: bytes of the body, if any.
+        timeout_ms: timeout for the complete response, in milliseconds.
+        connect_ms: timeout for a new connection, in milliseconds; at most
+            `timeout_ms` applies.
+        fresh: whether the request needs a new connection.
+        check: function that fails for a response to another request; the
+            connection of such a response is closed.
     """
 
     method: str
@@ -91,12 +92,12 @@
 
 @functools.singledispatch
 def send_request(request: Any, http: HTTPConnection) -> None:
-    """Send a call.
+    """Send a request on an open connection.
 
     Raises:
-        TypeError: for a call of another type.
+        TypeError: if the type of the request is not supported.
     """
-    raise TypeError(f'not a call: {request!r}')
+    raise TypeError(f'the request has an unsupported type: {request!r}')
 
 
 @send_request.register
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
@@ -1,4 +1,4 @@
-"""Calls to one backend server over HTTP."""
+"""Typed client for the HTTP API of one backend server."""
 
 from typing import Any
 
@@ -19,13 +19,13 @@
 
 @attrs.frozen(kw_only=True)
 class SendOptions:
-    """How a call is sent.
+    """Options for sending one request.
 
     Attributes:
-        left_ms: what remains of the deadline.
-        timeout_ms: how long to wait for the reply.
-        fresh: on a new connection.
-        trace: where the connection is noted.
+        left_ms: time until the deadline, in milliseconds.
+        timeout_ms: timeout for the response, in milliseconds.
+        fresh: whether the request needs a new connection.
+        trace: record of the connection that carries the request.
     """
 
     left_ms: float
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class BackendClient:
-    """Speaks to one backend server."""
+    """Client for one backend server."""
 
     pool: BackendPool
 
@@ -46,7 +46,7 @@
         query: Any,
         options: SendOptions,
     ) -> Result[Reply, Failure]:
-        """Run one sub-query; its reply is checked."""
+        """Run one sub-query and validate the response."""
         body = {
             'request_id': expected.request_id,
             'sub_query': expected.sub_query,
@@ -66,12 +66,16 @@
         sub_query: str,
         options: SendOptions,
     ) -> Result[bool, Failure]:
-        """Tell the server that a copy is of no use any more."""
+        """Cancel an attempt on the server.
+
+        Returns:
+            Whether the server cancelled the attempt.
+        """
         body = {'request_id': request_id, 'sub_query': sub_query}
         return self._send('/v1/cancel', body, options).map(_read_cancelled)
 
     def health(self, timeout_ms: float) -> Result[ServerReport, Failure]:
-        """Ask what the server says of itself."""
+        """Request the health report of the server."""
         options = SendOptions(
             left_ms=timeout_ms,
             timeout_ms=timeout_ms,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection to a backend server or to the platform."""
+"""HTTP connection to a backend server or to the platform."""
 
 import functools
 import socket
@@ -23,10 +23,10 @@
 )
 
 _MS: Final = 1000
-# The system gives a connection up whose bytes nobody has acknowledged.
+# The kernel drops a connection whose bytes stay unacknowledged for this time.
 _USER_TIMEOUT_MS: Final = 3000
-# A connection that went silent is found out after two probes, a second apart:
-# a waiting watch has no other way to tell.
+# Keep-alive probes detect an unresponsive peer while a watch waits for a
+# response.
 _SOCKET_OPTIONS: Final = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
@@ -35,27 +35,27 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2),
 )
-# What ends a call whose bytes were sent.
+# Errors after which a request may have reached the server.
 _TRANSPORT_ERRORS: Final = (HTTPError, HTTPException, OSError, EOFError)
-# Those of them that say nothing of the connection.
+# Transport errors that do not imply a lost connection.
 _TIMEOUT_ERRORS: Final = (TimeoutError, LibraryTimeoutError)
 
 
 class _SingleWriteConnection(HTTPConnection):
-    """Sends head and body of a request in one write.
+    """Connection that sends the head and body of a request in one write.
 
-    Two writes wake the server twice and cost two system calls.
+    A single write saves a system call and wakes the server only once.
     """
 
     _buffered: list[bytes] | None = None
 
     def connect(self) -> None:
-        """Connect with a socket that tells a reset from an end."""
+        """Connect with a socket that distinguishes a reset from a close."""
         super().connect()
         self.sock = reset_aware(self.sock)
 
     def request(self, *args: Any, **options: Any) -> None:
-        """Send a request whose body is bytes."""
+        """Send a request with a body of type bytes."""
         self._buffered = []
         super().request(*args, **options)
         message = b''.join(self._buffered)
@@ -63,7 +63,7 @@
         self.send(message)
 
     def send(self, data: Any) -> None:
-        """Hold what belongs to a request back until it is whole."""
+        """Send data, or buffer the data of an incomplete request."""
         if self._buffered is None:
             super().send(data)
         else:
@@ -72,11 +72,11 @@
 
 @attrs.define(kw_only=True)
 class BackendConnection:
-    """Carries one call at a time.
+    """Connection that carries one request at a time.
 
     Attributes:
-        keep_ms: for how long the other end keeps it open while it idles, if
-            it said so.
+        keep_alive_ms: idle time after which the server closes the connection,
+            in milliseconds, if the server announced one.
     """
 
     keep_alive_ms: float | None = None
@@ -86,15 +86,16 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether the server has not closed it, as far as is known here."""
+        """Whether the connection is open as far as the local socket shows."""
         return self._http.is_connected
 
     def open(self, timeout_ms: float) -> Result[None, Failure]:
-        """Connect; a failure is `NOT_RUN`, as no byte was sent.
+        """Open the connection.
 
         Returns:
-            `SHED` if the server is there but takes no further connection,
-            `UNREACHABLE` if nobody listens or answers.
+            None, or a `NOT_RUN` failure: `SHED` if the server resets the new
+            connection, `UNREACHABLE` if the server refuses the connection or
+            does not respond.
         """
         self._http.timeout = timeout_ms / _MS
         try:
@@ -106,12 +107,13 @@
         return Success(None)
 
     def carry(self, request: AnyRequest) -> Result[BackendResponse, Failure]:
-        """Make one call and read its reply.
+        """Send a request and read the response.
 
         Returns:
-            The response, or a failure that may have run: bytes were sent. It
-            is `SHED` where the connection was reset before it carried any
-            byte back, as a server does that takes no further one.
+            The response, or a failure with the verdict `MAY_HAVE_RUN`, since
+            bytes were sent. The code is `SHED` if the connection was reset
+            before its first response, as servers at their connection limit
+            do.
         """
         self._http.timeout = request.timeout_ms / _MS
         if self._http.sock is not None:
@@ -124,7 +126,7 @@
             return Bad(self._to_failure(error))
 
     def close(self) -> None:
-        """Close it; what still arrives is lost."""
+        """Close the connection and discard unread data."""
         self._http.close()
 
     def _to_failure(self, error: Exception) -> Failure:
@@ -136,7 +138,7 @@
 
     def _broken_failure_code(self, error: Exception) -> FailureCode:
         is_reset = isinstance(error, ConnectionBroken | ConnectionResetError)
-        # The library takes an orderly end for a kind of reset.
+        # RemoteDisconnected, an orderly close, is a ConnectionResetError.
         is_end = isinstance(error, RemoteDisconnected)
         if is_reset and not is_end and not self._has_responded:
             return FailureCode.SHED
@@ -150,7 +152,9 @@
         self._has_responded = True
         body = response.read(self._max_reply_bytes + 1)
         if len(body) > self._max_reply_bytes:
-            detail = f'the reply is longer than {self._max_reply_bytes} bytes'
+            detail = (
+                f'the response is longer than {self._max_reply_bytes} bytes'
+            )
             return Bad(may_have_run(FailureCode.BAD_REPLY, detail))
         response.release_conn()
         self.keep_alive_ms = _read_keep_alive_ms(
@@ -169,11 +173,11 @@
     address: Address,
     max_reply_bytes: int,
 ) -> BackendConnection:
-    """Build a connection that is not open yet.
+    """Build a connection without opening it.
 
     Args:
-        address: of the server.
-        most_bytes: the largest reply that is read.
+        address: address of the server.
+        max_reply_bytes: size limit of a response body, in bytes.
     """
     http = _SingleWriteConnection(
         address.host,
@@ -184,7 +188,7 @@
 
 
 def _connect_failure_code(error: Exception) -> FailureCode:
-    """Tell a server at its limit, which resets, from nobody, who refuses."""
+    """Return `SHED` for a reset connection, `UNREACHABLE` otherwise."""
     cause = error.__cause__ or error.__context__
     if isinstance(cause or error, ConnectionResetError):
         return FailureCode.SHED
@@ -192,7 +196,7 @@
 
 
 def _describe_error(error: Exception) -> str:
-    # The library puts the connection first, whose address in memory tells nobody.
+    # The last argument is the message; urllib3 puts the connection object first.
     detail = error.args[-1] if error.args else error
     return f'{type(error).__name__}: {detail}'
 
@@ -207,7 +211,7 @@
 
 
 def _read_keep_alive_ms(text: str) -> float | None:
-    """Read the timeout of a Keep-Alive header such as `timeout=5, max=9`."""
+    """Parse the timeout of a Keep-Alive header such as `timeout=5, max=9`."""
     for parameter in text.split(','):
         name, _, seconds = parameter.strip().partition('=')
         if name.lower() == 'timeout' and seconds.isdecimal():
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_liveness.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_liveness.py
@@ -1,4 +1,4 @@
-"""Whether a backend server whose connection ended is still there."""
+"""Liveness check for a backend server after a lost connection."""
 
 import socket
 from typing import Final
@@ -8,20 +8,18 @@
 from fennelfork_daemon._address import Address
 
 _MS: Final = 1000
-# A process that ends closes its connections and its listening socket one after
-# the other.
+# A terminating process closes its connections before its listening socket.
 _SHUTDOWN_DELAY_MS: Final = 20.0
-# Nobody answers at an address whose VM is gone; that says nothing of the server.
+# A lost VM does not respond, which proves nothing about the server process.
 _CONNECT_TIMEOUT_MS: Final = 300.0
 
 
 def has_ended(server_address: Address) -> bool:
-    """Tell whether nobody listens at an address any more.
+    """Whether the VM of a backend server refuses new connections.
 
-    A connection that ends before its answer is also one that was reset on the
-    way, or that a server dropped which lives on. Only a VM that refuses a new
-    one says that the process is gone; no answer, or one connection more, does
-    not.
+    A live server may also lose a connection before its response, through a
+    network reset or a close. Only a refused connection proves that the
+    process has ended; a timeout or an accepted connection does not.
     """
     eventlet.sleep(_SHUTDOWN_DELAY_MS / _MS)
     try:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
@@ -1,4 +1,4 @@
-"""The connections to one backend server, kept as its ledger decides."""
+"""Connection pool of one backend server."""
 
 import contextlib
 from typing import Final
@@ -24,23 +24,23 @@
 from fennelfork_daemon.backend._wait_queue import WaitQueue
 
 _PROBE_TIMEOUT_MS: Final = 50.0
-# Asks a backend server for a sign of life on an idle connection.
+# Request that checks whether an idle connection still works.
 HEALTH_PROBE: Final = JsonRequest(
     path='/v1/health',
     body=None,
     timeout_ms=_PROBE_TIMEOUT_MS,
 )
-# The other end closes an idle connection about when it said; a request sent
-# within the last fifth of that time may cross the close.
+# Connections are reused for this share of the announced keep-alive time, since
+# a later request may arrive while the server closes the connection.
 _KEEP_ALIVE_SHARE: Final = 0.8
 
 
 @attrs.define(kw_only=True)
 class Trace:
-    """Which connection carries a call, for who watches it.
+    """Record of the connection that carries a request.
 
     Attributes:
-        connection: its number, zero before there is one.
+        connection: number of the connection, zero before the assignment.
     """
 
     connection: int = 0
@@ -48,13 +48,13 @@
 
 @attrs.frozen(kw_only=True)
 class WhenFull:
-    """What follows if all connections are in use.
+    """Policy for requests while all connections are in use.
 
     Attributes:
-        code: of the failure.
-        wait_ms: how long to wait for one of them before.
-        reset_is_full: whether a server that resets a new connection is taken
-            to hold as many as it may, as others connect to it as well.
+        code: code of the failure.
+        wait_ms: maximum wait for a free connection, in milliseconds.
+        reset_is_full: whether the reset of a new connection means that the
+            server has reached its connection limit, which other clients share.
     """
 
     code: FailureCode = FailureCode.SHED
@@ -67,7 +67,7 @@
 
 @attrs.define(kw_only=True)
 class BackendPool:
-    """Opens, reuses, probes and closes; the ledger says which."""
+    """Opens, reuses, probes and closes connections as the ledger decides."""
 
     _address: Address
     _ledger: ConnectionLedger
@@ -83,11 +83,11 @@
         request: AnyRequest,
         trace: Trace,
     ) -> Result[BackendResponse, Failure]:
-        """Make one call on a connection that can be trusted.
+        """Send a request on a usable connection and read the response.
 
         Args:
-            call: the call.
-            trace: where to note the connection that carries it.
+            request: request to send.
+            trace: record of the connection that carries the request.
         """
         choice = self._acquire(request)
         if choice is None:
@@ -104,23 +104,23 @@
         return self.carry(request, trace)
 
     def discard_unresponsive(self, trace: Trace) -> None:
-        """Close a connection that carries nothing, and its peers of age."""
+        """Close an unresponsive connection and all older idle ones."""
         self._close(self._ledger.record_unresponsive(trace.connection))
 
     def retire(self) -> None:
-        """Close what idled for long."""
+        """Close connections that have been idle for too long."""
         self._close(self._ledger.evict_idle(self._clock.now_ms()))
 
     def retire_all(self) -> None:
-        """Close what idles now; calls under way end first."""
+        """Close idle connections now, and busy ones after their requests."""
         self._close(self._ledger.invalidate_all())
 
     def close(self) -> None:
-        """Close all connections; calls under way on them fail."""
+        """Close all connections; requests in flight fail."""
         self._close(tuple(self._open))
 
     def _acquire(self, request: AnyRequest) -> ConnectionChoice | None:
-        """Take a connection, or wait for one that another call gives back."""
+        """Acquire a connection, waiting for a release if all are in use."""
         now_ms = self._clock.now_ms()
         until_ms = now_ms + min(self._when_full.wait_ms, request.timeout_ms)
         choice = self._ledger.use(now_ms, fresh=request.fresh)
@@ -131,7 +131,7 @@
         return choice
 
     def _is_usable(self, choice: ConnectionChoice) -> bool:
-        """Tell whether an idle connection still carries bytes."""
+        """Whether an acquired connection can carry a request."""
         connection = self._open[choice.connection]
         if not connection.is_open or _exceeds_keep_alive(
             connection, choice.idle_ms
@@ -164,7 +164,7 @@
         self,
         failure: Failure,
     ) -> Result[BackendResponse, Failure]:
-        """Open no further connection for a moment, if that was the cause."""
+        """Map a reset new connection to the failure code of the policy."""
         if failure.code is not FailureCode.SHED:
             return Bad(failure)
         if not self._when_full.reset_is_full:
@@ -180,7 +180,7 @@
     ) -> Result[BackendResponse, Failure]:
         trace.connection = number
         with contextlib.ExitStack() as unusable:
-            # Also when the green thread of the call is ended from outside.
+            # Also runs when the green thread of the request is killed.
             unusable.callback(self._release, number, usable=False)
             response = self._open[number].carry(request)
             if is_successful(response):
@@ -209,16 +209,16 @@
     probe: JsonRequest | None = HEALTH_PROBE,
     when_full: WhenFull = _FAIL_IMMEDIATELY,
 ) -> BackendPool:
-    """Build the connections to one server.
+    """Build the connection pool of one server.
 
     Args:
-        address: of the server.
-        ledger: decides which connection carries a call.
-        clock: of the daemon.
-        most_bytes: the largest reply that is read.
-        probe: made on a connection that idled for long before it is used; if
-            none, such a connection is used as it is.
-        when_full: what follows if all connections are in use.
+        address: address of the server.
+        ledger: bookkeeping that chooses the connection of a request.
+        clock: clock of the daemon.
+        max_reply_bytes: size limit of a response body, in bytes.
+        probe: request that checks a long idle connection before its reuse, or
+            none for reuse without a check.
+        when_full: policy while all connections are in use.
     """
     return BackendPool(
         address=address,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_reply.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_reply.py
@@ -1,4 +1,4 @@
-"""Reads what a backend server sent back."""
+"""Parsers for the responses of backend servers."""
 
 import itertools
 import json
@@ -24,7 +24,7 @@
 
 
 def read_json(response: BackendResponse) -> Result[Any, Failure]:
-    """Read the JSON of a success, or the failure that a problem tells."""
+    """Parse a JSON response; an error status becomes a failure."""
     try:
         tree = json.loads(response.body)
     except ValueError:
@@ -37,16 +37,16 @@
 
 
 def read_search(tree: Any, expected: ExpectedReply) -> Result[Reply, Failure]:
-    """Read the reply to a search and check it against what was sent."""
+    """Parse the response to a search and check it against the request."""
     try:
         reply = _read_reply(tree)
     except (KeyError, TypeError) as error:
-        return _bad_reply(f'the reply lacks {error}')
+        return _bad_reply(f'the reply has a missing or invalid member: {error}')
     return check_reply(expected, reply)
 
 
 def read_health(tree: Any) -> Result[ServerReport, Failure]:
-    """Read what a server says of itself."""
+    """Parse the health report of a server."""
     try:
         report = ServerReport(
             cold=tree['state'] == 'cold',
@@ -56,7 +56,9 @@
             ),
         )
     except (KeyError, TypeError, ValueError) as error:
-        return _bad_reply(f'the health report lacks {error}')
+        return _bad_reply(
+            f'the health report has a missing or invalid member: {error}'
+        )
     return Success(report)
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_wait_queue.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_wait_queue.py
@@ -1,4 +1,4 @@
-"""Calls that wait until another one gives its connection back."""
+"""Queue of requests that wait for a free connection."""
 
 import contextlib
 from collections import deque
@@ -12,25 +12,25 @@
 
 @attrs.define(kw_only=True)
 class WaitQueue:
-    """Wakes waiting calls one by one, in the order in which they came."""
+    """First-in, first-out queue of waiting green threads."""
 
     _waiting: deque[Event] = attrs.field(factory=deque)
 
     def wait(self, max_wait_ms: float) -> None:
-        """Wait until it is this call's turn, or no longer.
+        """Wait until the calling green thread is woken or the wait ends.
 
         Args:
-            most_ms: how long at most.
+            max_wait_ms: maximum wait, in milliseconds.
         """
         turn = Event()
         self._waiting.append(turn)
         with contextlib.ExitStack() as waiting:
-            # Also when the green thread of the call is ended from outside.
+            # Also runs when the green thread is killed.
             waiting.callback(self._remove, turn)
             turn.wait(max_wait_ms / _MS)
 
     def wake_first(self) -> None:
-        """Tell the first call that waits, if any, that it may try."""
+        """Wake the green thread that has waited longest, if any."""
         if self._waiting:
             self._waiting.popleft().send()
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The caller face of fronts: queries and entries."""
+"""The caller API of fronts: queries and entries."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_entries_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_entries_face.py
@@ -1,4 +1,4 @@
-"""Entry answers: which daemons a caller should use."""
+"""Caller API for discovery: the daemons that a caller should use."""
 
 import random
 from typing import Any, Final
@@ -20,7 +20,7 @@
 
 @attrs.frozen(kw_only=True)
 class EntriesFace:
-    """Answers callers that ask where to connect."""
+    """Serves the addresses of suitable daemons to callers."""
 
     _board: Blackboard
     _rng: random.Random
@@ -29,11 +29,11 @@
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """The routes of this face."""
+        """HTTP routes of the entry requests."""
         return (Route(method='GET', path='/v1/entries', handler=self.entries),)
 
     def entries(self, request: HttpRequest) -> HttpReply:
-        """Name a few daemons, the nearest first."""
+        """Return the nearest daemons and a ticket of this daemon."""
         local = self._board.local
         chosen = choose_entries(
             request.options.get('region', local.region),
@@ -47,7 +47,7 @@
             {
                 'entries': [_entry(member) for member in chosen],
                 'ttl_ms': self._ttl_ms,
-                **self._issuer.members(),
+                **self._issuer.ticket_fields(),
                 'config_version': self._board.config_version,
             },
         )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_face.py
@@ -1,4 +1,4 @@
-"""The caller face: queries over HTTP."""
+"""Caller API for queries."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
 
 @attrs.frozen(kw_only=True)
 class CallerFace:
-    """Answers callers."""
+    """Serves queries of callers over HTTP."""
 
     _root: RootService
     _clock: Clock
@@ -33,7 +33,7 @@
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """The routes of this face."""
+        """HTTP routes of the queries."""
         return (
             Route(
                 method='POST',
@@ -43,7 +43,7 @@
         )
 
     def query(self, request: HttpRequest) -> HttpReply:
-        """Answer one query."""
+        """Parse a query, run it and return the HTTP response."""
         limits = body_limits(self._settings)
         body = read_json_object(request.environ, limits)
         if not is_successful(body):
@@ -75,7 +75,7 @@
     answered: QueryAnswer,
     took_ms: float,
 ) -> dict[str, Any]:
-    """Build the JSON document of an answer."""
+    """Build the JSON body of an answer to a query."""
     answer = answered.answer
     return {
         'request_id': query.request_id,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_request.py
@@ -1,4 +1,4 @@
-"""Reading of a caller's query from its JSON body."""
+"""Parser for the JSON body of a query."""
 
 from typing import Any, Final
 
@@ -27,7 +27,7 @@
 
 
 class _InvalidQueryError(ValueError):
-    """A body that is no query; says what is wrong and what is allowed."""
+    """Invalid query body; the message names the invalid member."""
 
 
 def read_query(
@@ -36,16 +36,17 @@
     clock: Clock,
     max_deadline_ms: int,
 ) -> Result[QueryRequest, Failure]:
-    """Check a query and take its deadline from now on.
+    """Validate the body of a query and compute its deadline.
 
     Args:
-        front: the front named by the path.
+        front: name of the front in the request path.
         body: the JSON object of the request.
-        clock: of this daemon.
-        longest_deadline_ms: the most that a caller may ask for.
+        clock: clock of this daemon.
+        max_deadline_ms: longest deadline that a caller may request, in
+            milliseconds.
 
     Returns:
-        The query, or a failure that names the member that is wrong.
+        The query, or a failure that names the invalid member.
     """
     try:
         return Success(_parse_query(front, body, clock, max_deadline_ms))
@@ -87,12 +88,12 @@
             f'{member}: must be a text of 1 to {_MAX_NAME_CHARS} characters',
         )
     if not _is_unicode(text):
-        raise _InvalidQueryError(f'{member}: must not hold half of a character')
+        raise _InvalidQueryError(f'{member}: must not contain a lone surrogate')
     return text
 
 
 def _is_unicode(text: str) -> bool:
-    """Tell whether a text can be sent on; JSON also writes lone surrogates."""
+    """Whether a string has no lone surrogates, which JSON can escape."""
     try:
         text.encode()
     except UnicodeEncodeError:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/__init__.py
@@ -1,1 +1,1 @@
-"""Non-idempotent requests, from the face to the one backend server."""
+"""Execution of non-idempotent requests, at most once."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_api.py
@@ -1,4 +1,4 @@
-"""The caller face of non-idempotent requests."""
+"""Caller API for non-idempotent requests."""
 
 import attrs
 from returns.result import Failure as Failed
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteApi:
-    """Answers callers that want something done once."""
+    """Serves non-idempotent requests of callers over HTTP."""
 
     _service: ExecuteService
     _board: Blackboard
@@ -36,7 +36,7 @@
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """The routes of this face."""
+        """HTTP routes of non-idempotent requests."""
         return (
             Route(
                 method='POST',
@@ -46,7 +46,7 @@
         )
 
     def execute(self, request: HttpRequest) -> HttpReply:
-        """Answer one request."""
+        """Parse a request, run it and return the HTTP response."""
         limits = body_limits(self._settings)
         body = read_json_object(request.environ, limits)
         if isinstance(body, Failed):
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
@@ -1,4 +1,4 @@
-"""Builds what a daemon needs for non-idempotent requests."""
+"""Builds the components of a daemon for non-idempotent requests."""
 
 import random
 from typing import Final
@@ -28,12 +28,12 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteParts:
-    """What the daemon wires into its faces.
+    """Components that the daemon adds to its APIs.
 
     Attributes:
-        face: routes of the caller face.
-        issuer: tickets for entry answers.
-        peer: the peer face's part.
+        face: caller API for non-idempotent requests.
+        issuer: issuer of the tickets in entry answers.
+        peer: peer RPC handler for forwarded requests.
     """
 
     face: ExecuteApi
@@ -48,14 +48,14 @@
     settings: Settings,
     observer: Observer,
 ) -> ExecuteParts:
-    """Build the parts of a new incarnation.
+    """Build the components of a new incarnation.
 
     Args:
-        board: the facts of the daemon.
-        clock: its monotonic clock.
-        home: the home side of the same daemon.
-        settings: of the daemon.
-        observer: counts and remembers the answers.
+        board: blackboard of the daemon.
+        clock: monotonic clock of the daemon.
+        home: home service of the same daemon.
+        settings: settings of the daemon.
+        observer: source of the metrics and of the ring of recent answers.
     """
     gate = _new_gate(board.local.name, clock)
     service = ExecuteService(
@@ -97,7 +97,7 @@
 
 
 def _new_gate(name: str, clock: Clock) -> OnceGate:
-    """Build a gate whose key no other incarnation can have."""
+    """Build a gate with a ticket key that is unique to this incarnation."""
     rng = random.SystemRandom()
     incarnation = rng.getrandbits(_INCARNATION_BITS)
     key = ticket_key(name, incarnation, rng.randbytes(_SECRET_BYTES))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_codec.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests, to and from the messages of the peer face."""
+"""Codec for non-idempotent requests in the peer RPC."""
 
 from typing import Any
 
@@ -17,7 +17,7 @@
     traffic_class: str,
     left_ms: float,
 ) -> Any:
-    """Write a request with what remains of its deadline."""
+    """Encode a request with the remaining time until its deadline."""
     return peer.ExecuteRequest(
         request_id=request.request_id,
         front=request.front,
@@ -31,7 +31,7 @@
 
 
 def request_from_peer(message: Any, now_ms: float) -> ReceivedRequest:
-    """Read a request and take its deadline from now on."""
+    """Decode a request and compute its deadline on the local clock."""
     return ReceivedRequest(
         request=ExecuteRequest(
             request_id=message.request_id,
@@ -47,18 +47,20 @@
 
 
 def reply_to_peer(result: Result[str, Failure]) -> Any:
-    """Write the outcome or the failure."""
+    """Encode an outcome or a failure."""
     if isinstance(result, Success):
         return peer.ExecuteReply(outcome=result.unwrap())
     return peer.ExecuteReply(fault=fault_to_peer(result.failure()))
 
 
 def reply_from_peer(message: Any) -> Result[str, Failure]:
-    """Read the outcome or the failure."""
+    """Decode an outcome or a failure."""
     if message.fault is not None:
         return Failed(fault_from_peer(message.fault))
     if message.outcome is None:
         return Failed(
-            unknown_outcome('the daemon of the ticket gave no outcome')
+            unknown_outcome(
+                'the reply of the daemon of the ticket has no outcome'
+            )
         )
     return Success(message.outcome)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
@@ -1,8 +1,8 @@
-"""One attempt to run a non-idempotent request on one backend server.
+"""Attempt to run a non-idempotent request on one backend server.
 
-The connection is new, and used for a probe before the request: a server that
-is gone, frozen or out of connections is found before a byte of the request is
-sent. The attempt is never repeated on the same connection.
+Each attempt opens a new connection and probes the server on it first, so an
+unreachable, unresponsive or full server is detected before any byte of the
+request is sent. The request is sent at most once on the connection.
 """
 
 import contextlib
@@ -30,7 +30,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteTarget:
-    """A backend server that may run the request."""
+    """Address of a backend server that can run a request."""
 
     name: str
     host: str
@@ -39,12 +39,12 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteTimeouts:
-    """How long an attempt may take.
+    """Timeouts of an attempt.
 
     Attributes:
-        probe_ms: to connect and be answered the probe.
-        settle_ms: to wait for the reply beyond the deadline that the server
-            was given, so that a late outcome is still learnt.
+        probe_ms: timeout for the connection and the probe, in milliseconds.
+        settle_ms: additional wait for the response after the deadline of the
+            server, in milliseconds, so that a late outcome is recorded.
     """
 
     probe_ms: float
@@ -53,20 +53,22 @@
 
 @attrs.frozen(kw_only=True)
 class _StartWindow:
-    """When the server may start.
+    """Time window in which the server may start the request.
 
     Attributes:
-        left_ms: how long from when it reads the request.
-        not_after_ms: until which reading of its own clock, if it tells one;
-            this also bounds the time that the request waits unread.
+        left_ms: length of the window from the moment when the server reads
+            the request, in milliseconds.
+        not_after_ms: latest start on the clock of the server, if the server
+            reports its clock; also bounds the time that the request waits in
+            a socket buffer.
     """
 
     left_ms: float
     not_after_ms: float | None
 
 
-# Asked immediately before the first byte is sent; gives the milliseconds
-# within which the server must have run the request.
+# Called immediately before the first byte is sent. Returns the time in
+# milliseconds in which the server must run the request, or a refusal.
 BeginSend = Callable[[], Result[float, Failure]]
 
 
@@ -76,17 +78,17 @@
     begin_send: BeginSend,
     timeouts: ExecuteTimeouts,
 ) -> Result[str, Failure]:
-    """Probe a backend server and, if it answers, send it the request.
+    """Probe a backend server and send the request if the probe succeeds.
 
     Args:
-        target: the backend server.
-        call: the attempt.
-        leave: the last check before the send.
-        patience: how long to wait.
+        target: address of the backend server.
+        call: request of the attempt.
+        begin_send: final check before the request is sent.
+        timeouts: timeouts of the attempt.
 
     Returns:
-        The outcome, or a failure that says `NOT_RUN` only if no byte of the
-        request was sent or the server itself says so.
+        The outcome, or a failure. The verdict is `NOT_RUN` only if no byte of
+        the request was sent or the server reports this verdict.
     """
     with contextlib.closing(
         HTTPConnection(target.host, target.port),
@@ -104,7 +106,7 @@
     probed = _probe(connection, target, timeouts.probe_ms)
     if isinstance(probed, Failed):
         return Failed(probed.failure())
-    # Without this, a connection lost since the probe would be opened anew.
+    # Prevents a reconnect, without a probe, if the connection is lost.
     connection.auto_open = 0
     left = begin_send()
     if isinstance(left, Failed):
@@ -114,8 +116,8 @@
 
 
 def _window(left_ms: float, server_now_ms: float | None) -> _StartWindow:
-    # The server's reading is older than `left_ms`, so this errs on the early
-    # side, whatever either process spent paused in between.
+    # The clock reading predates `left_ms`, so the computed limit is never too
+    # late, even if a process was paused in between.
     not_after_ms = None if server_now_ms is None else server_now_ms + left_ms
     return _StartWindow(left_ms=left_ms, not_after_ms=not_after_ms)
 
@@ -125,7 +127,7 @@
     target: ExecuteTarget,
     timeout_ms: float,
 ) -> Result[float | None, Failure]:
-    """Give the reading of the server's clock, none if it tells none."""
+    """Probe the server and return its clock reading, if reported."""
     timeout = eventlet.Timeout(timeout_ms / _MS)
     try:
         return _ask_health(connection)
@@ -138,13 +140,13 @@
 
 
 def _ask_health(connection: HTTPConnection) -> Result[float | None, Failure]:
-    """Ask a server that may be leaving, which must get no new work."""
+    """Request the health of the server, which fails if it is draining."""
     connection.request('GET', '/v1/health', preload_content=False)
     response = connection.getresponse()
     content = response.read(_MAX_REPLY_BYTES)
     usable = response.status == _HTTP_OK and not response.length_remaining
     if not usable or connection.sock is None:
-        detail = f'the probe was answered with status {response.status}'
+        detail = f'the probe response is unusable: status {response.status}'
         return Failed(not_run(FailureCode.UNREACHABLE, detail))
     return _read_health(content)
 
@@ -155,7 +157,7 @@
     except ValueError:
         health = None
     if not isinstance(health, dict):
-        detail = 'the probe was answered with something else'
+        detail = 'the probe response is not a JSON object'
         return Failed(not_run(FailureCode.UNREACHABLE, detail))
     if health.get('state') == _DRAINING:
         return Failed(not_run(FailureCode.DRAINING, 'the server is draining'))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
@@ -1,4 +1,4 @@
-"""Counts and remembers answers to non-idempotent requests."""
+"""Metrics and explanations for answers to non-idempotent requests."""
 
 from typing import Any, Final
 
@@ -17,7 +17,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteObserver:
-    """Sees each answer to a non-idempotent request."""
+    """Records the answers to non-idempotent requests."""
 
     _board: Blackboard
     _metrics: DaemonMetrics
@@ -30,7 +30,7 @@
         result: Result[str, Failure],
         took_ms: float,
     ) -> None:
-        """Count and remember one answer."""
+        """Update the metrics and the ring of recent answers."""
         request = received.request
         self._metrics.follow(self._board.document)
         labels = self._metrics.labels(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_peer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_peer.py
@@ -1,4 +1,4 @@
-"""What peers ask of this daemon for non-idempotent requests."""
+"""Peer RPC handler for non-idempotent requests."""
 
 import attrs
 
@@ -9,12 +9,12 @@
 
 @attrs.frozen(kw_only=True)
 class ExecutePeer:
-    """Serves requests that another daemon passed on."""
+    """Serves requests that another daemon forwarded."""
 
     _service: ExecuteService
     _clock: Clock
 
     def execute(self, request: object) -> object:
-        """Answer as the incarnation that the ticket should name."""
+        """Answer a request whose ticket names this incarnation."""
         received = request_from_peer(request, self._clock.now_ms())
         return reply_to_peer(self._service.answer_locally(received))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_received_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_received_request.py
@@ -1,4 +1,4 @@
-"""Reading of a non-idempotent request from the body of a caller."""
+"""Parser for the JSON body of a non-idempotent request."""
 
 from typing import Any, Final
 
@@ -25,12 +25,12 @@
 
 @attrs.frozen(kw_only=True)
 class ReceivedRequest:
-    """A request together with what is not part of its content.
+    """Non-idempotent request with its deadline and traffic class.
 
     Attributes:
-        request: what to run.
-        traffic_class: for metrics.
-        deadline_at_ms: reading of the daemon's clock that ends it.
+        request: content of the request.
+        traffic_class: label for metrics.
+        deadline_at_ms: clock reading of the deadline, in milliseconds.
     """
 
     request: ExecuteRequest
@@ -44,11 +44,11 @@
     now_ms: float,
     max_deadline_ms: int,
 ) -> Result[ReceivedRequest, Failure]:
-    """Check a request and take its deadline from now on.
+    """Validate the body of a request and compute its deadline.
 
     Returns:
-        The request; or a failure that says `MAY_HAVE_RUN`, since the same id
-        may have run when it came with a proper body.
+        The request, or a failure with the verdict `MAY_HAVE_RUN`, since an
+        earlier request with the same id and a valid body may have run.
     """
     problem = _problem(body, max_deadline_ms)
     if problem is not None:
@@ -71,7 +71,7 @@
 
 
 def with_unknown_verdict(failure: Failure) -> Failure:
-    """Take back a `NOT_RUN` that speaks of an attempt, not of the id."""
+    """Replace the verdict, since earlier requests with the id may have run."""
     return failure.with_verdict(Verdict.MAY_HAVE_RUN)
 
 
@@ -93,7 +93,7 @@
 def _is_text(text: Any, max_chars: int) -> bool:
     if not isinstance(text, str) or not 0 < len(text) <= max_chars:
         return False
-    # A lone surrogate, which JSON can spell, cannot be sent on.
+    # JSON can escape lone surrogates, which cannot be encoded as UTF-8.
     return text.encode(errors='ignore').decode() == text
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_runner.py
@@ -1,6 +1,7 @@
-"""Runs requests that the gate admitted, each in a green thread of its own.
+"""Runner for admitted non-idempotent requests, one green thread for each.
 
-A run goes on when its caller has left: its outcome is what a repeat is told.
+A request continues after its caller disconnects, since its outcome answers
+later requests with the same id.
 """
 
 import contextlib
@@ -21,32 +22,32 @@
 )
 
 _MAX_ATTEMPTS: Final = 3
-# The server's own word on a missed deadline should arrive before the caller's.
+# Reserve for a deadline failure of the server to arrive before the deadline.
 _REPLY_MARGIN_MS: Final = 10
 _RETRY_AFTER_MS: Final = 200
 _MS: Final = 1000
 
 
 class TargetFinder(Protocol):
-    """Knows the backend servers of records."""
+    """Interface for finding the backend servers of a record."""
 
     def find(
         self,
         request: ExecuteRequest,
         deadline_at_ms: float,
     ) -> Result[tuple[ExecuteTarget, ...], Failure]:
-        """List the servers that hold the record, the best first."""
+        """Return the servers that hold the record, in order of preference."""
 
     def invalidate(self, request: ExecuteRequest) -> None:
-        """Ask anew the next time."""
+        """Discard cached locations of the record."""
 
     def record_draining(self, target: ExecuteTarget) -> None:
-        """Leave a server out for a while, as it refuses as draining."""
+        """Exclude a draining server temporarily."""
 
 
 @attrs.define(kw_only=True)
 class ExecuteRunner:
-    """The requests in progress of one incarnation."""
+    """Runs the non-idempotent requests of one incarnation."""
 
     _table: OnceTable
     _clock: Clock
@@ -58,15 +59,15 @@
 
     @property
     def running(self) -> int:
-        """How many requests are in progress."""
+        """Number of requests in progress."""
         return len(self._running)
 
     def start(self, request: ExecuteRequest, deadline_at_ms: float) -> None:
-        """Begin a request that was admitted as new.
+        """Start a request that was admitted as new.
 
         Args:
-            request: the request.
-            deadline_at_ms: reading of the clock by which it must have run.
+            request: request to run.
+            deadline_at_ms: clock reading of the deadline, in milliseconds.
         """
         if self.running >= self._limit:
             reason = not_run(
@@ -80,10 +81,10 @@
         eventlet.spawn_n(self._run, request, deadline_at_ms)
 
     def wait(self, request_id: str, timeout_ms: float) -> bool:
-        """Wait for the end of a request.
+        """Wait until a request ends or the timeout passes.
 
         Returns:
-            Whether it has ended.
+            Whether the request has ended.
         """
         event = self._running.get(request_id)
         if event is None:
@@ -100,8 +101,11 @@
                 self._table.abandon(request.request_id, reason)
 
     def _finish(self, request_id: str) -> None:
-        """Let nothing stay open, whatever stopped the run."""
-        reason = not_run(FailureCode.INTERNAL, 'the request was given up')
+        """Close the request in the table, also after an exception."""
+        reason = not_run(
+            FailureCode.INTERNAL,
+            'the request was abandoned after an internal error',
+        )
         self._table.abandon(request_id, reason)
         self._running.pop(request_id).send()
 
@@ -110,7 +114,7 @@
         request: ExecuteRequest,
         deadline_at_ms: float,
     ) -> Failure | None:
-        """Run it, and look for the record once more if it has moved."""
+        """Run the request, with a fresh lookup if the record has moved."""
         failure = self._run_on_targets(request, deadline_at_ms)
         if failure is None or failure.code is not FailureCode.NOT_HELD:
             return failure
@@ -168,6 +172,11 @@
     ) -> Result[float, Failure]:
         left_ms = deadline_at_ms - self._clock.now_ms() - _REPLY_MARGIN_MS
         if left_ms <= 0:
-            return Failed(not_run(FailureCode.DEADLINE, 'no time left to send'))
+            return Failed(
+                not_run(
+                    FailureCode.DEADLINE,
+                    'the deadline passed before the request was sent',
+                )
+            )
         begun = self._table.begin_send(request_id)
         return begun.map(lambda ticket_ms: min(left_ms, ticket_ms))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
@@ -1,4 +1,4 @@
-"""Answers non-idempotent requests, here or through the right incarnation."""
+"""Service that answers or forwards non-idempotent requests."""
 
 from typing import Final
 
@@ -32,13 +32,13 @@
 _MAX_FORWARDS: Final = 2
 _DEADLINE_PASSED: Final = not_run(
     FailureCode.DEADLINE,
-    'the deadline passed before anything was sent',
+    'the deadline passed before the request was sent',
 )
 
 
 @attrs.define(kw_only=True)
 class ExecuteService:
-    """The non-idempotent requests of one daemon."""
+    """Answers the non-idempotent requests that reach one daemon."""
 
     _gate: OnceGate
     _runner: ExecuteRunner
@@ -47,11 +47,11 @@
     _clock: Clock
 
     def answer(self, received: ReceivedRequest) -> Result[str, Failure]:
-        """Answer a caller.
+        """Answer a request of a caller.
 
         Returns:
             The outcome, or a failure; see `docs/operators/at-most-once.md`
-            for what a caller may do after each verdict.
+            for the permitted actions of a caller after each verdict.
         """
         routed = self._gate.route(received.request)
         if isinstance(routed, Failed):
@@ -62,7 +62,7 @@
         return self.answer_locally(received)
 
     def answer_locally(self, received: ReceivedRequest) -> Result[str, Failure]:
-        """Answer a request as the incarnation that its ticket should name."""
+        """Answer a request whose ticket names this incarnation."""
         request = received.request
         admitted = self._gate.admit(request)
         if isinstance(admitted, Failed):
@@ -84,11 +84,16 @@
         route: ForwardToPeer,
         received: ReceivedRequest,
     ) -> Result[str, Failure]:
-        """Ask the daemon of the ticket, whose memory makes repeats safe."""
+        """Forward a request to the daemon of its ticket.
+
+        A retry is safe, since that daemon detects duplicate requests.
+        """
         member = self._board.members.get(route.daemon)
         if member is None:
             return Failed(
-                unknown_outcome('the daemon of the ticket is not known')
+                unknown_outcome(
+                    'the daemon of the ticket is not a known member'
+                )
             )
         for _ in range(_MAX_FORWARDS):
             left_ms = self._left_ms(received)
@@ -117,6 +122,6 @@
     return Failed(
         may_have_run(
             FailureCode.DEADLINE,
-            'still in progress; ask again under the same request id',
+            'the request is still in progress; retry with the same request id',
         ),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -1,4 +1,4 @@
-"""Finds the backend servers of a record through the homes of its front."""
+"""Lookup of the backend servers of a record through home daemons."""
 
 import random
 from typing import Final
@@ -23,7 +23,7 @@
 
 @attrs.define(kw_only=True)
 class HomeTargetFinder:
-    """What is known of where records are, asked for when it is not."""
+    """Finds the servers of records in shard views from home daemons."""
 
     _board: Blackboard
     _describer: ShardDescriber
@@ -36,11 +36,11 @@
         request: ExecuteRequest,
         deadline_at_ms: float,
     ) -> Result[tuple[ExecuteTarget, ...], Failure]:
-        """List the servers that hold the record of a request, best first.
+        """Return the servers that hold a record, in order of preference.
 
         Args:
-            request: the request.
-            deadline_at_ms: reading of the clock until which homes are asked.
+            request: request that names the record.
+            deadline_at_ms: clock reading of the deadline, in milliseconds.
         """
         front = self._board.front(request.front)
         if front is None:
@@ -56,18 +56,18 @@
         )
         candidates = self._draining.exclude_draining(servers)
         if servers and not candidates:
-            detail = 'every server of the record is leaving'
+            detail = 'every server that holds the record is draining'
             return Failed(
                 not_run(FailureCode.DRAINING, detail, _RETRY_AFTER_MS)
             )
         return Success(tuple(_target(named) for named in candidates))
 
     def invalidate(self, request: ExecuteRequest) -> None:
-        """Ask anew, as the servers that were named do not hold the record."""
+        """Discard the cached views of the front, which are outdated."""
         self._views.retain_shards(request.front, ())
 
     def record_draining(self, target: ExecuteTarget) -> None:
-        """Leave a server out for a while, as it refuses as draining."""
+        """Exclude a draining server temporarily."""
         self._draining.record_refusal(f'{target.host}:{target.port}')
 
 
@@ -76,7 +76,7 @@
     clock: Clock,
     home: Home,
 ) -> HomeTargetFinder:
-    """Build the search for servers, which asks homes and knows none yet."""
+    """Build a target finder with an empty view cache."""
     health = peer_health(clock)
     views = ViewCache()
     calls = HomeClient(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
@@ -1,4 +1,4 @@
-"""Tickets in entry answers."""
+"""Issuer of the tickets in entry answers."""
 
 from typing import Any
 
@@ -12,8 +12,8 @@
 class TicketIssuer:
     """Issues the tickets of this incarnation.
 
-    Their lifetime is that of the entry answer, so that a daemon that stops
-    gracefully outlives every ticket it gave out.
+    The lifetime of a ticket equals that of the entry answer, so a daemon that
+    stops gracefully runs until all of its tickets have expired.
     """
 
     _gate: OnceGate
@@ -21,9 +21,9 @@
     _lifetime_ms: int
 
     def ticket_fields(self) -> dict[str, Any]:
-        """Give the members that an entry answer carries for its ticket.
+        """Return the ticket fields of an entry answer.
 
-        All are none when this daemon is leaving: another one has to be asked.
+        All fields are none after `stop`; callers then ask another daemon.
         """
         ticket = self._gate.issue(self._lifetime_ms)
         if ticket is None:
@@ -41,5 +41,5 @@
         }
 
     def stop(self) -> None:
-        """Issue no more tickets; requests under issued ones go on."""
+        """Stop issuing tickets; requests with issued tickets continue."""
         self._gate.stop_issuing()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/__init__.py
@@ -1,1 +1,1 @@
-"""The homes of shards that this daemon holds."""
+"""Home daemons: scheduling of the requests of each shard."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_calls.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_calls.py
@@ -1,4 +1,4 @@
-"""Calls of a root to the homes, its own process among them."""
+"""Client of a root daemon for the home daemons of shards."""
 
 from typing import Protocol
 
@@ -23,17 +23,17 @@
 
 
 class Home(Protocol):
-    """What the home of some shards does for a root."""
+    """Interface of a home daemon for root daemons."""
 
     def scatter(self, request: ScatterRequest) -> ScatterOutcome:
-        """Run the sub-queries of `request`, within its deadline."""
+        """Run the sub-queries of `request` within its deadline."""
 
     def describe(
         self,
         front: str,
         shards: tuple[str, ...],
     ) -> tuple[ShardView, ...]:
-        """Tell which snapshots and ranges the shards hold."""
+        """Return the snapshots and ranges that the shards hold."""
 
 
 def _new_gate() -> EntryGate:
@@ -42,7 +42,7 @@
 
 @attrs.define(kw_only=True)
 class HomeClient:
-    """Reaches a home: in this process by a call, elsewhere by thrift."""
+    """Client for home daemons: local calls in this process, else thrift."""
 
     _local_name: str
     _local: Home
@@ -52,10 +52,10 @@
     _gate: EntryGate = attrs.field(factory=_new_gate)
 
     def admit(self, request: QueryRequest) -> Result[float, Failure]:
-        """Refuse a query at once if some home would refuse its part.
+        """Apply the admission levels of the home daemons to a query.
 
         Returns:
-            The part of such queries that is let in, or a refusal.
+            The fraction of such queries that is admitted, or a refusal.
         """
         flow = Flow(tenant=request.tenant, traffic_class=request.traffic_class)
         return self._gate.admit(request.front, flow, request.request_id)
@@ -66,7 +66,7 @@
         request: ScatterRequest,
         timeout_ms: float,
     ) -> Result[ScatterOutcome, Failure]:
-        """Have a home run sub-queries."""
+        """Run sub-queries on a home daemon."""
         if home.name == self._local_name:
             outcome = self._local.scatter(request)
             self._record_level(home, request, outcome)
@@ -91,7 +91,7 @@
         shards: frozenset[str],
         timeout_ms: float,
     ) -> Result[tuple[ShardView, ...], Failure]:
-        """Have a home tell what shards hold."""
+        """Request the views of shards from a home daemon."""
         shard_names = tuple(sorted(shards))
         if home.name == self._local_name:
             return Success(self._local.describe(front, shard_names))
@@ -103,9 +103,9 @@
     def is_responsive(
         self, home: Member, front: str, timeout_ms: float
     ) -> bool:
-        """Tell whether a home answers at all, however busy it is.
+        """Whether a home daemon replies to a probe, even under load.
 
-        Asked to describe no shard, it answers at once.
+        The probe describes no shards, so the home daemon has no work to do.
         """
         described = self.describe(home, front, frozenset(), timeout_ms)
         return is_successful(described)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
@@ -1,4 +1,4 @@
-"""The runners of the shards that this daemon is asked for as a home."""
+"""Runners of the shards for which this daemon acts as the home daemon."""
 
 import functools
 from typing import Final
@@ -16,14 +16,14 @@
 
 _POLL_INTERVAL_MS: Final = 500
 _POLL_TIMEOUT_MS: Final = 400
-# A shard that nobody asked for in so long has another home now.
+# After this time without requests another daemon is the home of the shard.
 _MAX_UNUSED_MS: Final = 60_000
 _MS: Final = 1000
 
 
 @attrs.frozen(kw_only=True)
 class ShardName:
-    """Names one shard of one front."""
+    """Name of a shard and its front."""
 
     front: str
     shard: str
@@ -31,7 +31,7 @@
 
 @attrs.define(kw_only=True)
 class _RunnerEntry:
-    """A runner, and what it was last configured from."""
+    """Runner with the configuration state that was last applied."""
 
     runner: ShardRunner
     configured_for: tuple[int, int] = (-1, -1)
@@ -43,7 +43,7 @@
 
 @attrs.define(kw_only=True)
 class ShardRunners:
-    """Builds, configures and polls the runners of shards."""
+    """Collection that builds, configures and polls the runners of shards."""
 
     _board: Blackboard
     _clock: Clock
@@ -52,10 +52,10 @@
     _entries: dict[ShardName, _RunnerEntry] = attrs.field(factory=dict)
 
     def get_runner(self, name: ShardName) -> ShardRunner | None:
-        """Give the runner of a shard, which knows its servers.
+        """Return the runner of a shard, polling the servers of a new one.
 
         Returns:
-            The runner, or none if the shard is not configured here.
+            The runner, or none if the shard is not in the configuration.
         """
         entry = self._configured_entry(name)
         if entry is None:
@@ -67,20 +67,20 @@
 
     @property
     def sights(self) -> dict[tuple[str, str], tuple[ServerStatus, ...]]:
-        """The servers of each shard asked for here, by front and shard."""
+        """Statuses of the servers of each active shard, by front and shard."""
         return {
             (name.front, name.shard): entry.runner.scheduler.server_statuses
             for name, entry in self._entries.items()
         }
 
     def poll_forever(self) -> None:
-        """Read the health endpoints of the servers in use, again and again."""
+        """Poll the health endpoints of the servers in use periodically."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             eventlet.spawn_n(self._poll_shards)
             eventlet.sleep(_POLL_INTERVAL_MS / _MS)
 
     def _poll_initially(self, entry: _RunnerEntry) -> None:
-        """Ask the servers of a new runner, once for all who wait for it."""
+        """Poll the servers of a new runner once, also for concurrent requests."""
         with entry.poll_lock:
             if not entry.runner.scheduler.servers.has_snapshots:
                 _poll_servers(entry.runner)
@@ -105,7 +105,7 @@
                 self._entries.pop(name)
 
     def _configured_entry(self, name: ShardName) -> _RunnerEntry | None:
-        """Bring a runner up to the configuration in force."""
+        """Return the runner of a shard, updated to the active configuration."""
         front = self._board.front(name.front)
         if front is None or name.shard not in front.shards:
             return None
@@ -153,7 +153,10 @@
 
 
 def _poll_server(runner: ShardRunner, name: str, client: BackendClient) -> None:
-    """Pass a server's report on; of silence its own requests will tell."""
+    """Pass the health report of a server to its scheduler.
+
+    A failed poll is ignored, since requests detect unresponsive servers.
+    """
     client.pool.retire()
     report = client.health(_POLL_TIMEOUT_MS).value_or(None)
     if report is not None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
@@ -1,4 +1,4 @@
-"""The home of some shards: hands out their servers' slots."""
+"""Home service: assigns the slots of the servers of shards to sub-queries."""
 
 import itertools
 import json
@@ -28,13 +28,13 @@
 
 _UNKNOWN_SHARD: Final = not_run(
     FailureCode.NO_SERVER,
-    'the shard is not configured at this home',
+    'the shard is not in the configuration of the home daemon',
 )
 
 
 @attrs.define(kw_only=True)
 class _OutcomeCollector:
-    """Waits for the parts of one order."""
+    """Collects the outcomes of the sub-queries of one scatter request."""
 
     expected_count: int
     parts: list[SubQueryOutcome] = attrs.field(factory=list)
@@ -43,13 +43,13 @@
     )
 
     def add(self, part: SubQueryOutcome) -> None:
-        """Take one part; each sub-query gives just one."""
+        """Add the outcome of a sub-query, exactly once per sub-query."""
         self.parts.append(part)
         if len(self.parts) == self.expected_count:
             self._completed.send()
 
     def wait(self) -> tuple[SubQueryOutcome, ...]:
-        """Wait for all parts; the scheduler ends each by the deadline."""
+        """Wait for all outcomes, which the scheduler bounds by the deadline."""
         if self.expected_count:
             self._completed.wait()
         return tuple(self.parts)
@@ -57,7 +57,7 @@
 
 @attrs.define(kw_only=True)
 class HomeService:
-    """Runs sub-queries on the servers of shards."""
+    """Runs sub-queries on the backend servers of shards."""
 
     _board: Blackboard
     _clock: Clock
@@ -66,11 +66,11 @@
 
     @property
     def sights(self) -> dict[tuple[str, str], tuple[ServerStatus, ...]]:
-        """The servers of each shard that this daemon is the home of."""
+        """Statuses of the servers of each active shard, by front and shard."""
         return self._runners.sights
 
     def scatter(self, request: ScatterRequest) -> ScatterOutcome:
-        """Run the sub-queries of `request`, within its deadline."""
+        """Run the sub-queries of `request` within its deadline."""
         deadline_ms = self._clock.now_ms() + request.deadline_ms
         collector = _OutcomeCollector(expected_count=len(request.planned))
         query = json.loads(request.query)
@@ -79,7 +79,7 @@
             search = SearchRequest(expected=planned.expected, query=query)
             self._start(request.front, planned, task, search, collector)
         parts = collector.wait()
-        shards = sorted({planned.shard for planned in request.planned})
+        shards = sorted({each.shard for each in request.planned})
         return ScatterOutcome(
             parts=parts,
             shards=self._views(request.front, shards),
@@ -92,15 +92,15 @@
         front: str,
         shards: tuple[str, ...],
     ) -> tuple[ShardView, ...]:
-        """Tell which snapshots and ranges the shards hold."""
+        """Return the snapshots and ranges that the shards hold."""
         pool = eventlet.GreenPool()
         names = [ShardName(front=front, shard=shard) for shard in shards]
         for _ in pool.imap(self._runners.get_runner, names):
-            """Each runner learns what its servers hold."""
+            """Wait until each runner has polled its servers."""
         return self._views(front, shards)
 
     def poll_forever(self) -> None:
-        """Read the health endpoints of the servers in use."""
+        """Poll the health endpoints of the servers in use periodically."""
         self._runners.poll_forever()
 
     def _views(
@@ -136,7 +136,7 @@
     def _lowest_level(
         self, request: ScatterRequest, shards: list[str]
     ) -> float:
-        """Give the lowest level of the shards that were asked."""
+        """Return the lowest admission level of the requested shards."""
         names = [ShardName(front=request.front, shard=each) for each in shards]
         runners = [self._runners.get_runner(name) for name in names]
         flow = flow_for(request)
@@ -173,7 +173,7 @@
 
 
 def flow_for(request: ScatterRequest) -> Flow:
-    """Tell whose share of the slots an order counts towards."""
+    """Return the flow to whose share of the slots a request counts."""
     return Flow(tenant=request.tenant, traffic_class=request.traffic_class)
 
 
@@ -183,13 +183,13 @@
     limits: LimitSettings,
     metrics: DaemonMetrics,
 ) -> HomeService:
-    """Build the home side of a daemon.
+    """Build the home service of a daemon.
 
     Args:
-        board: the facts of the daemon.
-        clock: its clock.
-        limits: what bounds its memory.
-        metrics: counts what servers shed or answered wrongly.
+        board: blackboard of the daemon.
+        clock: clock of the daemon.
+        limits: limits on queues and reply sizes.
+        metrics: counters for failed attempts.
     """
     runners = ShardRunners(
         board=board,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_settings.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_settings.py
@@ -1,4 +1,4 @@
-"""Turns the configuration document into settings of a shard's scheduler."""
+"""Settings of shard schedulers, derived from the configuration."""
 
 from typing import Final
 
@@ -14,8 +14,8 @@
 from fennelfork.placement import RoutingMode, limit_slots
 from fennelfork.servers import FixedHedge, HedgePolicy, NoHedge, QuantileHedge
 
-# Two daemons may think that they are the home of a shard; each takes at most
-# this part of a server's connections, so that both fit.
+# Two daemons may act as the home of a shard at the same time. Each one uses at
+# most its share of the connections of a server.
 _MAX_HOMES: Final = 2
 
 
@@ -24,12 +24,12 @@
     front: Front,
     queue_limit: int,
 ) -> HomeSettings:
-    """Give the policies of a front's shards.
+    """Return the scheduler settings for the shards of a front.
 
     Args:
-        document: the configuration in force.
-        front: the front.
-        queue_limit: most sub-queries that wait for one shard.
+        document: active configuration.
+        front: configuration of the front.
+        queue_limit: maximum number of queued sub-queries for one shard.
     """
     return HomeSettings(
         hedge=_hedge_policy(front.hedge),
@@ -52,7 +52,7 @@
     name: str,
     server: Server,
 ) -> ServerConfig:
-    """Give what this daemon may use of a server."""
+    """Return the slots and connections of a server for this daemon."""
     daemons = max(1, len(board.members))
     slot_limit = limit_slots(server, board.routing, daemons)
     daemons_sharing = (
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
@@ -1,4 +1,4 @@
-"""Carries out what the scheduler of one shard decides."""
+"""Runner that executes the decisions of the scheduler of one shard."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -30,10 +30,10 @@
 
 _MS: Final = 1000
 _CANCEL_TIMEOUT_MS: Final = 1000.0
-# How long a server that confirmed a cancel may take to say so to the copy.
+# Grace period in which a cancelled attempt receives its own response.
 _GRACE_STEPS: Final = 10
 _GRACE_STEP_MS: Final = 10.0
-# A copy is ended by its cancel; this only bounds the wait on its socket.
+# The scheduler cancels late attempts; this margin only bounds the socket wait.
 _SOCKET_MARGIN_MS: Final = 3000.0
 _SERVER_REMOVED: Final = not_run(
     FailureCode.NO_SERVER, 'the server was removed'
@@ -42,7 +42,7 @@
 
 @attrs.define(kw_only=True)
 class _Attempt:
-    """One attempt under way."""
+    """Attempt that is in flight."""
 
     name: str
     trace: Trace
@@ -53,10 +53,10 @@
 
 @attrs.define(kw_only=True)
 class ShardRunner:
-    """Drives the scheduler of one shard and talks to its servers.
+    """Executes the actions of a shard scheduler on the backend servers.
 
     Attributes:
-        scheduler: decides; nothing is decided here.
+        scheduler: scheduler that makes all decisions.
     """
 
     scheduler: HomeScheduler
@@ -74,16 +74,16 @@
 
     @property
     def clients(self) -> dict[str, BackendClient]:
-        """The servers that can be called, by name."""
+        """Clients of the backend servers, by server name."""
         return self._clients
 
     def run(self, runnable: RunnableTask) -> None:
-        """Have one errand carried out; its `on_done` is called once."""
+        """Submit a task, whose `on_done` function is called exactly once."""
         self._runnables[runnable.task.job] = runnable
         self.apply_actions(self.scheduler.submit(runnable.task))
 
     def connect(self, servers: dict[str, Server]) -> None:
-        """Build clients for the servers of the configuration in force."""
+        """Build clients for the servers of the active configuration."""
         for name in self._clients.keys() - servers.keys():
             self._clients.pop(name).pool.close()
         for name, server in servers.items():
@@ -91,7 +91,7 @@
                 self._connect(name, server)
 
     def apply_actions(self, actions: Iterable[Action]) -> None:
-        """Do what the scheduler decided."""
+        """Apply the actions of the scheduler."""
         for action in actions:
             match action:
                 case Send():
@@ -132,7 +132,7 @@
     def _run_attempt(
         self, send: Send, attempt: _Attempt, runnable: RunnableTask
     ) -> None:
-        """Send one copy and report how it ended."""
+        """Send one attempt and report its result to the scheduler."""
         left_ms = send.task.deadline_ms - self._clock.now_ms()
         options = SendOptions(
             left_ms=left_ms,
@@ -172,7 +172,7 @@
         self._runnables.pop(refused.task.job).on_done(outcome)
 
     def _cancel_attempt(self, cancel: Cancel) -> None:
-        """Have a server end a copy; find out whether its connection works."""
+        """Cancel an attempt on its server and check its connection."""
         attempt = self._attempts.get(cancel.attempt)
         client = self._clients.get(cancel.server)
         if attempt is None or client is None:
@@ -188,7 +188,7 @@
         if _ends_in_grace_period(self._attempts, cancel.attempt):
             return
         if is_successful(answered):
-            # The server spoke on a new connection, the old one is silent.
+            # The server responds on a new connection, so the old one is broken.
             client.pool.discard_unresponsive(attempt.trace)
             self.apply_actions(self.scheduler.on_cancelled(cancel.attempt))
         self._attempts.pop(cancel.attempt, None)
@@ -196,7 +196,7 @@
             attempt.thread.kill()
 
     def _set_timer(self) -> None:
-        """Wake up when the scheduler next has something to do."""
+        """Set the timer to the next deadline of the scheduler."""
         next_ms = self.scheduler.next_tick_ms
         if next_ms is None:
             return
@@ -222,10 +222,10 @@
     """Build the runner of a shard without servers.
 
     Args:
-        clock: of the daemon.
-        label: tells the copies of this daemon from those of another home.
-        most_bytes: the largest reply that is read from a server.
-        notice: told of each copy that failed, for counting.
+        clock: clock of the daemon.
+        label: part of attempt names that is unique to this daemon.
+        max_reply_bytes: size limit of a response body, in bytes.
+        failure_callback: function that is called with each failed attempt.
     """
     return ShardRunner(
         scheduler=home_scheduler(clock, random.Random()),
@@ -237,7 +237,7 @@
 
 
 def _ends_in_grace_period(attempts: dict[int, _Attempt], attempt: int) -> bool:
-    """Wait a little for a copy itself to hear of its end."""
+    """Whether a cancelled attempt ends by itself in the grace period."""
     for _ in range(_GRACE_STEPS):
         if attempt not in attempts:
             return True
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_tasks.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_tasks.py
@@ -1,4 +1,4 @@
-"""What the runner of a shard is asked for, and what came of it."""
+"""Tasks of a shard runner and their outcomes."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,13 +14,13 @@
 
 @attrs.frozen(kw_only=True)
 class TaskOutcome:
-    """How a task ended.
+    """Outcome of a task.
 
     Attributes:
-        result: a reply, or why there is none.
-        effort: what was done for it.
-        server: which server answered.
-        server_ms: how long that server took.
+        result: reply, or the failure of the task.
+        stats: counts and queueing time of the task.
+        server: name of the backend server that replied.
+        server_ms: latency of that backend server, in milliseconds.
     """
 
     result: Result[Reply, Failure]
@@ -31,7 +31,7 @@
 
 @attrs.frozen(kw_only=True)
 class SearchRequest:
-    """A sub-query: what its reply must echo, and the query's content."""
+    """Sub-query with the expected echo fields and the query content."""
 
     expected: ExpectedReply
     query: Any
@@ -42,7 +42,7 @@
         sub_query: str,
         options: SendOptions,
     ) -> Result[Reply, Failure]:
-        """Send one copy under the name `sub_query`."""
+        """Send one attempt under the name `sub_query`."""
         expected = attrs.evolve(self.expected, sub_query=sub_query)
         reply = client.search(expected, self.query, options)
         return reply.map(self._restore_name)
@@ -53,13 +53,13 @@
 
 @attrs.frozen(kw_only=True)
 class RunnableTask:
-    """A task of the scheduler with all that is needed to carry it out.
+    """Task of the scheduler with the data that its execution needs.
 
     Attributes:
-        name: of the sub-query, as the root knows it.
-        task: what the scheduler decides on.
-        order: what is sent.
-        done: called once, with the outcome.
+        name: name of the sub-query at the root daemon.
+        task: task that the scheduler handles.
+        search: request for the backend servers.
+        on_done: function that is called once, with the outcome.
     """
 
     name: str
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
@@ -1,4 +1,4 @@
-"""Has the homes describe shards that a root knows nothing of."""
+"""Requests for the views of shards that a root daemon lacks."""
 
 from typing import Final
 
@@ -19,7 +19,7 @@
 
 @attrs.define(kw_only=True)
 class ShardDescriber:
-    """Fills the view cache before a query needs it."""
+    """Fills the view cache from the home daemons before a query runs."""
 
     _board: Blackboard
     _calls: HomeClient
@@ -30,12 +30,12 @@
     def describe_unknown(
         self, name: str, front: Front, deadline_at_ms: float
     ) -> None:
-        """Ask the homes of unknown shards, then the next homes.
+        """Request missing views from the home daemons, then from fallbacks.
 
         Args:
-            name: the front.
-            front: its settings.
-            deadline_at_ms: reading of the clock that ends the asking.
+            name: name of the front.
+            front: configuration of the front.
+            deadline_at_ms: clock reading of the deadline, in milliseconds.
         """
         self._views.retain_shards(name, front.shards)
         unresponsive = self._health.avoided
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_fan_out.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_fan_out.py
@@ -1,4 +1,4 @@
-"""What a root asks of the homes in one wave, and how long it waits."""
+"""Helpers for the fan-out of a query to home daemons."""
 
 from typing import Final
 
@@ -11,14 +11,14 @@
 from fennelfork.home import HomeGroup
 from fennelfork_daemon.tracing._trace import RequestTrace
 
-# How long a home may be silent before it is asked whether it lives.
+# Share of the remaining time after which unanswered home daemons are probed.
 _PROBE_DELAY_SHARE: Final = 0.4
 _MAX_PROBE_DELAY_MS: Final = 500
 _MIN_PROBE_DELAY_MS: Final = 20
 
 
 def probe_delay_ms(left_ms: float) -> float:
-    """Give how long homes may be silent, of what remains of a deadline."""
+    """Return the delay before unanswered home daemons are probed."""
     share_ms = min(left_ms * _PROBE_DELAY_SHARE, _MAX_PROBE_DELAY_MS)
     return max(share_ms, _MIN_PROBE_DELAY_MS)
 
@@ -28,12 +28,12 @@
     demand: CoverageDemand,
     left_ms: float,
 ) -> bool:
-    """Tell whether a query is worth waiting for.
+    """Whether further replies can still satisfy the demand of a query.
 
     Args:
-        merge: its parts and failures so far.
-        demand: how much coverage the caller needs.
-        left_ms: what remains of the deadline.
+        merge: replies and failures so far.
+        demand: coverage that the caller requires.
+        left_ms: time until the deadline, in milliseconds.
     """
     if left_ms <= 0 or not merge.pending:
         return False
@@ -45,7 +45,7 @@
     group: HomeGroup,
     unresponsive: frozenset[str],
 ) -> None:
-    """Note that a home is asked in place of silent ones, if it is."""
+    """Record in the trace that a fallback home daemon is asked."""
     if unresponsive:
         trace.note(
             'asked the next home',
@@ -56,14 +56,14 @@
 
 
 def pending_shards(merge: Merge) -> frozenset[str]:
-    """Give the shards of which something is pending."""
+    """Return the shards with pending sub-queries."""
     return frozenset(planned.shard for planned in merge.pending)
 
 
 def pending_for_group(
     merge: Merge, group: HomeGroup
 ) -> tuple[PlannedSubQuery, ...]:
-    """Give what is pending of the shards of a group."""
+    """Return the pending sub-queries for the shards of a group."""
     return tuple(
         planned for planned in merge.pending if planned.shard in group.shards
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -1,4 +1,4 @@
-"""One round of a query: all sub-queries at one snapshot, to their homes."""
+"""Fan-out of a query at one snapshot to the home daemons of its shards."""
 
 import itertools
 from collections.abc import Iterator
@@ -32,20 +32,20 @@
 from fennelfork_daemon.tracing._trace import RequestTrace
 
 _MS: Final = 1000
-# How soon a home that lives answers a call that asks for nothing.
+# Timeout for the liveness probe of a home daemon.
 _PROBE_TIMEOUT_MS: Final = 300
-# What a home leaves of the deadline for its message and the merge.
+# Part of the deadline that is reserved for the reply message and the merge.
 _MERGE_MARGIN_MS: Final = 4
 _MAX_FAN_OUTS: Final = 3
 
 
 @attrs.define(kw_only=True)
 class RootScatter:
-    """Sends sub-queries to homes, and to the next homes on silence.
+    """Sends sub-queries to home daemons, with fallback to other daemons.
 
     Attributes:
-        trace: takes notes of what is done.
-        work: what was done for the answer so far.
+        trace: trace of the query.
+        work: counts of sub-queries, hedges and retries so far.
     """
 
     trace: RequestTrace
@@ -61,17 +61,17 @@
     _outcomes: eventlet.Queue = attrs.field(factory=eventlet.Queue)
     _in_flight: dict[int, HomeGroup] = attrs.field(factory=dict)
     _failed_groups: list[HomeGroup] = attrs.field(factory=list)
-    # Shards whose work a home that gave no reply may still run.
+    # Shards whose sub-queries an unanswered home daemon may still run.
     _may_have_run_shards: set[str] = attrs.field(factory=set)
     _serials: Iterator[int] = attrs.field(factory=itertools.count)
 
     @property
     def left_ms(self) -> float:
-        """What remains of the deadline."""
+        """Time until the deadline, in milliseconds."""
         return self._request.deadline_at_ms - self._clock.now_ms()
 
     def run(self, merge: Merge) -> None:
-        """Fill `merge` until nothing is pending or no time is left."""
+        """Fill `merge` until no sub-query is pending or the deadline passes."""
         self._send(merge, pending_shards(merge), frozenset())
         unresponsive: frozenset[str] = frozenset()
         fan_outs = 1
@@ -95,7 +95,7 @@
         shards: frozenset[str],
         unresponsive: frozenset[str],
     ) -> None:
-        """Ask the homes of some shards for what is pending of them."""
+        """Send the pending sub-queries of some shards to their homes."""
         groups = route_homes(
             self._board,
             self._request.front,
@@ -114,10 +114,10 @@
             )
 
     def _remove_failed_groups(self, merge: Merge) -> list[HomeGroup]:
-        """Give the groups whose home failed, or answers nothing at all.
+        """Remove and return the groups whose home daemon failed or is unresponsive.
 
-        A home that is only busy is waited for: a second home would hand out
-        the same servers' slots again.
+        A responsive home daemon is never replaced, since a second home would
+        assign the slots of the same servers again.
         """
         failed = self._failed_groups
         self._failed_groups = []
@@ -166,7 +166,7 @@
         self._outcomes.put((number, outcome))
 
     def _receive_outcomes(self, merge: Merge, wait_ms: float) -> None:
-        """Take what arrives until nothing is awaited or the wait is over."""
+        """Merge outcomes until the wait ends or no more are needed."""
         deadline_ms = self._clock.now_ms() + min(wait_ms, self.left_ms)
         while merge.pending and self._in_flight and not self._failed_groups:
             wait_ms = deadline_ms - self._clock.now_ms()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -1,4 +1,4 @@
-"""The root of a query: pins a snapshot, scatters, merges, answers."""
+"""Root daemon of a query: pins a snapshot, scatters, merges and answers."""
 
 import json
 
@@ -28,7 +28,7 @@
 
 @attrs.define(kw_only=True)
 class RootService:
-    """Answers queries that callers sent to this daemon."""
+    """Answers queries of callers as their root daemon."""
 
     _board: Blackboard
     _calls: HomeClient
@@ -42,11 +42,11 @@
         request: QueryRequest,
         trace: RequestTrace,
     ) -> Result[QueryAnswer, Failure]:
-        """Answer one query, before its deadline.
+        """Answer one query before its deadline.
 
         Args:
-            request: what the caller asks.
-            trace: takes notes of what is done for it.
+            request: query of the caller.
+            trace: trace of the query.
 
         Returns:
             The answer with its coverage, or a failure whose verdict says
@@ -97,7 +97,7 @@
         request: QueryRequest,
         key_space: KeyRange,
     ) -> Result[Merge, Failure]:
-        """Run the query, and once more on another snapshot if one is gone."""
+        """Run the query, and rerun it if its snapshot is no longer available."""
         none_excluded: frozenset[int] = frozenset()
         first = self._run_at_snapshot(
             scatter, request, key_space, none_excluded
@@ -134,12 +134,12 @@
 
 
 def root_service(board: Blackboard, clock: Clock, home: Home) -> RootService:
-    """Build the root side of a daemon.
+    """Build the root service of a daemon.
 
     Args:
-        board: the facts of the daemon.
-        clock: its clock.
-        home: the home side of the same daemon.
+        board: blackboard of the daemon.
+        clock: clock of the daemon.
+        home: home service of the same daemon.
     """
     health = peer_health(clock)
     calls = HomeClient(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_view_cache.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_view_cache.py
@@ -1,7 +1,7 @@
-"""What a root knows of the snapshots that each shard holds.
+"""Cache of the snapshots that each shard holds, for root daemons.
 
-Nothing is polled: homes send the views along with each answer, so the cost
-follows the queries. A shard not yet known is described by its home.
+Home daemons attach the views to each reply, so no polling is needed. The home
+daemon of a shard without a cached view is asked to describe the shard.
 """
 
 from collections.abc import Iterable
@@ -13,24 +13,25 @@
 
 @attrs.define(kw_only=True)
 class ViewCache:
-    """Views by front and shard."""
+    """Cache of shard views by front and shard."""
 
     _views: dict[str, dict[str, ShardView]] = attrs.field(factory=dict)
 
     def for_front(self, front: str) -> tuple[ShardView, ...]:
-        """Give the views of a front."""
+        """Return the cached views of a front."""
         return tuple(self._views.get(front, {}).values())
 
     def unknown_shards(
         self, front: str, shards: Iterable[str]
     ) -> frozenset[str]:
-        """Give those of `shards` that no view is held of."""
+        """Return the shards without a cached view."""
         return frozenset(shards) - self._views.get(front, {}).keys()
 
     def update(self, front: str, views: Iterable[ShardView]) -> None:
         """Replace the views of the shards named in `views`.
 
-        A shard that holds nothing is forgotten, so that it is asked again.
+        A shard without snapshots is removed, so that its home daemon is asked
+        to describe the shard again.
         """
         held = self._views.setdefault(front, {})
         for view in views:
@@ -40,7 +41,7 @@
                 held.pop(view.shard, None)
 
     def retain_shards(self, front: str, shards: Iterable[str]) -> None:
-        """Forget shards that are no longer configured."""
+        """Remove the views of all other shards of a front."""
         held = self._views.get(front, {})
         for removed in held.keys() - set(shards):
             held.pop(removed)
