--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
@@ -10,7 +10,7 @@
 from fennelfork.home import ServerReport
 from fennelfork_daemon.backend._call import JsonRequest
 from fennelfork_daemon.backend._pool import BackendPool, Trace
-from fennelfork_daemon.backend._reply import (
+from fennelfork_daemon.backend._response import (
     read_health,
     read_json,
     read_search,
@@ -22,13 +22,13 @@
     """Options for sending one request.
 
     Attributes:
-        left_ms: time until the deadline, in milliseconds.
+        remaining_ms: time until the deadline, in milliseconds.
         timeout_ms: timeout for the response, in milliseconds.
         fresh: whether the request needs a new connection.
         trace: record of the connection that carries the request.
     """
 
-    left_ms: float
+    remaining_ms: float
     timeout_ms: float
     fresh: bool
     trace: Trace
@@ -54,7 +54,7 @@
             'lo': expected.span.lo,
             'hi': expected.span.hi,
             'query': query,
-            'deadline_ms': int(options.left_ms),
+            'deadline_ms': int(options.remaining_ms),
         }
         return self._send('/v1/search', body, options).bind(
             lambda tree: read_search(tree, expected),
@@ -77,7 +77,7 @@
     def health(self, timeout_ms: float) -> Result[ServerReport, Failure]:
         """Request the health report of the server."""
         options = SendOptions(
-            left_ms=timeout_ms,
+            remaining_ms=timeout_ms,
             timeout_ms=timeout_ms,
             fresh=False,
             trace=Trace(),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
@@ -81,7 +81,7 @@
 
     keep_alive_ms: float | None = None
     _http: HTTPConnection
-    _max_reply_bytes: int
+    _max_response_bytes: int
     _has_responded: bool = False
 
     @property
@@ -150,10 +150,10 @@
         send_request(request, self._http)
         response = self._http.getresponse()
         self._has_responded = True
-        body = response.read(self._max_reply_bytes + 1)
-        if len(body) > self._max_reply_bytes:
+        body = response.read(self._max_response_bytes + 1)
+        if len(body) > self._max_response_bytes:
             detail = (
-                f'the response is longer than {self._max_reply_bytes} bytes'
+                f'the response is longer than {self._max_response_bytes} bytes'
             )
             return Bad(may_have_run(FailureCode.BAD_REPLY, detail))
         response.release_conn()
@@ -171,20 +171,20 @@
 
 def backend_connection(
     address: Address,
-    max_reply_bytes: int,
+    max_response_bytes: int,
 ) -> BackendConnection:
     """Build a connection without opening it.
 
     Args:
         address: address of the server.
-        max_reply_bytes: size limit of a response body, in bytes.
+        max_response_bytes: size limit of a response body, in bytes.
     """
     http = _SingleWriteConnection(
         address.host,
         address.port,
         socket_options=_SOCKET_OPTIONS,
     )
-    return BackendConnection(http=http, max_reply_bytes=max_reply_bytes)
+    return BackendConnection(http=http, max_response_bytes=max_response_bytes)
 
 
 def _connect_failure_code(error: Exception) -> FailureCode:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
@@ -72,7 +72,7 @@
     _address: Address
     _ledger: ConnectionLedger
     _clock: Clock
-    _max_reply_bytes: int
+    _max_response_bytes: int
     _probe: JsonRequest | None
     _when_full: WhenFull
     _wait_queue: WaitQueue = attrs.field(factory=WaitQueue)
@@ -150,7 +150,7 @@
         request: AnyRequest,
         trace: Trace,
     ) -> Result[BackendResponse, Failure]:
-        connection = backend_connection(self._address, self._max_reply_bytes)
+        connection = backend_connection(self._address, self._max_response_bytes)
         self._open[number] = connection
         opened = connection.open(_connect_ms(request))
         if is_successful(opened):
@@ -205,7 +205,7 @@
     address: Address,
     ledger: ConnectionLedger,
     clock: Clock,
-    max_reply_bytes: int,
+    max_response_bytes: int,
     probe: JsonRequest | None = HEALTH_PROBE,
     when_full: WhenFull = _FAIL_IMMEDIATELY,
 ) -> BackendPool:
@@ -215,7 +215,7 @@
         address: address of the server.
         ledger: bookkeeping that chooses the connection of a request.
         clock: clock of the daemon.
-        max_reply_bytes: size limit of a response body, in bytes.
+        max_response_bytes: size limit of a response body, in bytes.
         probe: request that checks a long idle connection before its reuse, or
             none for reuse without a check.
         when_full: policy while all connections are in use.
@@ -224,7 +224,7 @@
         address=address,
         ledger=ledger,
         clock=clock,
-        max_reply_bytes=max_reply_bytes,
+        max_response_bytes=max_response_bytes,
         probe=probe,
         when_full=when_full,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_reply.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_response.py
@@ -41,7 +41,9 @@
     try:
         reply = _read_reply(tree)
     except (KeyError, TypeError) as error:
-        return _bad_reply(f'the reply has a missing or invalid member: {error}')
+        return _bad_reply(
+            f'the response has a missing or invalid member: {error}'
+        )
     return check_reply(expected, reply)
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_wait_queue.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_wait_queue.py
@@ -22,18 +22,18 @@
         Args:
             max_wait_ms: maximum wait, in milliseconds.
         """
-        turn = Event()
-        self._waiting.append(turn)
-        with contextlib.ExitStack() as waiting:
+        wake_event = Event()
+        self._waiting.append(wake_event)
+        with contextlib.ExitStack() as cleanup:
             # Also runs when the green thread is killed.
-            waiting.callback(self._remove, turn)
-            turn.wait(max_wait_ms / _MS)
+            cleanup.callback(self._remove, wake_event)
+            wake_event.wait(max_wait_ms / _MS)
 
     def wake_first(self) -> None:
         """Wake the green thread that has waited longest, if any."""
         if self._waiting:
             self._waiting.popleft().send()
 
-    def _remove(self, turn: Event) -> None:
-        if turn in self._waiting:
-            self._waiting.remove(turn)
+    def _remove(self, wake_event: Event) -> None:
+        if wake_event in self._waiting:
+            self._waiting.remove(wake_event)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_codec.py
@@ -15,7 +15,7 @@
 def request_to_peer(
     request: ExecuteRequest,
     traffic_class: str,
-    left_ms: float,
+    remaining_ms: float,
 ) -> Any:
     """Encode a request with the remaining time until its deadline."""
     return peer.ExecuteRequest(
@@ -24,7 +24,7 @@
         ticket=request.ticket,
         key=request.key,
         action=request.action,
-        deadline_ms=int(left_ms),
+        deadline_ms=int(remaining_ms),
         tenant=request.tenant,
         traffic_class=traffic_class,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
@@ -24,7 +24,7 @@
 _MS: Final = 1000
 _HTTP_OK: Final = 200
 _DRAINING: Final = 'draining'
-_MAX_REPLY_BYTES: Final = 65_536
+_MAX_RESPONSE_BYTES: Final = 65_536
 _TRANSPORT_ERRORS: Final = (HTTPError, HTTPException, OSError, eventlet.Timeout)
 
 
@@ -56,14 +56,14 @@
     """Time window in which the server may start the request.
 
     Attributes:
-        left_ms: length of the window from the moment when the server reads
+        remaining_ms: length of the window from the moment when the server reads
             the request, in milliseconds.
         not_after_ms: latest start on the clock of the server, if the server
             reports its clock; also bounds the time that the request waits in
             a socket buffer.
     """
 
-    left_ms: float
+    remaining_ms: float
     not_after_ms: float | None
 
 
@@ -108,18 +108,20 @@
         return Failed(probed.failure())
     # Prevents a reconnect, without a probe, if the connection is lost.
     connection.auto_open = 0
-    left = begin_send()
-    if isinstance(left, Failed):
-        return Failed(left.failure())
-    window = _window(left.unwrap(), probed.unwrap())
+    remaining = begin_send()
+    if isinstance(remaining, Failed):
+        return Failed(remaining.failure())
+    window = _window(remaining.unwrap(), probed.unwrap())
     return _send(connection, target, call, window, timeouts)
 
 
-def _window(left_ms: float, server_now_ms: float | None) -> _StartWindow:
-    # The clock reading predates `left_ms`, so the computed limit is never too
+def _window(remaining_ms: float, server_now_ms: float | None) -> _StartWindow:
+    # The clock reading predates `remaining_ms`, so the computed limit is never too
     # late, even if a process was paused in between.
-    not_after_ms = None if server_now_ms is None else server_now_ms + left_ms
-    return _StartWindow(left_ms=left_ms, not_after_ms=not_after_ms)
+    not_after_ms = (
+        None if server_now_ms is None else server_now_ms + remaining_ms
+    )
+    return _StartWindow(remaining_ms=remaining_ms, not_after_ms=not_after_ms)
 
 
 def _probe(
@@ -143,7 +145,7 @@
     """Request the health of the server, which fails if it is draining."""
     connection.request('GET', '/v1/health', preload_content=False)
     response = connection.getresponse()
-    content = response.read(_MAX_REPLY_BYTES)
+    content = response.read(_MAX_RESPONSE_BYTES)
     usable = response.status == _HTTP_OK and not response.length_remaining
     if not usable or connection.sock is None:
         detail = f'the probe response is unusable: status {response.status}'
@@ -172,14 +174,14 @@
     window: _StartWindow,
     timeouts: ExecuteTimeouts,
 ) -> Result[str, Failure]:
-    timeout = eventlet.Timeout((window.left_ms + timeouts.settle_ms) / _MS)
+    timeout = eventlet.Timeout((window.remaining_ms + timeouts.settle_ms) / _MS)
     try:
         return _exchange(connection, call, window)
     except _TRANSPORT_ERRORS as error:
         error_name = type(error).__name__
     finally:
         timeout.cancel()
-    detail = f'backend server {target.name} gave no reply: {error_name}'
+    detail = f'backend server {target.name} sent no response: {error_name}'
     return Failed(may_have_run(FailureCode.UNREACHABLE, detail))
 
 
@@ -188,7 +190,7 @@
     call: ExecuteCall,
     window: _StartWindow,
 ) -> Result[str, Failure]:
-    body = {**attrs.asdict(call), 'deadline_ms': int(window.left_ms)}
+    body = {**attrs.asdict(call), 'deadline_ms': int(window.remaining_ms)}
     if window.not_after_ms is not None:
         body['not_after_ms'] = window.not_after_ms
     connection.request(
@@ -199,5 +201,5 @@
         preload_content=False,
     )
     response = connection.getresponse()
-    content = response.read(_MAX_REPLY_BYTES)
+    content = response.read(_MAX_RESPONSE_BYTES)
     return classify_execute_response(call, response.status, content)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_runner.py
@@ -22,8 +22,8 @@
 )
 
 _MAX_ATTEMPTS: Final = 3
-# Reserve for a deadline failure of the server to arrive before the deadline.
-_REPLY_MARGIN_MS: Final = 10
+# Lets a deadline failure of the server arrive before the deadline itself.
+_RESPONSE_MARGIN_MS: Final = 10
 _RETRY_AFTER_MS: Final = 200
 _MS: Final = 1000
 
@@ -170,13 +170,15 @@
         request_id: str,
         deadline_at_ms: float,
     ) -> Result[float, Failure]:
-        left_ms = deadline_at_ms - self._clock.now_ms() - _REPLY_MARGIN_MS
-        if left_ms <= 0:
+        remaining_ms = (
+            deadline_at_ms - self._clock.now_ms() - _RESPONSE_MARGIN_MS
+        )
+        if remaining_ms <= 0:
             return Failed(
                 not_run(
                     FailureCode.DEADLINE,
                     'the deadline passed before the request was sent',
                 )
             )
-        begun = self._table.begin_send(request_id)
-        return begun.map(lambda ticket_ms: min(left_ms, ticket_ms))
+        send_window = self._table.begin_send(request_id)
+        return send_window.map(lambda ticket_ms: min(remaining_ms, ticket_ms))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
@@ -72,7 +72,9 @@
             return admission.answer
         if isinstance(admission, StartExecution):
             self._runner.start(request, received.deadline_at_ms)
-        ended = self._runner.wait(request.request_id, self._left_ms(received))
+        ended = self._runner.wait(
+            request.request_id, self._remaining_ms(received)
+        )
         if isinstance(admission, StartExecution) and not ended:
             self._gate.table.abandon_unsent(
                 request.request_id, _DEADLINE_PASSED
@@ -96,21 +98,21 @@
                 )
             )
         for _ in range(_MAX_FORWARDS):
-            left_ms = self._left_ms(received)
+            remaining_ms = self._remaining_ms(received)
             reply = self._peers.call(
                 member.peer,
                 'execute',
                 request_to_peer(
-                    received.request, received.traffic_class, left_ms
+                    received.request, received.traffic_class, remaining_ms
                 ),
-                left_ms,
+                remaining_ms,
             )
             if isinstance(reply, Success):
                 return reply_from_peer(reply.unwrap())
         detail = f'the daemon of the ticket: {reply.failure().detail}'
         return Failed(unknown_outcome(detail))
 
-    def _left_ms(self, received: ReceivedRequest) -> float:
+    def _remaining_ms(self, received: ReceivedRequest) -> float:
         return received.deadline_at_ms - self._clock.now_ms()
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
@@ -62,7 +62,7 @@
     scheduler: HomeScheduler
     _clock: Clock
     _label: str
-    _max_reply_bytes: int
+    _max_response_bytes: int
     _failure_callback: Callable[[Failure], None]
     _clients: dict[str, BackendClient] = attrs.field(factory=dict)
     _addresses: dict[str, str] = attrs.field(factory=dict)
@@ -112,7 +112,7 @@
             address(server.address),
             ledger,
             self._clock,
-            self._max_reply_bytes,
+            self._max_response_bytes,
         )
         self._addresses[name] = server.address
         self._clients[name] = BackendClient(pool=pool)
@@ -133,10 +133,10 @@
         self, send: Send, attempt: _Attempt, runnable: RunnableTask
     ) -> None:
         """Send one attempt and report its result to the scheduler."""
-        left_ms = send.task.deadline_ms - self._clock.now_ms()
+        remaining_ms = send.task.deadline_ms - self._clock.now_ms()
         options = SendOptions(
-            left_ms=left_ms,
-            timeout_ms=left_ms + _SOCKET_MARGIN_MS,
+            remaining_ms=remaining_ms,
+            timeout_ms=remaining_ms + _SOCKET_MARGIN_MS,
             fresh=send.fresh_connection,
             trace=attempt.trace,
         )
@@ -178,7 +178,7 @@
         if attempt is None or client is None:
             return
         options = SendOptions(
-            left_ms=_CANCEL_TIMEOUT_MS,
+            remaining_ms=_CANCEL_TIMEOUT_MS,
             timeout_ms=_CANCEL_TIMEOUT_MS,
             fresh=cancel.suspect,
             trace=Trace(),
@@ -216,7 +216,7 @@
 def shard_runner(
     clock: Clock,
     label: str,
-    max_reply_bytes: int,
+    max_response_bytes: int,
     failure_callback: Callable[[Failure], None],
 ) -> ShardRunner:
     """Build the runner of a shard without servers.
@@ -224,14 +224,14 @@
     Args:
         clock: clock of the daemon.
         label: part of attempt names that is unique to this daemon.
-        max_reply_bytes: size limit of a response body, in bytes.
+        max_response_bytes: size limit of a response body, in bytes.
         failure_callback: function that is called with each failed attempt.
     """
     return ShardRunner(
         scheduler=home_scheduler(clock, random.Random()),
         clock=clock,
         label=label,
-        max_reply_bytes=max_reply_bytes,
+        max_response_bytes=max_response_bytes,
         failure_callback=failure_callback,
     )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
@@ -55,8 +55,8 @@
         groups: tuple[HomeGroup, ...],
         deadline_at_ms: float,
     ) -> None:
-        left_ms = deadline_at_ms - self._clock.now_ms()
-        timeout_ms = min(left_ms * _TIMEOUT_SHARE, _MAX_TIMEOUT_MS)
+        remaining_ms = deadline_at_ms - self._clock.now_ms()
+        timeout_ms = min(remaining_ms * _TIMEOUT_SHARE, _MAX_TIMEOUT_MS)
         pool = eventlet.GreenPool(len(groups))
         for group in groups:
             pool.spawn_n(self._describe_group, front, group, timeout_ms)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_fan_out.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_fan_out.py
@@ -17,25 +17,25 @@
 _MIN_PROBE_DELAY_MS: Final = 20
 
 
-def probe_delay_ms(left_ms: float) -> float:
+def probe_delay_ms(remaining_ms: float) -> float:
     """Return the delay before unanswered home daemons are probed."""
-    share_ms = min(left_ms * _PROBE_DELAY_SHARE, _MAX_PROBE_DELAY_MS)
+    share_ms = min(remaining_ms * _PROBE_DELAY_SHARE, _MAX_PROBE_DELAY_MS)
     return max(share_ms, _MIN_PROBE_DELAY_MS)
 
 
 def should_wait(
     merge: Merge,
     demand: CoverageDemand,
-    left_ms: float,
+    remaining_ms: float,
 ) -> bool:
     """Whether further replies can still satisfy the demand of a query.
 
     Args:
         merge: replies and failures so far.
         demand: coverage that the caller requires.
-        left_ms: time until the deadline, in milliseconds.
+        remaining_ms: time until the deadline, in milliseconds.
     """
-    if left_ms <= 0 or not merge.pending:
+    if remaining_ms <= 0 or not merge.pending:
         return False
     return not is_unsatisfiable(merge, demand)
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -66,7 +66,7 @@
     _serials: Iterator[int] = attrs.field(factory=itertools.count)
 
     @property
-    def left_ms(self) -> float:
+    def remaining_ms(self) -> float:
         """Time until the deadline, in milliseconds."""
         return self._request.deadline_at_ms - self._clock.now_ms()
 
@@ -76,11 +76,11 @@
         unresponsive: frozenset[str] = frozenset()
         fan_outs = 1
         demand = self._request.demand
-        while should_wait(merge, demand, self.left_ms) and (
+        while should_wait(merge, demand, self.remaining_ms) and (
             self._in_flight or self._failed_groups
         ):
-            self._receive_outcomes(merge, probe_delay_ms(self.left_ms))
-            if not should_wait(merge, demand, self.left_ms):
+            self._receive_outcomes(merge, probe_delay_ms(self.remaining_ms))
+            if not should_wait(merge, demand, self.remaining_ms):
                 return
             failed = self._remove_failed_groups(merge)
             if failed and fan_outs < _MAX_FAN_OUTS:
@@ -137,7 +137,7 @@
 
     def _probe_home(self, number: int) -> int | None:
         home = self._in_flight[number].home
-        timeout_ms = min(self.left_ms, _PROBE_TIMEOUT_MS)
+        timeout_ms = min(self.remaining_ms, _PROBE_TIMEOUT_MS)
         front = self._request.front
         return (
             None
@@ -152,7 +152,7 @@
             snapshot=merge.snapshot,
             planned=pending_for_group(merge, group),
             query=self._query_text,
-            deadline_ms=self.left_ms - _MERGE_MARGIN_MS,
+            deadline_ms=self.remaining_ms - _MERGE_MARGIN_MS,
             tenant=self._request.tenant,
             traffic_class=self._request.traffic_class,
             config_version=self._board.config_version,
@@ -162,12 +162,12 @@
     def _send_to_home(
         self, number: int, home: Member, request: ScatterRequest
     ) -> None:
-        outcome = self._calls.scatter(home, request, self.left_ms)
+        outcome = self._calls.scatter(home, request, self.remaining_ms)
         self._outcomes.put((number, outcome))
 
     def _receive_outcomes(self, merge: Merge, wait_ms: float) -> None:
         """Merge outcomes until the wait ends or no more are needed."""
-        deadline_ms = self._clock.now_ms() + min(wait_ms, self.left_ms)
+        deadline_ms = self._clock.now_ms() + min(wait_ms, self.remaining_ms)
         while merge.pending and self._in_flight and not self._failed_groups:
             wait_ms = deadline_ms - self._clock.now_ms()
             if not should_wait(merge, self._request.demand, wait_ms):
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -103,7 +103,11 @@
             scatter, request, key_space, none_excluded
         )
         merge = first.value_or(None)
-        if merge is None or not merge.snapshot_gone or scatter.left_ms <= 0:
+        if (
+            merge is None
+            or not merge.snapshot_gone
+            or scatter.remaining_ms <= 0
+        ):
             return first
         scatter.work = attrs.evolve(scatter.work, reruns=1)
         scatter.trace.note('rerun on another snapshot', gone=merge.snapshot)
