--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -79,7 +79,7 @@
     """Build a target finder with an empty view cache."""
     health = peer_health(clock)
     views = ViewCache()
-    calls = HomeClient(
+    homes = HomeClient(
         local_name=board.local.name,
         local=home,
         peers=PeerClient(),
@@ -88,7 +88,7 @@
     )
     describer = ShardDescriber(
         board=board,
-        calls=calls,
+        homes=homes,
         health=health,
         views=views,
         clock=clock,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
@@ -22,7 +22,7 @@
     """Fills the view cache from the home daemons before a query runs."""
 
     _board: Blackboard
-    _calls: HomeClient
+    _homes: HomeClient
     _health: PeerHealth
     _views: ViewCache
     _clock: Clock
@@ -68,7 +68,7 @@
         group: HomeGroup,
         timeout_ms: float,
     ) -> None:
-        views = self._calls.describe(
+        views = self._homes.describe(
             group.home,
             front,
             group.shards,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -53,7 +53,7 @@
     _request: QueryRequest
     _query_text: str
     _board: Blackboard
-    _calls: HomeClient
+    _homes: HomeClient
     _health: PeerHealth
     _views: ViewCache
     _clock: Clock
@@ -141,7 +141,7 @@
         front = self._request.front
         return (
             None
-            if self._calls.is_responsive(home, front, timeout_ms)
+            if self._homes.is_responsive(home, front, timeout_ms)
             else number
         )
 
@@ -162,7 +162,7 @@
     def _send_to_home(
         self, number: int, home: Member, request: ScatterRequest
     ) -> None:
-        outcome = self._calls.scatter(home, request, self.remaining_ms)
+        outcome = self._homes.scatter(home, request, self.remaining_ms)
         self._outcomes.put((number, outcome))
 
     def _receive_outcomes(self, merge: Merge, wait_ms: float) -> None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -31,7 +31,7 @@
     """Answers queries of callers as their root daemon."""
 
     _board: Blackboard
-    _calls: HomeClient
+    _homes: HomeClient
     _health: PeerHealth
     _views: ViewCache
     _describer: ShardDescriber
@@ -56,7 +56,7 @@
         if front is None:
             detail = f'there is no front {request.front!r}'
             return Bad(not_run(FailureCode.UNKNOWN_FRONT, detail))
-        level = self._calls.admit(request)
+        level = self._homes.admit(request)
         if not is_successful(level):
             return Bad(level.failure())
         config_version = self._board.config_version
@@ -85,7 +85,7 @@
             request=request,
             query_text=json.dumps(request.query),
             board=self._board,
-            calls=self._calls,
+            homes=self._homes,
             health=self._health,
             views=self._views,
             clock=self._clock,
@@ -146,7 +146,7 @@
         home: home service of the same daemon.
     """
     health = peer_health(clock)
-    calls = HomeClient(
+    homes = HomeClient(
         local_name=board.local.name,
         local=home,
         peers=PeerClient(),
@@ -156,14 +156,14 @@
     views = ViewCache()
     describer = ShardDescriber(
         board=board,
-        calls=calls,
+        homes=homes,
         health=health,
         views=views,
         clock=clock,
     )
     return RootService(
         board=board,
-        calls=calls,
+        homes=homes,
         health=health,
         views=views,
         describer=describer,
