--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_daemon.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_daemon.py
@@ -9,9 +9,12 @@
 from fennelfork_daemon._fleet import Fleet, fleet
 from fennelfork_daemon._listeners import Listeners
 from fennelfork_daemon._peer_handler import PeerHandler
-from fennelfork_daemon.callers._face import CallerFace
+from fennelfork_daemon.callers._api import CallerApi
 from fennelfork_daemon.config._service import ConfigService, config_service
-from fennelfork_daemon.execute._build import ExecuteParts, execute_parts
+from fennelfork_daemon.execute._build import (
+    ExecuteComponents,
+    execute_components,
+)
 from fennelfork_daemon.home._service import HomeService, home_service
 from fennelfork_daemon.http._router import Router, router
 from fennelfork_daemon.http._wsgi_server import serve_http
@@ -35,7 +38,7 @@
     _observer: Observer
     _config: ConfigService
     _fleet: Fleet
-    _execute: ExecuteParts
+    _execute: ExecuteComponents
 
     def serve(self) -> int:
         """Serve until the process is requested to stop.
@@ -88,7 +91,7 @@
         )
 
     def _caller_router(self) -> Router:
-        caller_api = CallerFace(
+        caller_api = CallerApi(
             root=root_service(self._board, self._clock, self._home),
             clock=self._clock,
             settings=self._settings,
@@ -98,7 +101,7 @@
             (
                 *caller_api.routes,
                 *self._fleet.entry_routes(self._execute.issuer),
-                *self._execute.face.routes,
+                *self._execute.api.routes,
             ),
         )
 
@@ -124,5 +127,7 @@
             request_observer.metrics.count_control,
         ),
         fleet=fleet(settings, clock, board, request_observer.metrics),
-        execute=execute_parts(board, clock, home, settings, request_observer),
+        execute=execute_components(
+            board, clock, home, settings, request_observer
+        ),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
@@ -14,7 +14,7 @@
     InProgress,
 )
 from fennelfork_daemon._stop_service import StopService, stop_service
-from fennelfork_daemon.callers._entries_face import EntriesFace
+from fennelfork_daemon.callers._entries_api import EntriesApi
 from fennelfork_daemon.execute._ticket_issuer import TicketIssuer
 from fennelfork_daemon.http._router import Route
 from fennelfork_daemon.logs._logs import state_log
@@ -55,7 +55,7 @@
     def entry_routes(self, issuer: TicketIssuer) -> tuple[Route, ...]:
         """Return the routes that list daemon addresses for callers."""
         self._stop.on_leave.append(issuer.stop)
-        return EntriesFace(
+        return EntriesApi(
             board=self._board,
             rng=random.Random(),
             ttl_ms=self._settings.timeouts.entry_ttl_ms,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_peer_handler.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_peer_handler.py
@@ -6,8 +6,8 @@
 
 from fennelfork_daemon._in_progress import InProgress
 from fennelfork_daemon.config._exchange import ConfigExchange
-from fennelfork_daemon.execute._build import ExecutePeer
-from fennelfork_daemon.home._calls import Home
+from fennelfork_daemon.execute._build import ExecutePeerHandler
+from fennelfork_daemon.home._client import Home
 from fennelfork_daemon.membership._service import MembershipService
 from fennelfork_daemon.peer._codec import order_from_peer, outcome_to_peer
 from fennelfork_daemon.peer._codec_view import views_to_peer
@@ -20,7 +20,7 @@
 
     _home: Home
     _config: ConfigExchange
-    _execute: ExecutePeer
+    _execute: ExecutePeerHandler
     _members: MembershipService
     _in_progress: InProgress
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_client.py
@@ -8,8 +8,8 @@
 from fennelfork import Failure
 from fennelfork.gather import ExpectedReply, Reply
 from fennelfork.home import ServerReport
-from fennelfork_daemon.backend._call import JsonRequest
-from fennelfork_daemon.backend._pool import BackendPool, Trace
+from fennelfork_daemon.backend._pool import BackendPool, ConnectionTrace
+from fennelfork_daemon.backend._request import JsonRequest
 from fennelfork_daemon.backend._response import (
     read_health,
     read_json,
@@ -31,7 +31,7 @@
     remaining_ms: float
     timeout_ms: float
     fresh: bool
-    trace: Trace
+    trace: ConnectionTrace
 
 
 @attrs.frozen(kw_only=True)
@@ -80,7 +80,7 @@
             remaining_ms=timeout_ms,
             timeout_ms=timeout_ms,
             fresh=False,
-            trace=Trace(),
+            trace=ConnectionTrace(),
         )
         return self._send('/v1/health', None, options).bind(read_health)
 
@@ -96,7 +96,7 @@
             timeout_ms=options.timeout_ms,
             fresh=options.fresh,
         )
-        return self.pool.carry(request, options.trace).bind(read_json)
+        return self.pool.exchange(request, options.trace).bind(read_json)
 
 
 def _read_cancelled(tree: Any) -> bool:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_connection.py
@@ -15,10 +15,10 @@
 from fennelfork import Failure, FailureCode, may_have_run, not_run
 from fennelfork_daemon._address import Address
 from fennelfork_daemon._sockets import ConnectionBroken, reset_aware
-from fennelfork_daemon.backend._call import (
+from fennelfork_daemon.backend._request import (
     AnyRequest,
     BackendResponse,
-    ForwardCall,
+    ForwardRequest,
     send_request,
 )
 
@@ -106,7 +106,7 @@
             )
         return Success(None)
 
-    def carry(self, request: AnyRequest) -> Result[BackendResponse, Failure]:
+    def exchange(self, request: AnyRequest) -> Result[BackendResponse, Failure]:
         """Send a request and read the response.
 
         Returns:
@@ -205,7 +205,7 @@
     request: AnyRequest,
     response: BackendResponse,
 ) -> Result[BackendResponse, Failure]:
-    if isinstance(request, ForwardCall):
+    if isinstance(request, ForwardRequest):
         return request.check(response)
     return Success(response)
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
@@ -11,16 +11,16 @@
 from fennelfork import Clock, Failure, FailureCode, not_run
 from fennelfork.servers import ConnectionChoice, ConnectionLedger
 from fennelfork_daemon._address import Address
-from fennelfork_daemon.backend._call import (
-    AnyRequest,
-    BackendResponse,
-    ForwardCall,
-    JsonRequest,
-)
 from fennelfork_daemon.backend._connection import (
     BackendConnection,
     backend_connection,
 )
+from fennelfork_daemon.backend._request import (
+    AnyRequest,
+    BackendResponse,
+    ForwardRequest,
+    JsonRequest,
+)
 from fennelfork_daemon.backend._wait_queue import WaitQueue
 
 _PROBE_TIMEOUT_MS: Final = 50.0
@@ -36,7 +36,7 @@
 
 
 @attrs.define(kw_only=True)
-class Trace:
+class ConnectionTrace:
     """Record of the connection that carries a request.
 
     Attributes:
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class WhenFull:
+class FullPoolPolicy:
     """Policy for requests while all connections are in use.
 
     Attributes:
@@ -59,10 +59,10 @@
 
     code: FailureCode = FailureCode.SHED
     wait_ms: float = 0
-    reset_is_full: bool = False
+    treats_reset_as_full: bool = False
 
 
-_FAIL_IMMEDIATELY: Final = WhenFull()
+_FAIL_IMMEDIATELY: Final = FullPoolPolicy()
 
 
 @attrs.define(kw_only=True)
@@ -74,14 +74,14 @@
     _clock: Clock
     _max_response_bytes: int
     _probe: JsonRequest | None
-    _when_full: WhenFull
+    _when_full: FullPoolPolicy
     _wait_queue: WaitQueue = attrs.field(factory=WaitQueue)
     _open: dict[int, BackendConnection] = attrs.field(factory=dict)
 
-    def carry(
+    def exchange(
         self,
         request: AnyRequest,
-        trace: Trace,
+        trace: ConnectionTrace,
     ) -> Result[BackendResponse, Failure]:
         """Send a request on a usable connection and read the response.
 
@@ -101,17 +101,17 @@
         self._ledger.release(
             choice.connection, self._clock.now_ms(), usable=False
         )
-        return self.carry(request, trace)
+        return self.exchange(request, trace)
 
-    def discard_unresponsive(self, trace: Trace) -> None:
+    def discard_unresponsive(self, trace: ConnectionTrace) -> None:
         """Close an unresponsive connection and all older idle ones."""
         self._close(self._ledger.record_unresponsive(trace.connection))
 
-    def retire(self) -> None:
+    def evict_idle(self) -> None:
         """Close connections that have been idle for too long."""
         self._close(self._ledger.evict_idle(self._clock.now_ms()))
 
-    def retire_all(self) -> None:
+    def evict_all(self) -> None:
         """Close idle connections now, and busy ones after their requests."""
         self._close(self._ledger.invalidate_all())
 
@@ -139,7 +139,7 @@
             return False
         if self._probe is None or not choice.probe:
             return True
-        is_responsive = is_successful(connection.carry(self._probe))
+        is_responsive = is_successful(connection.exchange(self._probe))
         if not is_responsive:
             self._close(self._ledger.record_unresponsive(choice.connection))
         return is_responsive
@@ -148,7 +148,7 @@
         self,
         number: int,
         request: AnyRequest,
-        trace: Trace,
+        trace: ConnectionTrace,
     ) -> Result[BackendResponse, Failure]:
         connection = backend_connection(self._address, self._max_response_bytes)
         self._open[number] = connection
@@ -167,7 +167,7 @@
         """Map a reset new connection to the failure code of the policy."""
         if failure.code is not FailureCode.SHED:
             return Bad(failure)
-        if not self._when_full.reset_is_full:
+        if not self._when_full.treats_reset_as_full:
             return Bad(attrs.evolve(failure, code=FailureCode.UNREACHABLE))
         self._ledger.record_refused_connection(self._clock.now_ms())
         return Bad(attrs.evolve(failure, code=self._when_full.code))
@@ -176,13 +176,13 @@
         self,
         number: int,
         request: AnyRequest,
-        trace: Trace,
+        trace: ConnectionTrace,
     ) -> Result[BackendResponse, Failure]:
         trace.connection = number
         with contextlib.ExitStack() as unusable:
             # Also runs when the green thread of the request is killed.
             unusable.callback(self._release, number, usable=False)
-            response = self._open[number].carry(request)
+            response = self._open[number].exchange(request)
             if is_successful(response):
                 unusable.pop_all()
                 self._release(number, usable=True)
@@ -207,7 +207,7 @@
     clock: Clock,
     max_response_bytes: int,
     probe: JsonRequest | None = HEALTH_PROBE,
-    when_full: WhenFull = _FAIL_IMMEDIATELY,
+    when_full: FullPoolPolicy = _FAIL_IMMEDIATELY,
 ) -> BackendPool:
     """Build the connection pool of one server.
 
@@ -231,7 +231,7 @@
 
 
 def _connect_ms(request: AnyRequest) -> float:
-    if isinstance(request, ForwardCall):
+    if isinstance(request, ForwardRequest):
         return min(request.connect_ms, request.timeout_ms)
     return request.timeout_ms
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_call.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_request.py
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ForwardCall:
+class ForwardRequest:
     """Request whose method, headers and body are forwarded unchanged.
 
     Attributes:
@@ -87,7 +87,7 @@
     )
 
 
-AnyRequest = JsonRequest | ForwardCall
+AnyRequest = JsonRequest | ForwardRequest
 
 
 @functools.singledispatch
@@ -113,7 +113,7 @@
 
 
 @send_request.register
-def _send_forward(request: ForwardCall, http: HTTPConnection) -> None:
+def _send_forward(request: ForwardRequest, http: HTTPConnection) -> None:
     headers = HTTPHeaderDict(request.headers)
     for name in _OMITTED_HEADERS:
         headers.setdefault(name, SKIP_HEADER)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_response.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_response.py
@@ -18,7 +18,7 @@
     key_range,
 )
 from fennelfork.home import ServerReport
-from fennelfork_daemon.backend._call import BackendResponse
+from fennelfork_daemon.backend._request import BackendResponse
 
 _OK: Final = 200
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_api.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class CallerFace:
+class CallerApi:
     """Serves queries of callers over HTTP."""
 
     _root: RootService
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_entries_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_entries_api.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class EntriesFace:
+class EntriesApi:
     """Serves the addresses of suitable daemons to callers."""
 
     _board: Blackboard
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
@@ -10,12 +10,12 @@
 from fennelfork_daemon.execute._api import ExecuteApi
 from fennelfork_daemon.execute._connection import ExecuteTimeouts
 from fennelfork_daemon.execute._observer import ExecuteObserver
-from fennelfork_daemon.execute._peer import ExecutePeer
+from fennelfork_daemon.execute._peer import ExecutePeerHandler
 from fennelfork_daemon.execute._runner import ExecuteRunner
 from fennelfork_daemon.execute._service import ExecuteService
 from fennelfork_daemon.execute._targets import home_target_finder
 from fennelfork_daemon.execute._ticket_issuer import TicketIssuer
-from fennelfork_daemon.home._calls import Home
+from fennelfork_daemon.home._client import Home
 from fennelfork_daemon.peer._client import PeerClient
 from fennelfork_daemon.settings._tables import Settings
 from fennelfork_daemon.tracing._observer import Observer
@@ -27,27 +27,27 @@
 
 
 @attrs.frozen(kw_only=True)
-class ExecuteParts:
+class ExecuteComponents:
     """Components that the daemon adds to its APIs.
 
     Attributes:
-        face: caller API for non-idempotent requests.
+        api: caller API for non-idempotent requests.
         issuer: issuer of the tickets in entry answers.
         peer: peer RPC handler for forwarded requests.
     """
 
-    face: ExecuteApi
+    api: ExecuteApi
     issuer: TicketIssuer
-    peer: ExecutePeer
+    peer: ExecutePeerHandler
 
 
-def execute_parts(
+def execute_components(
     board: Blackboard,
     clock: Clock,
     home: Home,
     settings: Settings,
     observer: Observer,
-) -> ExecuteParts:
+) -> ExecuteComponents:
     """Build the components of a new incarnation.
 
     Args:
@@ -74,8 +74,8 @@
         peers=PeerClient(),
         clock=clock,
     )
-    return ExecuteParts(
-        face=ExecuteApi(
+    return ExecuteComponents(
+        api=ExecuteApi(
             service=service,
             board=board,
             clock=clock,
@@ -92,7 +92,7 @@
             board=board,
             lifetime_ms=settings.timeouts.entry_ttl_ms,
         ),
-        peer=ExecutePeer(service=service, clock=clock),
+        peer=ExecutePeerHandler(service=service, clock=clock),
     )
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_peer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_peer.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class ExecutePeer:
+class ExecutePeerHandler:
     """Serves requests that another daemon forwarded."""
 
     _service: ExecuteService
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -13,7 +13,7 @@
 from fennelfork.placement import peer_health
 from fennelfork_daemon._address import address
 from fennelfork_daemon.execute._connection import ExecuteTarget
-from fennelfork_daemon.home._calls import Home, HomeClient
+from fennelfork_daemon.home._client import Home, HomeClient
 from fennelfork_daemon.peer._client import PeerClient
 from fennelfork_daemon.root._describer import ShardDescriber
 from fennelfork_daemon.root._view_cache import ViewCache
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
@@ -66,7 +66,9 @@
         return entry.runner
 
     @property
-    def sights(self) -> dict[tuple[str, str], tuple[ServerStatus, ...]]:
+    def server_statuses(
+        self,
+    ) -> dict[tuple[str, str], tuple[ServerStatus, ...]]:
         """Statuses of the servers of each active shard, by front and shard."""
         return {
             (name.front, name.shard): entry.runner.scheduler.server_statuses
@@ -157,7 +159,7 @@
 
     A failed poll is ignored, since requests detect unresponsive servers.
     """
-    client.pool.retire()
+    client.pool.evict_idle()
     report = client.health(_POLL_TIMEOUT_MS).value_or(None)
     if report is not None:
         actions = runner.scheduler.servers.on_report(name, report)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
@@ -65,9 +65,11 @@
     _serials: Iterator[int] = attrs.field(factory=itertools.count)
 
     @property
-    def sights(self) -> dict[tuple[str, str], tuple[ServerStatus, ...]]:
+    def server_statuses(
+        self,
+    ) -> dict[tuple[str, str], tuple[ServerStatus, ...]]:
         """Statuses of the servers of each active shard, by front and shard."""
-        return self._runners.sights
+        return self._runners.server_statuses
 
     def scatter(self, request: ScatterRequest) -> ScatterOutcome:
         """Run the sub-queries of `request` within its deadline."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
@@ -25,7 +25,7 @@
 )
 from fennelfork_daemon._address import address
 from fennelfork_daemon.backend._client import BackendClient, SendOptions
-from fennelfork_daemon.backend._pool import Trace, backend_pool
+from fennelfork_daemon.backend._pool import ConnectionTrace, backend_pool
 from fennelfork_daemon.home._tasks import RunnableTask, TaskOutcome
 
 _MS: Final = 1000
@@ -45,7 +45,7 @@
     """Attempt that is in flight."""
 
     name: str
-    trace: Trace
+    trace: ConnectionTrace
     started_ms: float
     thread: GreenThread | None = None
     result: Result[Reply, Failure] | None = None
@@ -121,7 +121,7 @@
         runnable = self._runnables[send.task.job]
         attempt = _Attempt(
             name=f'{runnable.name}#{self._label}.{send.attempt}',
-            trace=Trace(),
+            trace=ConnectionTrace(),
             started_ms=self._clock.now_ms(),
         )
         self._attempts[send.attempt] = attempt
@@ -181,7 +181,7 @@
             remaining_ms=_CANCEL_TIMEOUT_MS,
             timeout_ms=_CANCEL_TIMEOUT_MS,
             fresh=cancel.suspect,
-            trace=Trace(),
+            trace=ConnectionTrace(),
         )
         request_id = cancel.task.request_id
         answered = client.cancel(request_id, attempt.name, options)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_api.py
@@ -83,7 +83,7 @@
 
     def fronts(self, request: HttpRequest) -> HttpReply:
         """Return the fronts with home daemons and backend servers."""
-        return json_reply(fronts_page(self._board, self._home.sights))
+        return json_reply(fronts_page(self._board, self._home.server_statuses))
 
     def explain(self, request: HttpRequest) -> HttpReply:
         """Return the stored trace of a recent request."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
@@ -9,7 +9,7 @@
 from fennelfork.config import Front
 from fennelfork.home import HomeGroup, homes_of, route_homes
 from fennelfork.placement import PeerHealth
-from fennelfork_daemon.home._calls import HomeClient
+from fennelfork_daemon.home._client import HomeClient
 from fennelfork_daemon.root._view_cache import ViewCache
 
 _TIMEOUT_SHARE: Final = 0.5
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -20,7 +20,7 @@
 from fennelfork.home import HomeGroup, homes_of, route_homes
 from fennelfork.membership import Member
 from fennelfork.placement import PeerHealth
-from fennelfork_daemon.home._calls import HomeClient
+from fennelfork_daemon.home._client import HomeClient
 from fennelfork_daemon.root._fan_out import (
     pending_for_group,
     pending_shards,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -18,7 +18,7 @@
     refusal_of,
 )
 from fennelfork.placement import PeerHealth, peer_health
-from fennelfork_daemon.home._calls import Home, HomeClient
+from fennelfork_daemon.home._client import Home, HomeClient
 from fennelfork_daemon.peer._client import PeerClient
 from fennelfork_daemon.root._describer import ShardDescriber
 from fennelfork_daemon.root._scatter import RootScatter
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
@@ -26,7 +26,7 @@
 )
 from fennelfork_daemon._address import address
 from fennelfork_daemon.backend._liveness import has_ended
-from fennelfork_daemon.backend._pool import Trace
+from fennelfork_daemon.backend._pool import ConnectionTrace
 from fennelfork_daemon.routes._caller_request import (
     CallerRequest,
     SignedResponse,
@@ -126,7 +126,7 @@
         if self._requires_new_connection:
             call = attrs.evolve(call, fresh=True)
         pool = self._parts.pools.for_server(send.server)
-        response = pool.carry(call, Trace())
+        response = pool.exchange(call, ConnectionTrace())
         return response.bind(self._parts.codec.read_response).alt(
             self._classify_reset
         )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_request.py
@@ -6,7 +6,7 @@
 import attrs
 
 from fennelfork.routes import fingerprint
-from fennelfork_daemon.backend._call import HeaderPairs
+from fennelfork_daemon.backend._request import HeaderPairs
 
 # Hop-by-hop headers (RFC 9110, 7.6.1) and the content length, which is set anew
 # for the forwarded body.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pools.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pools.py
@@ -6,14 +6,18 @@
 from fennelfork.routes import BackendServer, ConnectionShares
 from fennelfork.servers import ConnectionLedger
 from fennelfork_daemon._address import address
-from fennelfork_daemon.backend._pool import BackendPool, WhenFull, backend_pool
+from fennelfork_daemon.backend._pool import (
+    BackendPool,
+    FullPoolPolicy,
+    backend_pool,
+)
 
 _MAX_RESPONSE_BYTES = 8_388_608
 # A short wait for a free connection absorbs bursts of requests.
-_WHEN_FULL = WhenFull(
+_WHEN_FULL = FullPoolPolicy(
     code=FailureCode.QUEUE_FULL,
     wait_ms=100,
-    reset_is_full=True,
+    treats_reset_as_full=True,
 )
 
 
@@ -43,12 +47,12 @@
         """
         for incarnation in self._pools.keys() - incarnations:
             self._ledgers.pop(incarnation)
-            self._pools.pop(incarnation).retire_all()
+            self._pools.pop(incarnation).evict_all()
 
-    def retire(self) -> None:
+    def evict_idle(self) -> None:
         """Close the connections that exceed the idle timeout."""
         for pool in self._pools.values():
-            pool.retire()
+            pool.evict_idle()
 
     def _open_pool(self, server: BackendServer) -> BackendPool:
         ledger = ConnectionLedger(limit=self._shares.limit_for(server.service))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
@@ -13,7 +13,7 @@
     SuspicionUpdates,
     WatchTimeouts,
 )
-from fennelfork_daemon.backend._call import BackendResponse, ForwardCall
+from fennelfork_daemon.backend._request import BackendResponse, ForwardRequest
 from fennelfork_daemon.http._router import HttpReply
 from fennelfork_daemon.routes._answer import Answer
 from fennelfork_daemon.routes._caller_request import (
@@ -115,7 +115,7 @@
         caller_request: CallerRequest,
         server: BackendServer,
         remaining_ms: float,
-    ) -> ForwardCall:
+    ) -> ForwardRequest:
         """Encode the attempt that forwards a request to a server."""
 
     def read_response(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
@@ -118,4 +118,4 @@
     def _retire_pools(self) -> None:
         while True:  # noqa: WPS457  # as long as the daemon runs
             eventlet.sleep(_POOL_EXPIRY_INTERVAL_MS / _MS_PER_SECOND)
-            self._pools.retire()
+            self._pools.evict_idle()
--- a/tests/platform_builders.py
+++ b/tests/platform_builders.py
@@ -4,7 +4,7 @@
 import json
 from typing import Any
 
-from fennelfork_daemon.backend._call import BackendResponse
+from fennelfork_daemon.backend._request import BackendResponse
 
 LIMITS = {
     'MaxHeaderBytes': 16_384,
