--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_address.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_address.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-HIGHEST_PORT: Final = 65_535
+MAX_PORT: Final = 65_535
 
 
 @attrs.frozen(kw_only=True)
@@ -38,7 +38,7 @@
         number = ipaddress.ip_address(host.strip('[]'))
     except ValueError as err:
         raise ValueError(f'{text!r} has no IP number') from err
-    if not _is_number(port) or int(port) > HIGHEST_PORT:
+    if not _is_number(port) or int(port) > MAX_PORT:
         raise ValueError(f'{text!r} has no port')
     return Address(host=str(number), port=int(port))
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
@@ -72,7 +72,7 @@
 
     def run_until_stopped(self, caller_thread: GreenThread) -> int:
         """Run the graceful stop once requested; see `StopService`."""
-        return self._stop.see_through(caller_thread)
+        return self._stop.run_until_stopped(caller_thread)
 
 
 def fleet(
@@ -103,7 +103,7 @@
         vm_list=vm_list_reader(
             board,
             settings,
-            members.fleet,
+            members.controller,
             VmListSchedule(rng=random.Random()),
         ),
         stop=stop,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_peer_handler.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_peer_handler.py
@@ -9,7 +9,10 @@
 from fennelfork_daemon.execute._build import ExecutePeerHandler
 from fennelfork_daemon.home._client import Home
 from fennelfork_daemon.membership._service import MembershipService
-from fennelfork_daemon.peer._codec import order_from_peer, outcome_to_peer
+from fennelfork_daemon.peer._codec import (
+    outcome_to_peer,
+    scatter_request_from_peer,
+)
 from fennelfork_daemon.peer._codec_view import views_to_peer
 from fennelfork_daemon.peer._idl import peer
 
@@ -27,7 +30,7 @@
     def scatter(self, request: Any) -> Any:
         """Run sub-queries as the home daemon of the shards."""
         with self._in_progress.count_one():
-            outcome = self._home.scatter(order_from_peer(request))
+            outcome = self._home.scatter(scatter_request_from_peer(request))
             return outcome_to_peer(outcome)
 
     def describe(self, request: Any) -> Any:
@@ -37,7 +40,7 @@
 
     def fetch_config(self, request: Any) -> Any:
         """Return the active configuration to a peer with an older version."""
-        return self._config.answer(request)
+        return self._config.handle_fetch(request)
 
     def execute(self, request: Any) -> Any:
         """Run a non-idempotent request with a ticket of this daemon."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_sockets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_sockets.py
@@ -50,7 +50,7 @@
     return wrapper
 
 
-def no_delay(sock: socket.socket) -> None:
+def set_no_delay(sock: socket.socket) -> None:
     """Set TCP_NODELAY on a socket.
 
     Otherwise Nagle's algorithm and delayed acknowledgements add latency to
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_state_watch.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_state_watch.py
@@ -30,7 +30,7 @@
     def log_changes(self) -> None:
         """Log each state that changed since the previous check."""
         board = self._board
-        self._metrics.follow(board.document)
+        self._metrics.apply_configuration(board.document)
         reasons = unready_reasons(board)
         self._log.change(
             'readiness',
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_stop_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_stop_service.py
@@ -32,13 +32,13 @@
     """Membership operations that a graceful stop needs."""
 
     @property
-    def leave_is_told(self) -> bool:
+    def is_leave_announced(self) -> bool:
         """Whether all members are informed of the leave."""
 
     def leave(self) -> None:
         """Announce that this daemon leaves; idempotent."""
 
-    def say_goodbye(self) -> None:
+    def send_exit(self) -> None:
         """Announce that this daemon exits now."""
 
 
@@ -102,7 +102,7 @@
             },
         )
 
-    def see_through(self, caller_thread: GreenThread) -> int:
+    def run_until_stopped(self, caller_thread: GreenThread) -> int:
         """Wait for a stop request and run the graceful stop.
 
         Args:
@@ -119,7 +119,7 @@
                 self._closed = True
                 eventlet.spawn_n(caller_thread.kill)
             eventlet.sleep(_POLL_INTERVAL_S)
-        self._members.say_goodbye()
+        self._members.send_exit()
         return self._stop.exit_status
 
     def _step(self, caller_thread: GreenThread) -> StopPhase:
@@ -146,7 +146,7 @@
         serving = 0 if caller_thread.dead else 1
         return StopConditions(
             now_ms=self._clock.now_ms(),
-            announced=self._members.leave_is_told,
+            announced=self._members.is_leave_announced,
             running=max(self._in_progress.count, serving),
         )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_api.py
@@ -8,7 +8,7 @@
 from fennelfork import Clock
 from fennelfork.gather import MissingRange, QueryAnswer, QueryRequest
 from fennelfork_daemon.callers._request import read_query
-from fennelfork_daemon.http._body import body_limits, refused_body
+from fennelfork_daemon.http._body import body_limits, refuse_body
 from fennelfork_daemon.http._router import (
     HttpReply,
     HttpRequest,
@@ -47,7 +47,7 @@
         limits = body_limits(self._settings)
         body = read_json_object(request.environ, limits)
         if not is_successful(body):
-            return refused_body(request, body.failure())
+            return refuse_body(request, body.failure())
         tree = body.unwrap()
         read = read_query(
             request.names['front'],
@@ -60,13 +60,13 @@
         return self._answer(read.unwrap())
 
     def _answer(self, query: QueryRequest) -> HttpReply:
-        trace = self._observer.began()
+        trace = self._observer.start_trace()
         answered = self._root.answer(query, trace)
         took_ms = trace.took_ms
         if not is_successful(answered):
-            self._observer.refused(query, answered.failure(), trace)
+            self._observer.record_failure(query, answered.failure(), trace)
             return failure_reply(answered.failure(), query.request_id)
-        self._observer.answered(query, answered.unwrap(), trace)
+        self._observer.record_answer(query, answered.unwrap(), trace)
         return json_reply(answer_document(query, answered.unwrap(), took_ms))
 
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_face.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_api.py
@@ -19,7 +19,7 @@
     unstructure_document,
 )
 from fennelfork_daemon.config._service import ConfigService
-from fennelfork_daemon.http._body import body_limits, refused_body
+from fennelfork_daemon.http._body import body_limits, refuse_body
 from fennelfork_daemon.http._problem import problem_reply
 from fennelfork_daemon.http._router import (
     HttpReply,
@@ -87,7 +87,7 @@
         """
         body = read_json_object(request.environ, self._limits)
         if not is_successful(body):
-            return refused_body(request, body.failure())
+            return refuse_body(request, body.failure())
         parsed = structure_request(body.unwrap())
         if not is_successful(parsed):
             return _refusal_reply(_malformed_refusal(parsed.failure()))
@@ -97,7 +97,7 @@
         return _refusal_reply(outcome.failure())
 
 
-def config_face(
+def config_api(
     board: Blackboard,
     service: ConfigService,
     settings: Settings,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_exchange.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_exchange.py
@@ -56,7 +56,7 @@
         ):
             self._spawn_exchange(member.peer, self._board.local.peer)
 
-    def answer(self, request: Any) -> Any:
+    def handle_fetch(self, request: Any) -> Any:
         """Handle the peer RPC method `fetch_config`."""
         state = self._activator.state
         if request.sender and request.have_version > state.version:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_api.py
@@ -12,7 +12,7 @@
     with_unknown_verdict,
 )
 from fennelfork_daemon.execute._service import ExecuteService
-from fennelfork_daemon.http._body import body_limits, refused_body
+from fennelfork_daemon.http._body import body_limits, refuse_body
 from fennelfork_daemon.http._router import (
     HttpReply,
     HttpRequest,
@@ -52,7 +52,7 @@
         if isinstance(body, Failed):
             refusal = body.failure()
             failure = with_unknown_verdict(refusal.failure)
-            return refused_body(
+            return refuse_body(
                 request,
                 attrs.evolve(refusal, failure=failure),
             )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
@@ -32,7 +32,7 @@
     ) -> None:
         """Update the metrics and the ring of recent answers."""
         request = received.request
-        self._metrics.follow(self._board.document)
+        self._metrics.apply_configuration(self._board.document)
         labels = self._metrics.labels(
             request.front,
             request.tenant,
@@ -42,7 +42,7 @@
         verdict = Verdict(result_fields['verdict'])
         self._metrics.count_answer(labels, verdict, result_fields['outcome'])
         self._metrics.observe_execute(labels, took_ms)
-        self._metrics.show_remembered(self._table.size)
+        self._metrics.set_remembered_ids(self._table.size)
         record = {
             'request_id': request.request_id,
             'front': request.front,
@@ -53,7 +53,7 @@
             'took_ms': round(took_ms, 1),
             'events': (),
         }
-        self._ring.remember(request.request_id, record)
+        self._ring.store_trace(request.request_id, record)
 
 
 def _result_fields(result: Result[str, Failure]) -> dict[str, Any]:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_client.py
@@ -17,7 +17,10 @@
 from fennelfork.membership import Member
 from fennelfork.placement import PeerHealth
 from fennelfork_daemon.peer._client import PeerClient
-from fennelfork_daemon.peer._codec import order_to_peer, outcome_from_peer
+from fennelfork_daemon.peer._codec import (
+    outcome_from_peer,
+    scatter_request_to_peer,
+)
 from fennelfork_daemon.peer._codec_view import views_from_peer
 from fennelfork_daemon.peer._idl import peer
 
@@ -74,7 +77,7 @@
         reply = self._peers.call(
             home.peer,
             'scatter',
-            order_to_peer(request),
+            scatter_request_to_peer(request),
             timeout_ms,
         )
         self._record_health(home, reply)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_body.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_body.py
@@ -18,7 +18,7 @@
     )
 
 
-def refused_body(request: HttpRequest, refusal: Refusal) -> HttpReply:
+def refuse_body(request: HttpRequest, refusal: Refusal) -> HttpReply:
     """Return the answer to a request with a refused body.
 
     Args:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_request.py
@@ -66,7 +66,7 @@
     )
 
 
-def read_in_time(
+def read_body_within(
     environ: dict[str, Any],
     max_bytes: int,
     read_ms: float,
@@ -118,7 +118,7 @@
     length: int,
     limits: BodyLimits,
 ) -> Result[bytes, Refusal]:
-    body = read_in_time(environ, length, limits.read_ms)
+    body = read_body_within(environ, length, limits.read_ms)
     if body is None:
         return _refuse(
             http.HTTPStatus.REQUEST_TIMEOUT,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_server.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_server.py
@@ -38,7 +38,7 @@
     return Address(host=host, port=port)
 
 
-def serve_face(
+def serve_wsgi(
     listener: socket.socket,
     application: Application,
     limits: ConnectionLimits,
@@ -73,7 +73,7 @@
     application: Application,
     settings: Settings,
 ) -> None:
-    """Serve an HTTP API with the settings of a daemon; see `serve_face`.
+    """Serve an HTTP API with the settings of a daemon; see `serve_wsgi`.
 
     Args:
         listener: listening socket.
@@ -85,4 +85,4 @@
         request_read_ms=settings.timeouts.request_read_ms,
         idle_ms=settings.timeouts.idle_ms,
     )
-    serve_face(listener, application, limits, settings.limits.connections)
+    serve_wsgi(listener, application, limits, settings.limits.connections)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/logs/_budget.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/logs/_decision_log.py
@@ -50,7 +50,7 @@
     _rate_limits: dict[str, TokenBucket] = attrs.field(factory=dict)
     _suppressed: dict[str, int] = attrs.field(factory=dict)
 
-    def tell(self, decision: Decision) -> bool:
+    def log_decision(self, decision: Decision) -> bool:
         """Write the log line of a decision, unless the rate is exceeded.
 
         Args:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_probe_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_probe_client.py
@@ -19,7 +19,7 @@
 from thriftpy2.transport.socket import TSocket
 
 from fennelfork_daemon._address import address as read_address
-from fennelfork_daemon._sockets import no_delay
+from fennelfork_daemon._sockets import set_no_delay
 from fennelfork_daemon.peer._idl import peer
 
 _MS_PER_S: Final = 1000
@@ -66,7 +66,7 @@
 def _exchange(address: str, request: Any) -> Any:
     target = read_address(address)
     with socket.create_connection((target.host, target.port)) as connection:
-        no_delay(connection)
+        set_no_delay(connection)
         transport = TCyFramedTransport(TSocket(sock=connection))
         client = TClient(peer.Peer, TCyBinaryProtocol(transport))
         return client.probe(request)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -38,7 +38,7 @@
         fleet: membership controller.
     """
 
-    fleet: Membership
+    controller: Membership
     _board: Blackboard
     _clock: Clock
     _client: ProbeClient
@@ -46,9 +46,9 @@
     _epoch: int = -1
 
     @property
-    def leave_is_told(self) -> bool:
+    def is_leave_announced(self) -> bool:
         """Whether each member received the leave or is unresponsive."""
-        return leave_is_announced(self.fleet)
+        return leave_is_announced(self.controller)
 
     def run(self) -> None:
         """Step the controller periodically until the daemon stops."""
@@ -61,8 +61,10 @@
         with self._metrics.measure_processor_time():
             self._announce_config()
             while self._board.unreachable_peers:
-                self.fleet.on_unreachable(self._board.unreachable_peers.pop())
-            sends = self.fleet.step(self._clock.now_ms())
+                self.controller.on_unreachable(
+                    self._board.unreachable_peers.pop()
+                )
+            sends = self.controller.step(self._clock.now_ms())
             self._send_and_publish(sends)
 
     def probe(self, message: Any) -> Any:
@@ -76,7 +78,7 @@
         """
         with self._metrics.measure_processor_time():
             probe = probe_from_peer(message)
-            effects = self.fleet.on_probe(probe, self._clock.now_ms())
+            effects = self.controller.on_probe(probe, self._clock.now_ms())
             self._send_and_publish(effects.probes)
         ack = effects.ack
         if probe.relay_to is not None:
@@ -89,12 +91,12 @@
 
     def leave(self) -> None:
         """Announce that this daemon is about to stop."""
-        announce_leave(self.fleet)
+        announce_leave(self.controller)
         self.step()
 
-    def say_goodbye(self) -> None:
+    def send_exit(self) -> None:
         """Announce the exit to a few members and wait until the probes end."""
-        sends = announce_exit(self.fleet, self._clock.now_ms())
+        sends = announce_exit(self.controller, self._clock.now_ms())
         pool = eventlet.GreenPool()
         for send in sends:
             pool.spawn_n(self._send_probe, send)
@@ -102,16 +104,16 @@
 
     def _announce_config(self) -> None:
         board = self._board
-        local = self.fleet.view.local
+        local = self.controller.view.local
         announced = attrs.evolve(
             local,
             config_version=board.config_version,
             config_hash=board.config_hash,
         )
-        announce(self.fleet, announced)
+        announce(self.controller, announced)
 
     def _relay(self, name: str) -> bool:
-        send = self.fleet.relay(name, self._clock.now_ms())
+        send = self.controller.relay(name, self._clock.now_ms())
         return send is not None and self._send_probe(send)
 
     def _send_probe(self, send: SendProbe) -> bool:
@@ -129,12 +131,12 @@
             if is_successful(reply):
                 ack = ack_from_peer(reply.unwrap())
                 self._send_and_publish(
-                    self.fleet.on_ack(send.probe_id, ack, now_ms)
+                    self.controller.on_ack(send.probe_id, ack, now_ms)
                 )
                 # Another daemon may use the address of the target.
                 return ack.sender.name == send.target.name
             refused = reply.failure() is ProbeFailure.REFUSED
-            sends = self.fleet.on_failure(
+            sends = self.controller.on_failure(
                 send.probe_id, now_ms, refused=refused
             )
             self._send_and_publish(sends)
@@ -144,12 +146,12 @@
         """Send probes, count member changes and publish the members."""
         for send in sends:
             eventlet.spawn_n(self._send_probe, send)
-        for change in self.fleet.view.take_changes():
+        for change in self.controller.view.take_changes():
             self._metrics.count_change(change)
         self._publish()
 
     def _publish(self) -> None:
-        view = self.fleet.view
+        view = self.controller.view
         self._board.local = view.local
         self._board.is_superseded = view.local_member.is_superseded
         reconfigured = view.table.take_reconfigured()
@@ -164,7 +166,7 @@
             self._metrics.update_members(view.table)
         self._metrics.update_health(
             view.local_member.refutations,
-            self.fleet.health.score,
+            self.controller.health.score,
         )
 
 
@@ -175,7 +177,7 @@
 ) -> MembershipService:
     """Build the membership service of the local daemon of `board`."""
     return MembershipService(
-        fleet=membership(board.local, MembershipPolicy(), random.Random()),
+        controller=membership(board.local, MembershipPolicy(), random.Random()),
         board=board,
         clock=clock,
         client=ProbeClient(),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_labels.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_labels.py
@@ -34,7 +34,7 @@
     names is also limited across configuration changes.
     """
 
-    _most: int
+    _max_names: int
     _allowed: frozenset[str] = frozenset()
     _used: set[str] = attrs.field(factory=set)
 
@@ -47,7 +47,7 @@
         if name not in self._allowed:
             return OTHER
         if name not in self._used:
-            if len(self._used) >= self._most:
+            if len(self._used) >= self._max_names:
                 return OTHER
             self._used.add(name)
         return name
@@ -64,7 +64,7 @@
     _used: set[Labels] = attrs.field(factory=set)
     _document: Document | None = None
 
-    def follow(self, document: Document) -> bool:
+    def apply_configuration(self, document: Document) -> bool:
         """Replace the configured names with the names of a configuration.
 
         Returns:
@@ -102,8 +102,8 @@
             of their own.
     """
     return LabelGuard(
-        fronts=KnownNames(most=max_names),
-        tenants=KnownNames(most=max_names),
-        classes=KnownNames(most=max_names),
+        fronts=KnownNames(max_names=max_names),
+        tenants=KnownNames(max_names=max_names),
+        classes=KnownNames(max_names=max_names),
         max_combinations=_COMBINATIONS_PER_NAME * max_names,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_metrics.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_metrics.py
@@ -117,9 +117,9 @@
         """Return the labels for names that a caller sent."""
         return self._guard.labels(front, tenant, traffic_class)
 
-    def follow(self, document: Document) -> None:
+    def apply_configuration(self, document: Document) -> None:
         """Apply the names and the version of a configuration."""
-        if self._guard.follow(document):
+        if self._guard.apply_configuration(document):
             self._config_version.set(document.version)
 
     def observe_query(self, sample: QuerySample) -> None:
@@ -152,7 +152,7 @@
         latency = self._execute.latency.labels(*labels.label_values)
         latency.observe(took_ms / _MS_PER_SECOND)
 
-    def show_remembered(self, count: int) -> None:
+    def set_remembered_ids(self, count: int) -> None:
         """Set the number of stored IDs of non-idempotent requests."""
         self._execute.remembered_ids.set(count)
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_api.py
@@ -7,7 +7,7 @@
 
 from fennelfork import Blackboard, FailureCode, not_run
 from fennelfork_daemon._readiness import unready_reasons
-from fennelfork_daemon.config._face import config_face
+from fennelfork_daemon.config._api import config_api
 from fennelfork_daemon.config._reader import ConfigReader
 from fennelfork_daemon.config._service import ConfigService
 from fennelfork_daemon.home._service import HomeService
@@ -127,5 +127,5 @@
         observer=observer,
         reader=config.reader,
     )
-    config_routes = config_face(board, config, settings).routes
+    config_routes = config_api(board, config, settings).routes
     return router((*operator_api.routes, *config_routes, *extra_routes))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_client.py
@@ -13,7 +13,7 @@
 
 from fennelfork import Failure, FailureCode, may_have_run, not_run
 from fennelfork_daemon._address import address as read_address
-from fennelfork_daemon._sockets import no_delay
+from fennelfork_daemon._sockets import set_no_delay
 from fennelfork_daemon.peer._idl import peer
 
 _MS_PER_S: Final = 1000
@@ -114,7 +114,7 @@
         (target.host, target.port),
         timeout=timeout_ms / _MS_PER_S,
     )
-    no_delay(sock)
+    set_no_delay(sock)
     transport = TCyFramedTransport(TSocket(sock=sock))
     client = TClient(peer.Peer, TCyBinaryProtocol(transport))
     return _Connection(client=client, transport=transport, sock=sock)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_codec.py
@@ -18,7 +18,7 @@
 from fennelfork_daemon.peer._idl import peer
 
 
-def order_to_peer(request: ScatterRequest) -> Any:
+def scatter_request_to_peer(request: ScatterRequest) -> Any:
     """Convert a scatter request to a thrift message."""
     return peer.ScatterRequest(
         request_id=request.request_id,
@@ -36,7 +36,7 @@
     )
 
 
-def order_from_peer(message: Any) -> ScatterRequest:
+def scatter_request_from_peer(message: Any) -> ScatterRequest:
     """Convert a thrift message to a scatter request."""
     planned = tuple(
         PlannedSubQuery(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_server.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_server.py
@@ -11,7 +11,7 @@
 from thriftpy2.transport.framed import TCyFramedTransport
 from thriftpy2.transport.socket import TSocket
 
-from fennelfork_daemon._sockets import no_delay
+from fennelfork_daemon._sockets import set_no_delay
 from fennelfork_daemon.peer._idl import peer
 
 _MAX_CONNECTIONS: Final = 2048
@@ -32,7 +32,7 @@
                 sock, _ = self._listener.accept()
             except OSError:
                 return
-            no_delay(sock)
+            set_no_delay(sock)
             self._pool.spawn_n(self._serve_connection, sock)
 
     def close(self) -> None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_fan_out.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_fan_out.py
@@ -47,7 +47,7 @@
 ) -> None:
     """Record in the trace that a fallback home daemon is asked."""
     if unresponsive:
-        trace.note(
+        trace.record_event(
             'asked the next home',
             home=group.home.name,
             shards=sorted(group.shards),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -193,7 +193,7 @@
             self._apply_part(merge, part)
 
     def _apply_part(self, merge: Merge, part: SubQueryOutcome) -> None:
-        self.trace.part(part)
+        self.trace.record_outcome(part)
         self.work = attrs.evolve(
             self.work,
             hedges=self.work.hedges + part.hedges,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -110,7 +110,9 @@
         ):
             return first
         scatter.work = attrs.evolve(scatter.work, reruns=1)
-        scatter.trace.note('rerun on another snapshot', gone=merge.snapshot)
+        scatter.trace.record_event(
+            'rerun on another snapshot', gone=merge.snapshot
+        )
         gone = frozenset((merge.snapshot,))
         again = self._run_at_snapshot(scatter, request, key_space, gone)
         return again.map(lambda rerun: _choose_better(merge, rerun)).lash(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_body.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_body.py
@@ -7,7 +7,7 @@
 
 from fennelfork import Failure, FailureCode, not_run
 from fennelfork_daemon.http._wsgi_protocol import CLOSE_KEY
-from fennelfork_daemon.http._wsgi_request import read_in_time
+from fennelfork_daemon.http._wsgi_request import read_body_within
 
 _CONTENT_LENGTH = 'CONTENT_LENGTH'
 _TRANSFER_ENCODING = 'HTTP_TRANSFER_ENCODING'
@@ -34,7 +34,7 @@
     if _CONTENT_LENGTH not in environ and _TRANSFER_ENCODING not in environ:
         return Success(None)
     # One additional byte distinguishes a body that is too long.
-    body = read_in_time(environ, max_bytes + 1, timeout_ms)
+    body = read_body_within(environ, max_bytes + 1, timeout_ms)
     if body is None:
         return _refuse(
             environ,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
@@ -4,7 +4,7 @@
 
 from fennelfork.routes import store_polling
 from fennelfork_daemon._in_progress import InProgress
-from fennelfork_daemon.logs._budget import LogOutput
+from fennelfork_daemon.logs._decision_log import LogOutput
 from fennelfork_daemon.routes._availability import (
     StoreAvailability,
     store_availability,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_common_parts.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_common_parts.py
@@ -4,7 +4,11 @@
 
 from fennelfork import Clock, system_clock
 from fennelfork.routes import ConcurrencyLimits, RetryBudgets, retry_budgets
-from fennelfork_daemon.logs._budget import DecisionLog, LogOutput, decision_log
+from fennelfork_daemon.logs._decision_log import (
+    DecisionLog,
+    LogOutput,
+    decision_log,
+)
 from fennelfork_daemon.routes._board import RouteBlackboard, route_blackboard
 from fennelfork_daemon.routes._metrics import RouteMetrics, route_metrics
 from fennelfork_daemon.routes._pools import ServerPools
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
@@ -117,8 +117,8 @@
     ProcessCollector(registry=registry)
     return RouteMetrics(
         registry=registry,
-        routes=KnownNames(most=_MAX_NAMES),
-        services=KnownNames(most=_MAX_NAMES),
+        routes=KnownNames(max_names=_MAX_NAMES),
+        services=KnownNames(max_names=_MAX_NAMES),
         latency=Histogram(
             'fennelfork_route_latency_seconds',
             'From reading a request to its answer.',
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
@@ -44,7 +44,7 @@
         return self._lease
 
     @property
-    def leave_is_told(self) -> bool:
+    def is_leave_announced(self) -> bool:
         """Whether the registration has been removed from the store."""
         return self._has_ended
 
@@ -78,7 +78,7 @@
         self._board.is_leaving = True
         eventlet.spawn_n(self._end_lease)
 
-    def say_goodbye(self) -> None:
+    def send_exit(self) -> None:
         """Do nothing, because the registration is already removed."""
 
     def _register(self) -> None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_reload.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_reload.py
@@ -9,7 +9,7 @@
 from returns.result import Result, Success
 
 from fennelfork.routes import RetryBudgets
-from fennelfork_daemon.logs._budget import DecisionLog
+from fennelfork_daemon.logs._decision_log import DecisionLog
 from fennelfork_daemon.routes._events_process import Reloaded, ReloadRefused
 from fennelfork_daemon.routes._settings import RouteSettings
 
@@ -50,7 +50,7 @@
         """Read the file and apply the settings that can change at run time."""
         result = self._read_settings()
         if not isinstance(result, Success):
-            self._log.tell(ReloadRefused(reason=result.failure()))
+            self._log.log_decision(ReloadRefused(reason=result.failure()))
             return
         new_settings = result.unwrap()
         changed = [
@@ -61,7 +61,7 @@
         ]
         self._retry_budgets.policy = new_settings.repeats
         self._settings = new_settings
-        self._log.tell(Reloaded(changed=changed))
+        self._log.log_decision(Reloaded(changed=changed))
 
     def _on_signal(self, number: int, frame: Any) -> None:
         # A signal handler must not do I/O, so a green thread reads the file.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
@@ -14,7 +14,7 @@
     Route,
     Send,
 )
-from fennelfork_daemon.logs._budget import DecisionLog
+from fennelfork_daemon.logs._decision_log import DecisionLog
 from fennelfork_daemon.routes import _events_process as process
 from fennelfork_daemon.routes import _events_requests as requests
 from fennelfork_daemon.routes import _events_servers as servers
@@ -51,7 +51,7 @@
             caller_request: request, or none if the request was not parsed.
         """
         failure = refused.failure
-        self._log.tell(
+        self._log.log_decision(
             requests.RequestRefused(
                 request=refused.request_id,
                 fingerprint=None
@@ -71,7 +71,7 @@
         outstanding: int,
     ) -> None:
         """Log the ejection of a backend server."""
-        self._log.tell(
+        self._log.log_decision(
             servers.ServerEjected(
                 server=send.server.instance,
                 service=send.server.service,
@@ -83,7 +83,7 @@
 
     def log_recovery(self, send: Send) -> None:
         """Log that a backend server completed its slow start."""
-        self._log.tell(
+        self._log.log_decision(
             servers.ServerBack(
                 server=send.server.instance,
                 service=send.server.service,
@@ -92,7 +92,7 @@
 
     def log_crash(self, send: Send, caller_request: CallerRequest) -> None:
         """Log a crash of a backend server during an attempt."""
-        self._log.tell(
+        self._log.log_decision(
             servers.ServerEnded(
                 server=send.server.instance,
                 service=send.server.service,
@@ -105,11 +105,11 @@
 
     def log_lag(self, late_ms: float) -> None:
         """Log a scheduling lag of this process."""
-        self._log.tell(process.FellBehind(late_ms=round(late_ms)))
+        self._log.log_decision(process.FellBehind(late_ms=round(late_ms)))
 
     def log_limit_decrease(self, route: Route, limit: ConcurrencyLimit) -> None:
         """Log a decrease of the concurrency limit of a route."""
-        self._log.tell(
+        self._log.log_decision(
             requests.LimitFell(
                 route=route.name,
                 limit=round(limit.limit),
@@ -120,7 +120,7 @@
     def log_defect(self, error: Exception) -> None:
         """Log an unexpected exception that ended a request."""
         trace = ''.join(traceback.format_exception(error))
-        self._log.tell(process.Defect(error=repr(error), trace=trace))
+        self._log.log_decision(process.Defect(error=repr(error), trace=trace))
 
     def report_answer(
         self,
@@ -148,7 +148,7 @@
         as_expected = in_time and not extra_attempts and _is_complete(answer)
         if as_expected and not is_sampled(caller_request.request_id):
             return
-        self._log.tell(
+        self._log.log_decision(
             requests.RequestEnded(
                 request=caller_request.request_id,
                 fingerprint=caller_request.fingerprint,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
@@ -11,8 +11,8 @@
 from fennelfork_daemon._stop_service import StopService
 from fennelfork_daemon._version import VERSION
 from fennelfork_daemon.http._router import Router
-from fennelfork_daemon.http._wsgi_server import open_listener, serve_face
-from fennelfork_daemon.logs._budget import DecisionLog
+from fennelfork_daemon.http._wsgi_server import open_listener, serve_wsgi
+from fennelfork_daemon.logs._decision_log import DecisionLog
 from fennelfork_daemon.routes._board import RouteBlackboard
 from fennelfork_daemon.routes._caller_api import RouteCallerApi
 from fennelfork_daemon.routes._entries import RouteEntries
@@ -77,7 +77,7 @@
         """
         self._stop.listen_to_signals()
         self._reload.listen_to_signal()
-        self._log.tell(
+        self._log.log_decision(
             Started(version=VERSION, settings=attrs.asdict(self._settings)),
         )
         self._start_background_tasks()
@@ -88,8 +88,8 @@
         caller_listener = self._spawn_listener(
             self._settings.caller, self._counted_application()
         )
-        status = self._stop.see_through(caller_listener)
-        self._log.tell(Stopped(status=status, cut=self._stop.cut))
+        status = self._stop.run_until_stopped(caller_listener)
+        self._log.log_decision(Stopped(status=status, cut=self._stop.cut))
         return status
 
     def _start_background_tasks(self) -> None:
@@ -101,7 +101,7 @@
         self, address: Address, application: Callable[..., Any]
     ) -> Any:
         return eventlet.spawn(
-            serve_face,
+            serve_wsgi,
             open_listener(address),
             application,
             self.board.limits,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
@@ -7,7 +7,7 @@
 from fennelfork import Clock, StopPolicy
 from fennelfork_daemon._in_progress import InProgress
 from fennelfork_daemon._stop_service import StopService, stop_service
-from fennelfork_daemon.logs._budget import DecisionLog
+from fennelfork_daemon.logs._decision_log import DecisionLog
 from fennelfork_daemon.routes._entries import ENTRY_TTL_MS
 from fennelfork_daemon.routes._events_process import StateChanged
 from fennelfork_daemon.routes._follower import StoreFollower
@@ -37,7 +37,7 @@
         cut: int,
     ) -> bool:
         """Log a step; see `StateChanged`."""
-        return self._log.tell(
+        return self._log.log_decision(
             StateChanged(
                 subject=subject,
                 state=state,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
@@ -10,7 +10,7 @@
     RouteTable,
     SuspicionRecord,
 )
-from fennelfork_daemon.logs._budget import DecisionLog
+from fennelfork_daemon.logs._decision_log import DecisionLog
 from fennelfork_daemon.routes import _events_requests as requests
 from fennelfork_daemon.routes import _events_servers as servers
 from fennelfork_daemon.routes import _events_store as store
@@ -27,11 +27,13 @@
 
     def store_unavailable(self, call: str, failure: Failure) -> None:
         """Log that the store is unavailable because a call failed."""
-        self._log.tell(store.StoreLost(call=call, reason=failure.detail))
+        self._log.log_decision(
+            store.StoreLost(call=call, reason=failure.detail)
+        )
 
     def store_available(self, away_ms: float, told_ms: float) -> None:
         """Log that the store is available again."""
-        self._log.tell(
+        self._log.log_decision(
             store.StoreRegained(
                 away_ms=round(away_ms),
                 told_ms=round(told_ms),
@@ -40,11 +42,13 @@
 
     def lease_granted(self, lease: int, ttl_ms: float) -> None:
         """Log that this daemon is registered under a lease."""
-        self._log.tell(store.LeaseGranted(lease=lease, ttl_ms=round(ttl_ms)))
+        self._log.log_decision(
+            store.LeaseGranted(lease=lease, ttl_ms=round(ttl_ms))
+        )
 
     def lease_expired(self, lease: int, renewed_ms_ago: float) -> None:
         """Log that the lease of this daemon has expired."""
-        self._log.tell(
+        self._log.log_decision(
             store.LeaseLapsed(
                 lease=lease,
                 renewed_ms_ago=round(renewed_ms_ago),
@@ -54,7 +58,7 @@
     def config_applied(self, table: RouteTable, previous: int) -> None:
         """Log a new active version and update its metrics."""
         self._metrics.allow_names_of(table)
-        self._log.tell(
+        self._log.log_decision(
             store.ConfigTaken(
                 version=table.version,
                 before=previous,
@@ -73,7 +77,7 @@
         )
         if is_same_incarnation and previous.draining == server.draining:
             return
-        self._log.tell(
+        self._log.log_decision(
             servers.ServerSeen(
                 server=server.instance,
                 service=server.service,
@@ -85,15 +89,17 @@
 
     def server_removed(self, instance: str) -> None:
         """Log that a backend server was removed."""
-        self._log.tell(servers.ServerGone(server=instance))
+        self._log.log_decision(servers.ServerGone(server=instance))
 
     def daemon_registered(self, member: Member) -> None:
         """Log the registration of another daemon."""
-        self._log.tell(store.DaemonSeen(peer=member.name, at=member.caller))
+        self._log.log_decision(
+            store.DaemonSeen(peer=member.name, at=member.caller)
+        )
 
     def daemon_removed(self, name: str) -> None:
         """Log that the registration of a daemon was removed."""
-        self._log.tell(store.DaemonGone(peer=name))
+        self._log.log_decision(store.DaemonGone(peer=name))
 
     def request_status_changed(
         self,
@@ -102,7 +108,7 @@
         by: str = 'another',
     ) -> None:
         """Log a change of the status of a suspected request."""
-        self._log.tell(
+        self._log.log_decision(
             requests.RequestJudged(
                 fingerprint=record.fingerprint,
                 standing=status.value,
@@ -115,4 +121,6 @@
 
     def entry_rejected(self, update: InvalidEntry) -> None:
         """Log an entry of the store with invalid content."""
-        self._log.tell(store.ItemRefused(key=update.key, reason=update.problem))
+        self._log.log_decision(
+            store.ItemRefused(key=update.key, reason=update.problem)
+        )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_descriptions.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_descriptions.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from fennelfork_daemon._address import HIGHEST_PORT
+from fennelfork_daemon._address import MAX_PORT
 from fennelfork_daemon.settings._rules import (
     MAX_TEXT_LENGTH,
     AddressRule,
@@ -46,7 +46,7 @@
 
 @describe_rule.register
 def _describe_address(rule: AddressRule) -> str:
-    return f'"ip:port" with a port of {rule.min_port} to {HIGHEST_PORT}'
+    return f'"ip:port" with a port of {rule.min_port} to {MAX_PORT}'
 
 
 @describe_rule.register
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_observer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_observer.py
@@ -40,11 +40,11 @@
     board: Blackboard
     clock: Clock
 
-    def began(self) -> RequestTrace:
+    def start_trace(self) -> RequestTrace:
         """Start the trace of a request."""
         return request_trace(self.clock)
 
-    def answered(
+    def record_answer(
         self,
         query: QueryRequest,
         query_answer: QueryAnswer,
@@ -78,7 +78,7 @@
             },
         )
 
-    def refused(
+    def record_failure(
         self,
         query: QueryRequest,
         failure: Failure,
@@ -105,7 +105,7 @@
         code: str,
     ) -> Labels:
         # A query may arrive before the state watch has seen a new front.
-        self.metrics.follow(self.board.document)
+        self.metrics.apply_configuration(self.board.document)
         labels = self.metrics.labels(
             query.front,
             query.tenant,
@@ -139,7 +139,7 @@
             'events': trace.events,
             'events_left_out': trace.omitted_events,
         }
-        self.ring.remember(query.request_id, entry)
+        self.ring.store_trace(query.request_id, entry)
 
 
 def observer(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_trace.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_trace.py
@@ -43,7 +43,7 @@
         """Recorded events as JSON objects, oldest first."""
         return tuple(self._events)
 
-    def note(self, event: str, **facts: Any) -> None:
+    def record_event(self, event: str, **facts: Any) -> None:
         """Record an event.
 
         Args:
@@ -56,7 +56,7 @@
         at_ms = round(self.took_ms, 1)
         self._events.append({'at_ms': at_ms, 'event': event, **facts})
 
-    def part(self, outcome: SubQueryOutcome) -> None:
+    def record_outcome(self, outcome: SubQueryOutcome) -> None:
         """Record the outcome of a sub-query.
 
         Only failures and extra attempts are recorded as events.
@@ -67,14 +67,14 @@
         if self.slowest is None or outcome.server_ms > self.slowest.server_ms:
             self.slowest = outcome
         if outcome.failure is not None:
-            self.note(
+            self.record_event(
                 'sub-query failed',
                 **_sub_query_fields(outcome),
                 code=outcome.failure.code.value,
                 verdict=outcome.failure.verdict.value,
             )
         elif outcome.hedges or outcome.retries:
-            self.note(
+            self.record_event(
                 'sub-query repeated',
                 **_sub_query_fields(outcome),
                 hedges=outcome.hedges,
@@ -92,7 +92,7 @@
     _max_entries: int
     _entries: OrderedDict[str, bytes] = attrs.field(factory=OrderedDict)
 
-    def remember(self, request_id: str, entry: dict[str, Any]) -> None:
+    def store_trace(self, request_id: str, entry: dict[str, Any]) -> None:
         """Store a trace and evict the oldest trace if the ring is full."""
         self._entries.pop(request_id, None)
         while len(self._entries) >= self._max_entries:
--- a/packages/fennelfork-daemon/tests/daemon_builders_routes.py
+++ b/packages/fennelfork-daemon/tests/daemon_builders_routes.py
@@ -27,7 +27,7 @@
     store_polling,
 )
 from fennelfork_daemon._address import Address
-from fennelfork_daemon.logs._budget import DecisionLog, decision_log
+from fennelfork_daemon.logs._decision_log import DecisionLog, decision_log
 from fennelfork_daemon.logs._logs import configure_logs
 from fennelfork_daemon.routes import (
     CallerRequest,
