--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_daemon.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_daemon.py
@@ -32,7 +32,7 @@
 
     _settings: Settings
     _clock: Clock
-    _board: Blackboard
+    _blackboard: Blackboard
     _listeners: Listeners
     _home: HomeService
     _observer: Observer
@@ -82,7 +82,7 @@
 
     def _operator_router(self) -> Router:
         return operator_router(
-            self._board,
+            self._blackboard,
             self._home,
             self._observer,
             self._config,
@@ -92,7 +92,7 @@
 
     def _caller_router(self) -> Router:
         caller_api = CallerApi(
-            root=root_service(self._board, self._clock, self._home),
+            root=root_service(self._blackboard, self._clock, self._home),
             clock=self._clock,
             settings=self._settings,
             observer=self._observer,
@@ -109,25 +109,29 @@
 def daemon(settings: Settings, listeners: Listeners) -> Daemon:
     """Build a daemon that serves on open listening sockets."""
     clock = system_clock()
-    board = blackboard(local_member(settings, listeners))
-    board.routing = settings.routing.mode
-    request_observer = observer(board, clock, settings.limits)
-    home = home_service(board, clock, settings.limits, request_observer.metrics)
+    local_blackboard = blackboard(local_member(settings, listeners))
+    local_blackboard.routing = settings.routing.mode
+    request_observer = observer(local_blackboard, clock, settings.limits)
+    home = home_service(
+        local_blackboard, clock, settings.limits, request_observer.metrics
+    )
     return Daemon(
         settings=settings,
         clock=clock,
-        board=board,
+        blackboard=local_blackboard,
         listeners=listeners,
         home=home,
         observer=request_observer,
         config=config_service(
-            board,
+            local_blackboard,
             clock,
             settings,
             request_observer.metrics.count_control,
         ),
-        fleet=fleet(settings, clock, board, request_observer.metrics),
+        fleet=fleet(
+            settings, clock, local_blackboard, request_observer.metrics
+        ),
         execute=execute_components(
-            board, clock, home, settings, request_observer
+            local_blackboard, clock, home, settings, request_observer
         ),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
@@ -42,7 +42,7 @@
     in_progress: InProgress
     operator_routes: tuple[Route, ...]
     _settings: Settings
-    _board: Blackboard
+    _blackboard: Blackboard
     _vm_list: VmListReader
     _stop: StopService
 
@@ -56,7 +56,7 @@
         """Return the routes that list daemon addresses for callers."""
         self._stop.on_leave.append(issuer.stop)
         return EntriesApi(
-            board=self._board,
+            blackboard=self._blackboard,
             rng=random.Random(),
             ttl_ms=self._settings.timeouts.entry_ttl_ms,
             issuer=issuer,
@@ -78,14 +78,14 @@
 def fleet(
     settings: Settings,
     clock: Clock,
-    board: Blackboard,
+    blackboard: Blackboard,
     metrics: DaemonMetrics,
 ) -> Fleet:
-    """Build the fleet services of the daemon that `board` describes."""
-    log = state_log(daemon=board.local.name)
+    """Build the fleet services of the daemon that `blackboard` describes."""
+    log = state_log(daemon=blackboard.local.name)
     in_progress = InProgress()
     members = membership_service(
-        board,
+        blackboard,
         clock,
         membership_metrics(metrics),
     )
@@ -96,12 +96,12 @@
     stop = stop_service(policy, clock, members, in_progress, log)
     return Fleet(
         settings=settings,
-        board=board,
+        blackboard=blackboard,
         members=members,
         in_progress=in_progress,
         operator_routes=stop.routes,
         vm_list=vm_list_reader(
-            board,
+            blackboard,
             settings,
             members.controller,
             VmListSchedule(rng=random.Random()),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_readiness.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_readiness.py
@@ -5,7 +5,7 @@
 
 
 def unready_reasons(
-    board: Blackboard,
+    blackboard: Blackboard,
     platform_failure: str = '',
 ) -> tuple[str, ...]:
     """Return all reasons why this daemon is not ready for callers.
@@ -14,7 +14,7 @@
     configuration continues to serve without the platform.
 
     Args:
-        board: blackboard with the configuration and the local member.
+        blackboard: facts with the configuration and the local member.
         platform_failure: error of the last read of the platform; empty after
             a successful read.
 
@@ -22,14 +22,14 @@
         Reasons as text; empty if the daemon is ready.
     """
     reasons = []
-    if not board.config_version:
+    if not blackboard.config_version:
         reasons.append(
             'no configuration yet: neither the platform nor a peer gave one',
         )
         if platform_failure:
             reasons.append(f'the platform cannot be read: {platform_failure}')
-    if board.local.state is MemberStatus.LEAVING:
+    if blackboard.local.state is MemberStatus.LEAVING:
         reasons.append('draining: this daemon is about to stop')
-    if board.is_superseded:
+    if blackboard.is_superseded:
         reasons.append('superseded: a later daemon runs under this name')
     return tuple(reasons)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_state_watch.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_state_watch.py
@@ -17,7 +17,7 @@
 class StateWatch:
     """Logs changes of the blackboard and updates metrics."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _metrics: DaemonMetrics
     _log: StateLog
 
@@ -29,16 +29,16 @@
 
     def log_changes(self) -> None:
         """Log each state that changed since the previous check."""
-        board = self._board
-        self._metrics.apply_configuration(board.document)
-        reasons = unready_reasons(board)
+        blackboard = self._blackboard
+        self._metrics.apply_configuration(blackboard.document)
+        reasons = unready_reasons(blackboard)
         self._log.change(
             'readiness',
             'not ready' if reasons else 'ready',
             reasons=reasons,
-            config_version=board.config_version,
+            config_version=blackboard.config_version,
         )
-        for member in tuple(board.members.values()):
+        for member in tuple(blackboard.members.values()):
             self._log.change(
                 f'member {member.name}',
                 member.state.value,
@@ -46,10 +46,10 @@
             )
 
 
-def state_watch(board: Blackboard, metrics: DaemonMetrics) -> StateWatch:
+def state_watch(blackboard: Blackboard, metrics: DaemonMetrics) -> StateWatch:
     """Build the state watch of a daemon."""
     return StateWatch(
-        board=board,
+        blackboard=blackboard,
         metrics=metrics,
-        log=state_log(daemon=board.local.name),
+        log=state_log(daemon=blackboard.local.name),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_entries_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_entries_api.py
@@ -22,7 +22,7 @@
 class EntriesApi:
     """Serves the addresses of suitable daemons to callers."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _rng: random.Random
     _ttl_ms: int
     _issuer: TicketIssuer
@@ -34,11 +34,11 @@
 
     def entries(self, request: HttpRequest) -> HttpReply:
         """Return the nearest daemons and a ticket of this daemon."""
-        local = self._board.local
+        local = self._blackboard.local
         chosen = choose_entries(
             request.options.get('region', local.region),
             request.options.get('data_centre', local.data_centre),
-            self._board.members.values(),
+            self._blackboard.members.values(),
             _MAX_ENTRIES,
             request.options.get('caller', ''),
             self._rng,
@@ -48,7 +48,7 @@
                 'entries': [_entry(member) for member in chosen],
                 'ttl_ms': self._ttl_ms,
                 **self._issuer.ticket_fields(),
-                'config_version': self._board.config_version,
+                'config_version': self._blackboard.config_version,
             },
         )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_activator.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_activator.py
@@ -25,7 +25,7 @@
 
     state: ConfigState
     on_activated: list[Callable[[], None]] = attrs.field(factory=list)
-    _board: Blackboard
+    _blackboard: Blackboard
     _log: StateLog
 
     def offer(self, raw: str | None, source: ConfigSource) -> OfferOutcome:
@@ -46,15 +46,15 @@
         active = self.state.active
         if active is None:
             return
-        board = self._board
-        board.document = active.document
-        board.config_hash = active.digest
-        board.local = attrs.evolve(
-            board.local,
+        blackboard = self._blackboard
+        blackboard.document = active.document
+        blackboard.config_hash = active.digest
+        blackboard.local = attrs.evolve(
+            blackboard.local,
             config_version=active.document.version,
             config_hash=active.digest,
         )
-        board.members[board.local.name] = board.local
+        blackboard.members[blackboard.local.name] = blackboard.local
         for listener in self.on_activated:
             listener()
 
@@ -71,10 +71,10 @@
         self._log.change(f'configuration of {source.value}', state)
 
 
-def config_activator(board: Blackboard, clock: Clock) -> ConfigActivator:
+def config_activator(blackboard: Blackboard, clock: Clock) -> ConfigActivator:
     """Build the activator of a daemon without a configuration."""
     return ConfigActivator(
         state=config_state(clock),
-        board=board,
-        log=state_log(daemon=board.local.name),
+        blackboard=blackboard,
+        log=state_log(daemon=blackboard.local.name),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_api.py
@@ -35,7 +35,7 @@
 class ConfigApi:
     """Handlers that show and patch the configuration."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _service: ConfigService
     _limits: BodyLimits
 
@@ -55,11 +55,11 @@
 
     def show(self, request: HttpRequest) -> HttpReply:
         """Return the active document of this daemon."""
-        return json_reply(unstructure_document(self._board.document))
+        return json_reply(unstructure_document(self._blackboard.document))
 
     def history(self, request: HttpRequest) -> HttpReply:
         """Return the history of patches, oldest first."""
-        tree = unstructure_document(self._board.document)
+        tree = unstructure_document(self._blackboard.document)
         return json_reply(
             {'version': tree['version'], 'patches': tree['patches']},
         )
@@ -98,13 +98,13 @@
 
 
 def config_api(
-    board: Blackboard,
+    blackboard: Blackboard,
     service: ConfigService,
     settings: Settings,
 ) -> ConfigApi:
     """Build the configuration handlers of a daemon."""
     return ConfigApi(
-        board=board,
+        blackboard=blackboard,
         service=service,
         limits=body_limits(settings),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_exchange.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_exchange.py
@@ -25,7 +25,7 @@
 class ConfigExchange:
     """Polls and notifies peers, and answers the polls of peers."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _activator: ConfigActivator
     _follower: ConfigFollower
     _peers: PeerClient
@@ -43,18 +43,18 @@
         """Poll a peer whenever a poll is due."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             local = self._local_member()
-            members = tuple(self._board.members.values())
+            members = tuple(self._blackboard.members.values())
             if self._follower.is_poll_due(local, members):
                 self._poll(self._follower.choose_peer(local, members))
             eventlet.sleep(_CHECK_INTERVAL_S)
 
     def notify_peers(self) -> None:
         """Notify a few peers that this daemon has a new version."""
-        members = self._board.members.values()
+        members = self._blackboard.members.values()
         for member in self._follower.choose_peers_to_notify(
             self._local_member(), members
         ):
-            self._spawn_exchange(member.peer, self._board.local.peer)
+            self._spawn_exchange(member.peer, self._blackboard.local.peer)
 
     def handle_fetch(self, request: Any) -> Any:
         """Handle the peer RPC method `fetch_config`."""
@@ -83,7 +83,7 @@
         membership announces a new version later.
         """
         version = self._activator.state.version
-        return attrs.evolve(self._board.local, config_version=version)
+        return attrs.evolve(self._blackboard.local, config_version=version)
 
     def _start_fetch(self, address: str, version: int) -> None:
         if version > self._fetching_version:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_patcher.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_patcher.py
@@ -37,7 +37,7 @@
 class ConfigPatcher:
     """Runs a `PatchWriter` for each patch and bounds their concurrency."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _activator: ConfigActivator
     _key: ConfigKey
     _clock: Clock
@@ -72,7 +72,7 @@
         state = self._activator.state
         if state.active is None:
             return self._query_fleet_version()
-        members = self._board.members.values()
+        members = self._blackboard.members.values()
         announced = max(
             (member.config_version for member in members), default=0
         )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_reader.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_reader.py
@@ -29,7 +29,7 @@
     """
 
     failure: str = ''
-    _board: Blackboard
+    _blackboard: Blackboard
     _activator: ConfigActivator
     _key: ConfigKey
     _follower: ConfigFollower
@@ -61,8 +61,10 @@
             self._follower.defer_role_check()
 
     def _is_assigned(self) -> bool:
-        board = self._board
-        return self._follower.reads_platform(board.local, board.members)
+        blackboard = self._blackboard
+        return self._follower.reads_platform(
+            blackboard.local, blackboard.members
+        )
 
     def _read(self) -> None:
         failure = self._refresh()
@@ -106,16 +108,16 @@
 
 
 def config_reader(
-    board: Blackboard,
+    blackboard: Blackboard,
     activator: ConfigActivator,
     key: ConfigKey,
     follower: ConfigFollower,
 ) -> ConfigReader:
     """Build the reader of a daemon that has not read the key."""
     return ConfigReader(
-        board=board,
+        blackboard=blackboard,
         activator=activator,
         key=key,
         follower=follower,
-        log=state_log(daemon=board.local.name),
+        log=state_log(daemon=blackboard.local.name),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_service.py
@@ -51,7 +51,7 @@
 
 
 def config_service(
-    board: Blackboard,
+    blackboard: Blackboard,
     clock: Clock,
     settings: Settings,
     count_cost: CountCost,
@@ -59,22 +59,22 @@
     """Build the configuration service of a daemon.
 
     Args:
-        board: blackboard of this daemon.
+        blackboard: facts that the components of this daemon share.
         clock: monotonic clock.
         settings: settings with endpoints, timeouts and limits.
         count_cost: callback that counts the bytes of calls and documents.
     """
     jitter = random.Random()
-    activator = config_activator(board, clock)
+    activator = config_activator(blackboard, clock)
     follower = config_follower(clock, jitter)
     key = config_key(settings, clock, count_cost)
     peers = PeerClient()
-    status_collector = config_status_collector(board, peers, settings)
+    status_collector = config_status_collector(blackboard, peers, settings)
     return ConfigService(
         activator=activator,
-        reader=config_reader(board, activator, key, follower),
+        reader=config_reader(blackboard, activator, key, follower),
         exchange=ConfigExchange(
-            board=board,
+            blackboard=blackboard,
             activator=activator,
             follower=follower,
             peers=peers,
@@ -83,7 +83,7 @@
             count_cost=count_cost,
         ),
         patcher=ConfigPatcher(
-            board=board,
+            blackboard=blackboard,
             activator=activator,
             key=key,
             clock=clock,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_status_collector.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_status_collector.py
@@ -50,7 +50,7 @@
 class ConfigStatusCollector:
     """Queries all members with bounded concurrency."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _peers: PeerClient
     _timeout_ms: float
 
@@ -75,7 +75,7 @@
     def _queried_members(self) -> Iterable[Member]:
         return [
             member
-            for member in self._board.members.values()
+            for member in self._blackboard.members.values()
             if member.state is not MemberStatus.DEAD
         ]
 
@@ -98,13 +98,13 @@
 
 
 def config_status_collector(
-    board: Blackboard,
+    blackboard: Blackboard,
     peers: PeerClient,
     settings: Settings,
 ) -> ConfigStatusCollector:
     """Build the status collector of a daemon."""
     return ConfigStatusCollector(
-        board=board,
+        blackboard=blackboard,
         peers=peers,
         timeout_ms=settings.timeouts.peer_ms,
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_api.py
@@ -29,7 +29,7 @@
     """Serves non-idempotent requests of callers over HTTP."""
 
     _service: ExecuteService
-    _board: Blackboard
+    _blackboard: Blackboard
     _clock: Clock
     _settings: Settings
     _observer: ExecuteObserver
@@ -80,7 +80,7 @@
                 'request_id': request.request_id,
                 'key': request.key,
                 'outcome': result.unwrap(),
-                'config_version': self._board.config_version,
+                'config_version': self._blackboard.config_version,
                 'took_ms': round(took_ms, 3),
             },
         )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
@@ -42,7 +42,7 @@
 
 
 def execute_components(
-    board: Blackboard,
+    blackboard: Blackboard,
     clock: Clock,
     home: Home,
     settings: Settings,
@@ -51,37 +51,37 @@
     """Build the components of a new incarnation.
 
     Args:
-        board: blackboard of the daemon.
+        blackboard: facts that the components of the daemon share.
         clock: monotonic clock of the daemon.
         home: home service of the same daemon.
         settings: settings of the daemon.
         observer: source of the metrics and of the ring of recent answers.
     """
-    gate = _new_gate(board.local.name, clock)
+    gate = _new_gate(blackboard.local.name, clock)
     service = ExecuteService(
         gate=gate,
         runner=ExecuteRunner(
             table=gate.table,
             clock=clock,
-            target_finder=home_target_finder(board, clock, home),
+            target_finder=home_target_finder(blackboard, clock, home),
             timeouts=ExecuteTimeouts(
                 probe_ms=settings.timeouts.connect_ms,
                 settle_ms=_SETTLE_MS,
             ),
             limit=_MAX_RUNNING,
         ),
-        board=board,
+        blackboard=blackboard,
         peers=PeerClient(),
         clock=clock,
     )
     return ExecuteComponents(
         api=ExecuteApi(
             service=service,
-            board=board,
+            blackboard=blackboard,
             clock=clock,
             settings=settings,
             observer=ExecuteObserver(
-                board=board,
+                blackboard=blackboard,
                 metrics=observer.metrics,
                 ring=observer.ring,
                 table=gate.table,
@@ -89,7 +89,7 @@
         ),
         issuer=TicketIssuer(
             gate=gate,
-            board=board,
+            blackboard=blackboard,
             lifetime_ms=settings.timeouts.entry_ttl_ms,
         ),
         peer=ExecutePeerHandler(service=service, clock=clock),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
@@ -19,7 +19,7 @@
 class ExecuteObserver:
     """Records the answers to non-idempotent requests."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _metrics: DaemonMetrics
     _ring: ExplainRing
     _table: OnceTable
@@ -32,7 +32,7 @@
     ) -> None:
         """Update the metrics and the ring of recent answers."""
         request = received.request
-        self._metrics.apply_configuration(self._board.document)
+        self._metrics.apply_configuration(self._blackboard.document)
         labels = self._metrics.labels(
             request.front,
             request.tenant,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
@@ -42,7 +42,7 @@
 
     _gate: OnceGate
     _runner: ExecuteRunner
-    _board: Blackboard
+    _blackboard: Blackboard
     _peers: PeerClient
     _clock: Clock
 
@@ -90,7 +90,7 @@
 
         A retry is safe, since that daemon detects duplicate requests.
         """
-        member = self._board.members.get(route.daemon)
+        member = self._blackboard.members.get(route.daemon)
         if member is None:
             return Failed(
                 unknown_outcome(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -25,7 +25,7 @@
 class HomeTargetFinder:
     """Finds the servers of records in shard views from home daemons."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _describer: ShardDescriber
     _views: ViewCache
     _rng: random.Random
@@ -42,7 +42,7 @@
             request: request that names the record.
             deadline_at_ms: clock reading of the deadline, in milliseconds.
         """
-        front = self._board.front(request.front)
+        front = self._blackboard.front(request.front)
         if front is None:
             detail = f'there is no front {request.front!r}'
             return Failed(not_run(FailureCode.UNKNOWN_FRONT, detail))
@@ -51,7 +51,7 @@
             front,
             self._views.for_front(request.front),
             request.key,
-            self._board.local.data_centre,
+            self._blackboard.local.data_centre,
             self._rng,
         )
         candidates = self._draining.exclude_draining(servers)
@@ -72,7 +72,7 @@
 
 
 def home_target_finder(
-    board: Blackboard,
+    blackboard: Blackboard,
     clock: Clock,
     home: Home,
 ) -> HomeTargetFinder:
@@ -80,21 +80,21 @@
     health = peer_health(clock)
     views = ViewCache()
     homes = HomeClient(
-        local_name=board.local.name,
+        local_name=blackboard.local.name,
         local=home,
         peers=PeerClient(),
         health=health,
-        unreachable=board.unreachable_peers,
+        unreachable=blackboard.unreachable_peers,
     )
     describer = ShardDescriber(
-        board=board,
+        blackboard=blackboard,
         homes=homes,
         health=health,
         views=views,
         clock=clock,
     )
     return HomeTargetFinder(
-        board=board,
+        blackboard=blackboard,
         describer=describer,
         views=views,
         rng=random.Random(),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
@@ -17,7 +17,7 @@
     """
 
     _gate: OnceGate
-    _board: Blackboard
+    _blackboard: Blackboard
     _lifetime_ms: int
 
     def ticket_fields(self) -> dict[str, Any]:
@@ -36,7 +36,7 @@
         return {
             'ticket': ticket.text,
             'ticket_serial': ticket.serial,
-            'ticket_address': self._board.local.caller,
+            'ticket_address': self._blackboard.local.caller,
             'ticket_ms': self._lifetime_ms,
         }
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
@@ -45,7 +45,7 @@
 class ShardRunners:
     """Collection that builds, configures and polls the runners of shards."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _clock: Clock
     _limits: LimitSettings
     _metrics: DaemonMetrics
@@ -108,7 +108,7 @@
 
     def _configured_entry(self, name: ShardName) -> _RunnerEntry | None:
         """Return the runner of a shard, updated to the active configuration."""
-        front = self._board.front(name.front)
+        front = self._blackboard.front(name.front)
         if front is None or name.shard not in front.shards:
             return None
         entry = self._entries.get(name)
@@ -116,8 +116,8 @@
             entry = _RunnerEntry(runner=self._new_runner(name.front))
             self._entries[name] = entry
         configuration_state = (
-            self._board.config_version,
-            len(self._board.members),
+            self._blackboard.config_version,
+            len(self._blackboard.members),
         )
         if entry.configured_for != configuration_state:
             entry.configured_for = configuration_state
@@ -125,13 +125,13 @@
         return entry
 
     def _configure(self, runner: ShardRunner, name: ShardName) -> None:
-        board = self._board
-        front = board.document.fronts[name.front]
+        blackboard = self._blackboard
+        front = blackboard.document.fronts[name.front]
         servers = front.shards[name.shard].servers
         actions = runner.scheduler.servers.configure(
-            home_settings(board.document, front, self._limits.queue),
+            home_settings(blackboard.document, front, self._limits.queue),
             [
-                server_config(board, server_name, server)
+                server_config(blackboard, server_name, server)
                 for server_name, server in servers.items()
             ],
         )
@@ -141,7 +141,7 @@
     def _new_runner(self, front: str) -> ShardRunner:
         return shard_runner(
             self._clock,
-            self._board.local.name,
+            self._blackboard.local.name,
             self._limits.reply_bytes,
             functools.partial(self._metrics.count_failure, front),
         )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
@@ -59,7 +59,7 @@
 class HomeService:
     """Runs sub-queries on the backend servers of shards."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _clock: Clock
     _runners: ShardRunners
     _serials: Iterator[int] = attrs.field(factory=itertools.count)
@@ -85,7 +85,7 @@
         return ScatterOutcome(
             parts=parts,
             shards=self._views(request.front, shards),
-            config_version=self._board.config_version,
+            config_version=self._blackboard.config_version,
             level=self._lowest_level(request, shards),
         )
 
@@ -180,7 +180,7 @@
 
 
 def home_service(
-    board: Blackboard,
+    blackboard: Blackboard,
     clock: Clock,
     limits: LimitSettings,
     metrics: DaemonMetrics,
@@ -188,18 +188,18 @@
     """Build the home service of a daemon.
 
     Args:
-        board: blackboard of the daemon.
+        blackboard: facts that the components of the daemon share.
         clock: clock of the daemon.
         limits: limits on queues and reply sizes.
         metrics: counters for failed attempts.
     """
     runners = ShardRunners(
-        board=board,
+        blackboard=blackboard,
         clock=clock,
         limits=limits,
         metrics=metrics,
     )
-    return HomeService(board=board, clock=clock, runners=runners)
+    return HomeService(blackboard=blackboard, clock=clock, runners=runners)
 
 
 def _sub_query_outcome(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_settings.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_settings.py
@@ -48,15 +48,15 @@
 
 
 def server_config(
-    board: Blackboard,
+    blackboard: Blackboard,
     name: str,
     server: Server,
 ) -> ServerConfig:
     """Return the slots and connections of a server for this daemon."""
-    daemons = max(1, len(board.members))
-    slot_limit = limit_slots(server, board.routing, daemons)
+    daemons = max(1, len(blackboard.members))
+    slot_limit = limit_slots(server, blackboard.routing, daemons)
     daemons_sharing = (
-        _MAX_HOMES if board.routing is RoutingMode.HOME else daemons
+        _MAX_HOMES if blackboard.routing is RoutingMode.HOME else daemons
     )
     return ServerConfig(
         name=name,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -39,7 +39,7 @@
     """
 
     controller: Membership
-    _board: Blackboard
+    _blackboard: Blackboard
     _clock: Clock
     _client: ProbeClient
     _metrics: MembershipMetrics
@@ -60,9 +60,9 @@
         """Advance the controller to the current time."""
         with self._metrics.measure_processor_time():
             self._announce_config()
-            while self._board.unreachable_peers:
+            while self._blackboard.unreachable_peers:
                 self.controller.on_unreachable(
-                    self._board.unreachable_peers.pop()
+                    self._blackboard.unreachable_peers.pop()
                 )
             sends = self.controller.step(self._clock.now_ms())
             self._send_and_publish(sends)
@@ -103,12 +103,12 @@
         pool.waitall()
 
     def _announce_config(self) -> None:
-        board = self._board
+        blackboard = self._blackboard
         local = self.controller.view.local
         announced = attrs.evolve(
             local,
-            config_version=board.config_version,
-            config_hash=board.config_hash,
+            config_version=blackboard.config_version,
+            config_hash=blackboard.config_hash,
         )
         announce(self.controller, announced)
 
@@ -152,17 +152,19 @@
 
     def _publish(self) -> None:
         view = self.controller.view
-        self._board.local = view.local
-        self._board.is_superseded = view.local_member.is_superseded
+        self._blackboard.local = view.local
+        self._blackboard.is_superseded = view.local_member.is_superseded
         reconfigured = view.table.take_reconfigured()
         if view.table.epoch == self._epoch:
             # The set of members is the same, so the cached homes stay valid.
-            self._board.members.update(
+            self._blackboard.members.update(
                 (member.name, member) for member in reconfigured
             )
         else:
             self._epoch = view.table.epoch
-            self._board.members = {member.name: member for member in view.table}
+            self._blackboard.members = {
+                member.name: member for member in view.table
+            }
             self._metrics.update_members(view.table)
         self._metrics.update_health(
             view.local_member.refutations,
@@ -171,14 +173,16 @@
 
 
 def membership_service(
-    board: Blackboard,
+    blackboard: Blackboard,
     clock: Clock,
     metrics: MembershipMetrics,
 ) -> MembershipService:
-    """Build the membership service of the local daemon of `board`."""
+    """Build the membership service of the local daemon of `blackboard`."""
     return MembershipService(
-        controller=membership(board.local, MembershipPolicy(), random.Random()),
-        board=board,
+        controller=membership(
+            blackboard.local, MembershipPolicy(), random.Random()
+        ),
+        blackboard=blackboard,
         clock=clock,
         client=ProbeClient(),
         metrics=metrics,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_vm_list.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_vm_list.py
@@ -26,7 +26,7 @@
 class VmListReader:
     """Reads the VM list and sets the seeds of the membership controller."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _settings: Settings
     _controller: Membership
     _schedule: VmListSchedule
@@ -46,8 +46,8 @@
             self._controller.set_seeds(seeds)
 
     def _wait_ms(self) -> float:
-        local = self._board.local
-        members = self._board.members
+        local = self._blackboard.local
+        members = self._blackboard.members
         watchers = choose_watchers(local.data_centre, members.values())
         return self._schedule.wait_ms(
             is_alone=len(members) == 1,
@@ -77,14 +77,14 @@
 
 
 def vm_list_reader(
-    board: Blackboard,
+    blackboard: Blackboard,
     settings: Settings,
     controller: Membership,
     schedule: VmListSchedule,
 ) -> VmListReader:
     """Build the VM list reader of a daemon."""
     return VmListReader(
-        board=board,
+        blackboard=blackboard,
         settings=settings,
         controller=controller,
         schedule=schedule,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_api.py
@@ -32,7 +32,7 @@
 class OperatorApi:
     """Handlers of the operator API."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _home: HomeService
     _observer: Observer
     _reader: ConfigReader
@@ -59,7 +59,7 @@
 
     def readiness(self, request: HttpRequest) -> HttpReply:
         """Return whether the daemon is ready, with the reasons if not."""
-        reasons = unready_reasons(self._board, self._reader.failure)
+        reasons = unready_reasons(self._blackboard, self._reader.failure)
         return json_reply(
             {'ready': not reasons, 'reasons': reasons},
             status=(
@@ -79,11 +79,13 @@
 
     def members(self, request: HttpRequest) -> HttpReply:
         """Return the known members of the fleet."""
-        return json_reply(members_page(self._board))
+        return json_reply(members_page(self._blackboard))
 
     def fronts(self, request: HttpRequest) -> HttpReply:
         """Return the fronts with home daemons and backend servers."""
-        return json_reply(fronts_page(self._board, self._home.server_statuses))
+        return json_reply(
+            fronts_page(self._blackboard, self._home.server_statuses)
+        )
 
     def explain(self, request: HttpRequest) -> HttpReply:
         """Return the stored trace of a recent request."""
@@ -104,7 +106,7 @@
 
 
 def operator_router(
-    board: Blackboard,
+    blackboard: Blackboard,
     home: HomeService,
     observer: Observer,
     config: ConfigService,
@@ -114,7 +116,7 @@
     """Build the WSGI application of the operator API.
 
     Args:
-        board: blackboard of this daemon.
+        blackboard: facts that the components of this daemon share.
         home: service that schedules the requests of shards.
         observer: metrics and traces of requests.
         config: service that reads and changes the configuration.
@@ -122,10 +124,10 @@
         extra_routes: routes of other parts of the daemon.
     """
     operator_api = OperatorApi(
-        board=board,
+        blackboard=blackboard,
         home=home,
         observer=observer,
         reader=config.reader,
     )
-    config_routes = config_api(board, config, settings).routes
+    config_routes = config_api(blackboard, config, settings).routes
     return router((*operator_api.routes, *config_routes, *extra_routes))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
@@ -16,28 +16,28 @@
 StatusByShard = Mapping[ShardKey, tuple[ServerStatus, ...]]
 
 
-def members_page(board: Blackboard) -> JsonTree:
+def members_page(blackboard: Blackboard) -> JsonTree:
     """Return the known members of the fleet, sorted by name."""
-    names = sorted(board.members)
-    return {'members': [_member(board.members[name]) for name in names]}
+    names = sorted(blackboard.members)
+    return {'members': [_member(blackboard.members[name]) for name in names]}
 
 
 def fronts_page(
-    board: Blackboard,
+    blackboard: Blackboard,
     statuses: StatusByShard,
 ) -> JsonTree:
     """Return the fronts with shards, home daemons and backend servers.
 
     Args:
-        board: blackboard with the configuration and the members.
+        blackboard: facts with the configuration and the members.
         statuses: status of the backend servers of those shards whose home
             daemon is this daemon; the status of others is null.
     """
     return {
-        'config_version': board.config_version,
+        'config_version': blackboard.config_version,
         'fronts': [
-            _front(board, statuses, name)
-            for name in sorted(board.document.fronts)
+            _front(blackboard, statuses, name)
+            for name in sorted(blackboard.document.fronts)
         ],
     }
 
@@ -46,9 +46,11 @@
     return attrs.asdict(member) | {'state': member.state.value}
 
 
-def _front(board: Blackboard, statuses: StatusByShard, name: str) -> JsonTree:
-    front = board.document.fronts[name]
-    homes = _homes(board, name, front)
+def _front(
+    blackboard: Blackboard, statuses: StatusByShard, name: str
+) -> JsonTree:
+    front = blackboard.document.fronts[name]
+    homes = _homes(blackboard, name, front)
     return {
         'name': name,
         'keys': front.keys,
@@ -67,10 +69,10 @@
     }
 
 
-def _homes(board: Blackboard, name: str, front: Front) -> dict[str, str]:
+def _homes(blackboard: Blackboard, name: str, front: Front) -> dict[str, str]:
     return {
         shard: group.home.name
-        for group in route_homes(board, name, front.shards, frozenset())
+        for group in route_homes(blackboard, name, front.shards, frozenset())
         for shard in group.shards
     }
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
@@ -21,7 +21,7 @@
 class ShardDescriber:
     """Fills the view cache from the home daemons before a query runs."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _homes: HomeClient
     _health: PeerHealth
     _views: ViewCache
@@ -42,7 +42,7 @@
         for _ in range(_MAX_ROUNDS):
             unknown_shards = self._views.unknown_shards(name, front.shards)
             groups = route_homes(
-                self._board, name, unknown_shards, unresponsive
+                self._blackboard, name, unknown_shards, unresponsive
             )
             if not groups:
                 return
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -52,7 +52,7 @@
     work: Work = attrs.field(factory=Work)
     _request: QueryRequest
     _query_text: str
-    _board: Blackboard
+    _blackboard: Blackboard
     _homes: HomeClient
     _health: PeerHealth
     _views: ViewCache
@@ -97,7 +97,7 @@
     ) -> None:
         """Send the pending sub-queries of some shards to their homes."""
         groups = route_homes(
-            self._board,
+            self._blackboard,
             self._request.front,
             shards,
             unresponsive | self._health.avoided,
@@ -155,7 +155,7 @@
             deadline_ms=self.remaining_ms - _MERGE_MARGIN_MS,
             tenant=self._request.tenant,
             traffic_class=self._request.traffic_class,
-            config_version=self._board.config_version,
+            config_version=self._blackboard.config_version,
             level=self._level,
         )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -30,7 +30,7 @@
 class RootService:
     """Answers queries of callers as their root daemon."""
 
-    _board: Blackboard
+    _blackboard: Blackboard
     _homes: HomeClient
     _health: PeerHealth
     _views: ViewCache
@@ -52,14 +52,14 @@
             The answer with its coverage, or a failure whose verdict says
             whether any part of the query may have run.
         """
-        front = self._board.front(request.front)
+        front = self._blackboard.front(request.front)
         if front is None:
             detail = f'there is no front {request.front!r}'
             return Bad(not_run(FailureCode.UNKNOWN_FRONT, detail))
         level = self._homes.admit(request)
         if not is_successful(level):
             return Bad(level.failure())
-        config_version = self._board.config_version
+        config_version = self._blackboard.config_version
         self._describer.describe_unknown(
             request.front, front, request.deadline_at_ms
         )
@@ -84,7 +84,7 @@
             trace=trace,
             request=request,
             query_text=json.dumps(request.query),
-            board=self._board,
+            blackboard=self._blackboard,
             homes=self._homes,
             health=self._health,
             views=self._views,
@@ -139,32 +139,34 @@
         return planned
 
 
-def root_service(board: Blackboard, clock: Clock, home: Home) -> RootService:
+def root_service(
+    blackboard: Blackboard, clock: Clock, home: Home
+) -> RootService:
     """Build the root service of a daemon.
 
     Args:
-        board: blackboard of the daemon.
+        blackboard: facts that the components of the daemon share.
         clock: clock of the daemon.
         home: home service of the same daemon.
     """
     health = peer_health(clock)
     homes = HomeClient(
-        local_name=board.local.name,
+        local_name=blackboard.local.name,
         local=home,
         peers=PeerClient(),
         health=health,
-        unreachable=board.unreachable_peers,
+        unreachable=blackboard.unreachable_peers,
     )
     views = ViewCache()
     describer = ShardDescriber(
-        board=board,
+        blackboard=blackboard,
         homes=homes,
         health=health,
         views=views,
         clock=clock,
     )
     return RootService(
-        board=board,
+        blackboard=blackboard,
         homes=homes,
         health=health,
         views=views,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/__init__.pyi
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/__init__.pyi
@@ -4,7 +4,7 @@
 from ._answer import Forwarded as Forwarded
 from ._answer import Merged as Merged
 from ._answer import Refused as Refused
-from ._board import RouteBlackboard as RouteBlackboard
+from ._blackboard import RouteBlackboard as RouteBlackboard
 from ._body import read_body as read_body
 from ._build import route_service as route_service
 from ._caller_request import CallerRequest as CallerRequest
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_availability.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_availability.py
@@ -7,7 +7,7 @@
 import attrs
 
 from fennelfork import Clock, Failure
-from fennelfork_daemon.routes._board import RouteBlackboard
+from fennelfork_daemon.routes._blackboard import RouteBlackboard
 from fennelfork_daemon.routes._store_reporter import StoreReporter
 
 # Shortest outage after which registrations may have expired: two missed
@@ -27,7 +27,7 @@
 class StoreAvailability:
     """Tracks whether the store responds and how old its data is."""
 
-    _board: RouteBlackboard
+    _blackboard: RouteBlackboard
     _clock: Clock
     _reporter: StoreReporter
     _responded_ms: float
@@ -75,21 +75,21 @@
         self._is_unavailable = False
         self._reporter.store_available(unavailable_ms, self.data_age_ms)
         if unavailable_ms >= _MIN_OUTAGE_MS:
-            self._board.directory.registry.start_grace_period()
-            self._board.members.start_grace_period()
+            self._blackboard.directory.registry.start_grace_period()
+            self._blackboard.members.start_grace_period()
         for on_available in self._listeners:
             on_available()
 
 
 def store_availability(
-    board: RouteBlackboard,
+    blackboard: RouteBlackboard,
     clock: Clock,
     reporter: StoreReporter,
 ) -> StoreAvailability:
     """Create the availability tracker of a daemon that starts now."""
     now_ms = clock.now_ms()
     return StoreAvailability(
-        board=board,
+        blackboard=blackboard,
         clock=clock,
         reporter=reporter,
         responded_ms=now_ms,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
@@ -45,12 +45,12 @@
     """
     base = common_parts(settings, ports, log_output)
     reporter = StoreReporter(log=base.log, metrics=base.metrics)
-    availability = store_availability(base.board, base.clock, reporter)
+    availability = store_availability(base.blackboard, base.clock, reporter)
     base.metrics.export_store_age(lambda: availability.data_age_ms)
-    base.metrics.export_quarantine(base.board.quarantine)
+    base.metrics.export_quarantine(base.blackboard.quarantine)
     registration = Registration(
         store=ports.store,
-        board=base.board,
+        blackboard=base.blackboard,
         min_lease_ms=settings.least_lease_ms,
         availability=availability,
         clock=base.clock,
@@ -67,13 +67,13 @@
         log=base.log,
     )
     return RouteService(
-        board=base.board,
-        entries=RouteEntries(board=base.board, rng=random.Random()),
+        blackboard=base.blackboard,
+        entries=RouteEntries(blackboard=base.blackboard, rng=random.Random()),
         settings=settings,
         face=route_caller_api(base, calls, availability),
         operator_api=operator_api(
             base.metrics,
-            base.board.quarantine,
+            base.blackboard.quarantine,
             watch.guard,
         ),
         follower=follower,
@@ -107,7 +107,9 @@
     return store_follower(
         base.ports.store,
         availability,
-        UpdateApplier(board=base.board, reporter=reporter, pools=base.pools),
-        store_polling(base.board.fleet, base.settings.in_force_ms),
+        UpdateApplier(
+            blackboard=base.blackboard, reporter=reporter, pools=base.pools
+        ),
+        store_polling(base.blackboard.fleet, base.settings.in_force_ms),
         random.Random(),
     )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_caller_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_caller_api.py
@@ -21,13 +21,13 @@
 ) -> AttemptParts:
     """Build the objects that the attempts of all requests share."""
     selector = Selector(
-        directory=base.board.directory,
-        states=base.board.states,
+        directory=base.blackboard.directory,
+        states=base.blackboard.states,
         distances=Distances(
             data_centre=base.settings.data_centre,
             region_of=base.settings.region_of,
         ),
-        shares=base.board.shares,
+        shares=base.blackboard.shares,
         clock=base.clock,
         rng=random.Random(),
     )
@@ -55,7 +55,7 @@
     """
     return RouteCallerApi(
         initial_routes=InitialRoutes(
-            board=base.board,
+            blackboard=base.blackboard,
             availability=availability,
             clock=base.clock,
         ),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_crash_protection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_crash_protection.py
@@ -49,16 +49,16 @@
         metrics=base.metrics,
     )
     publisher = SuspicionPublisher(
-        exchange=base.board.quarantine.exchange,
+        exchange=base.blackboard.quarantine.exchange,
         store=base.ports.store,
         lease=lambda: registration.lease,
         polling=polling,
-        fleet=base.board.fleet,
+        fleet=base.blackboard.fleet,
         clock=base.clock,
         rng=random.Random(),
     )
     guard = RequestGuard(
-        quarantine=base.board.quarantine,
+        quarantine=base.blackboard.quarantine,
         store=base.ports.store,
         publisher=publisher,
         request_reporter=reporter,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_common_parts.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_common_parts.py
@@ -9,7 +9,10 @@
     LogOutput,
     decision_log,
 )
-from fennelfork_daemon.routes._board import RouteBlackboard, route_blackboard
+from fennelfork_daemon.routes._blackboard import (
+    RouteBlackboard,
+    route_blackboard,
+)
 from fennelfork_daemon.routes._metrics import RouteMetrics, route_metrics
 from fennelfork_daemon.routes._pools import ServerPools
 from fennelfork_daemon.routes._ports import Ports
@@ -23,7 +26,7 @@
     settings: RouteSettings
     ports: Ports
     clock: Clock
-    board: RouteBlackboard
+    blackboard: RouteBlackboard
     pools: ServerPools
     retry_budgets: RetryBudgets
     limits: ConcurrencyLimits
@@ -38,15 +41,15 @@
 ) -> CommonParts:
     """Create the shared components of a daemon."""
     clock = system_clock()
-    board = route_blackboard(settings, clock)
+    blackboard = route_blackboard(settings, clock)
     metrics = route_metrics()
     return CommonParts(
         settings=settings,
         ports=ports,
         clock=clock,
-        board=board,
-        pools=ServerPools(clock=clock, shares=board.shares),
-        retry_budgets=retry_budgets(settings.repeats, clock, board.fleet),
+        blackboard=blackboard,
+        pools=ServerPools(clock=clock, shares=blackboard.shares),
+        retry_budgets=retry_budgets(settings.repeats, clock, blackboard.fleet),
         limits=ConcurrencyLimits(clock=clock),
         metrics=metrics,
         log=decision_log(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_entries.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_entries.py
@@ -6,7 +6,7 @@
 import attrs
 
 from fennelfork import nearest_entries
-from fennelfork_daemon.routes._board import RouteBlackboard
+from fennelfork_daemon.routes._blackboard import RouteBlackboard
 
 # Maximum number of addresses that callers read from an answer.
 _MAX_ADDRESSES: Final = 64
@@ -35,15 +35,15 @@
 class RouteEntries:
     """Selects the daemons that a caller connects to."""
 
-    _board: RouteBlackboard
+    _blackboard: RouteBlackboard
     _rng: random.Random
 
     def answer(self, query: EntryQuery) -> EntryAnswer | None:
         """Return the nearest daemons, or None if no daemon is ready."""
-        members = dict(self._board.members.entries)
-        members.pop(self._board.local.name, None)
-        if self._board.is_ready:
-            members[self._board.local.name] = self._board.local
+        members = dict(self._blackboard.members.entries)
+        members.pop(self._blackboard.local.name, None)
+        if self._blackboard.is_ready:
+            members[self._blackboard.local.name] = self._blackboard.local
         chosen = nearest_entries(
             query.region,
             query.data_centre,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_initial_routes.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_initial_routes.py
@@ -12,7 +12,7 @@
     RouteTable,
 )
 from fennelfork_daemon.routes._availability import StoreAvailability
-from fennelfork_daemon.routes._board import (
+from fennelfork_daemon.routes._blackboard import (
     INITIAL_HEADER_BYTES,
     INITIAL_IDLE_MS,
     INITIAL_READ_MS,
@@ -39,14 +39,18 @@
     arrived, and a rejected request would use up their only retry.
     """
 
-    _board: RouteBlackboard
+    _blackboard: RouteBlackboard
     _availability: StoreAvailability
     _clock: Clock
 
     @property
     def version(self) -> int:
         """The active version, or zero before the initial configuration."""
-        return 0 if self._board.table is None else self._board.table.version
+        return (
+            0
+            if self._blackboard.table is None
+            else self._blackboard.table.version
+        )
 
     def wait(self) -> RouteTable | None:
         """Return the active routes, or None if there is no configuration.
@@ -57,12 +61,12 @@
         deadline_ms = self._clock.now_ms() + INITIAL_LISTING_TIMEOUT_MS
         while self._is_initial_listing_pending(deadline_ms):
             eventlet.sleep(_POLL_INTERVAL_MS / _MS_PER_SECOND)
-        return self._board.table
+        return self._blackboard.table
 
     def _is_initial_listing_pending(self, deadline_ms: float) -> bool:
         is_before_deadline = self._clock.now_ms() < deadline_ms
         return (
-            self._board.table is None
+            self._blackboard.table is None
             and self._availability.is_first_call_pending
             and is_before_deadline
         )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
@@ -9,7 +9,7 @@
 
 from fennelfork import Clock, Failure
 from fennelfork_daemon.routes._availability import StoreAvailability, StoreCall
-from fennelfork_daemon.routes._board import RouteBlackboard
+from fennelfork_daemon.routes._blackboard import RouteBlackboard
 from fennelfork_daemon.routes._ports import Store
 from fennelfork_daemon.routes._store_reporter import StoreReporter
 
@@ -29,7 +29,7 @@
     """Maintains the entry of this daemon in the store."""
 
     _store: Store
-    _board: RouteBlackboard
+    _blackboard: RouteBlackboard
     _min_lease_ms: float
     _availability: StoreAvailability
     _clock: Clock
@@ -51,7 +51,7 @@
     @property
     def delay_ms(self) -> float:
         """Delay in ms before the next step."""
-        if self._board.is_ready or self._board.is_leaving:
+        if self._blackboard.is_ready or self._blackboard.is_leaving:
             return _RENEWAL_INTERVAL_MS
         return _POLL_INTERVAL_MS
 
@@ -63,7 +63,7 @@
 
     def step(self) -> None:
         """Renew the registration, or create a missing one."""
-        if not self._board.is_ready:
+        if not self._blackboard.is_ready:
             return
         if self._lease is None:
             self._register()
@@ -73,9 +73,9 @@
 
     def leave(self) -> None:
         """Remove the registration; further calls have no effect."""
-        if self._board.is_leaving:
+        if self._blackboard.is_leaving:
             return
-        self._board.is_leaving = True
+        self._blackboard.is_leaving = True
         eventlet.spawn_n(self._end_lease)
 
     def send_exit(self) -> None:
@@ -88,7 +88,7 @@
             return
         lease = opened.unwrap()
         registered = self._record_result(
-            self._store.register(self._board.local, lease)
+            self._store.register(self._blackboard.local, lease)
         )
         if is_successful(registered) and registered.unwrap():
             self._lease = lease
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_service.py
@@ -13,7 +13,7 @@
 from fennelfork_daemon.http._router import Router
 from fennelfork_daemon.http._wsgi_server import open_listener, serve_wsgi
 from fennelfork_daemon.logs._decision_log import DecisionLog
-from fennelfork_daemon.routes._board import RouteBlackboard
+from fennelfork_daemon.routes._blackboard import RouteBlackboard
 from fennelfork_daemon.routes._caller_api import RouteCallerApi
 from fennelfork_daemon.routes._entries import RouteEntries
 from fennelfork_daemon.routes._events_process import Started, Stopped
@@ -47,13 +47,13 @@
     """All components of one daemon process.
 
     Attributes:
-        board: blackboard of the daemon.
+        blackboard: facts that the components of the daemon share.
         entries: selection of the daemons that a caller connects to.
         face: caller API.
         follower: synchronisation of the blackboard with the store.
     """
 
-    board: RouteBlackboard
+    blackboard: RouteBlackboard
     entries: RouteEntries
     face: RouteCallerApi
     follower: StoreFollower
@@ -104,7 +104,7 @@
             serve_wsgi,
             open_listener(address),
             application,
-            self.board.limits,
+            self.blackboard.limits,
             _MAX_CONNECTIONS,
         )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from fennelfork_daemon.routes._board import RouteBlackboard
+from fennelfork_daemon.routes._blackboard import RouteBlackboard
 from fennelfork_daemon.routes._pools import ServerPools
 from fennelfork_daemon.routes._store_reporter import StoreReporter
 from fennelfork_daemon.routes._updates import (
@@ -27,11 +27,11 @@
     """Applies updates from the store to the blackboard.
 
     Attributes:
-        board: blackboard of the daemon.
+        blackboard: facts that the components of the daemon share.
         reporter: log of the applied updates.
     """
 
-    board: RouteBlackboard
+    blackboard: RouteBlackboard
     reporter: StoreReporter
     _pools: ServerPools
 
@@ -45,7 +45,7 @@
             data_age_ms: time since the last update from the store.
         """
         listed = tuple(updates)
-        self.board.quarantine.exchange.reconcile(
+        self.blackboard.quarantine.exchange.reconcile(
             (
                 update.record.fingerprint
                 for update in listed
@@ -63,9 +63,9 @@
             for update in listed
             if isinstance(update, MemberUpdate)
         ]
-        for instance in self.board.directory.retain(servers):
+        for instance in self.blackboard.directory.retain(servers):
             self.reporter.server_removed(instance)
-        for name in self.board.members.retain(members):
+        for name in self.blackboard.members.retain(members):
             self.reporter.daemon_removed(name)
         self.apply(listed)
 
@@ -73,9 +73,9 @@
         """Apply updates in the given order."""
         for update in updates:
             _apply_update(update, self)
-        self.board.fleet.record_size(len(self.board.members.entries))
-        incarnations = self.board.directory.incarnations
-        self.board.states.keep(incarnations)
+        self.blackboard.fleet.record_size(len(self.blackboard.members.entries))
+        incarnations = self.blackboard.directory.incarnations
+        self.blackboard.states.keep(incarnations)
         self._pools.close_all_except(incarnations)
 
 
@@ -91,50 +91,50 @@
 
 @_apply_update.register
 def _apply_config(update: ConfigUpdate, applier: UpdateApplier) -> None:
-    board = applier.board
-    previous = 0 if board.table is None else board.table.version
+    blackboard = applier.blackboard
+    previous = 0 if blackboard.table is None else blackboard.table.version
     if update.table.version <= previous:
         # An update with an older version was delayed and is outdated.
         return
-    board.table = update.table
-    board.shares.services = update.table.services
+    blackboard.table = update.table
+    blackboard.shares.services = update.table.services
     limits = update.table.limits
-    board.limits.header_bytes = limits.header_bytes
-    board.limits.request_read_ms = limits.header_ms
-    board.limits.idle_ms = limits.idle_ms
+    blackboard.limits.header_bytes = limits.header_bytes
+    blackboard.limits.request_read_ms = limits.header_ms
+    blackboard.limits.idle_ms = limits.idle_ms
     applier.reporter.config_applied(update.table, previous)
 
 
 @_apply_update.register
 def _apply_server(update: ServerUpdate, applier: UpdateApplier) -> None:
-    if applier.board.directory.is_outdated(update.server):
+    if applier.blackboard.directory.is_outdated(update.server):
         return
-    previous = applier.board.directory.put(update.server)
+    previous = applier.blackboard.directory.put(update.server)
     applier.reporter.server_registered(update.server, previous)
 
 
 @_apply_update.register
 def _remove_server(update: ServerRemoved, applier: UpdateApplier) -> None:
-    if applier.board.directory.remove(update.instance):
+    if applier.blackboard.directory.remove(update.instance):
         applier.reporter.server_removed(update.instance)
 
 
 @_apply_update.register
 def _apply_member(update: MemberUpdate, applier: UpdateApplier) -> None:
     name = update.member.name
-    if applier.board.members.put(name, update.member) is None:
+    if applier.blackboard.members.put(name, update.member) is None:
         applier.reporter.daemon_registered(update.member)
 
 
 @_apply_update.register
 def _remove_member(update: MemberRemoved, applier: UpdateApplier) -> None:
-    if applier.board.members.remove(update.name):
+    if applier.blackboard.members.remove(update.name):
         applier.reporter.daemon_removed(update.name)
 
 
 @_apply_update.register
 def _apply_suspicion(update: SuspicionUpdate, applier: UpdateApplier) -> None:
-    exchange = applier.board.quarantine.exchange
+    exchange = applier.blackboard.quarantine.exchange
     status = exchange.apply_record(update.record, update.revision)
     if status is not None:
         applier.reporter.request_status_changed(update.record, status)
@@ -142,13 +142,13 @@
 
 @_apply_update.register
 def _remove_suspicion(update: SuspicionRemoved, applier: UpdateApplier) -> None:
-    applier.board.quarantine.exchange.discard(update.fingerprint)
+    applier.blackboard.quarantine.exchange.discard(update.fingerprint)
 
 
 @_apply_update.register
 def _reject_entry(update: InvalidEntry, applier: UpdateApplier) -> None:
     applier.reporter.entry_rejected(update)
-    if applier.board.directory.discard(update.instance):
+    if applier.blackboard.directory.discard(update.instance):
         applier.reporter.server_removed(update.instance)
-    if applier.board.members.discard(update.member):
+    if applier.blackboard.members.discard(update.member):
         applier.reporter.daemon_removed(update.member)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_observer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_observer.py
@@ -30,14 +30,14 @@
         metrics: metrics of the daemon.
         ring: stored traces of the latest requests.
         watch: log of changes of the blackboard.
-        board: blackboard of the daemon.
+        blackboard: facts that the components of the daemon share.
         clock: clock of the daemon.
     """
 
     metrics: DaemonMetrics
     ring: ExplainRing
     watch: StateWatch
-    board: Blackboard
+    blackboard: Blackboard
     clock: Clock
 
     def start_trace(self) -> RequestTrace:
@@ -105,7 +105,7 @@
         code: str,
     ) -> Labels:
         # A query may arrive before the state watch has seen a new front.
-        self.metrics.apply_configuration(self.board.document)
+        self.metrics.apply_configuration(self.blackboard.document)
         labels = self.metrics.labels(
             query.front,
             query.tenant,
@@ -128,7 +128,7 @@
     ) -> None:
         entry = {
             'request_id': query.request_id,
-            'daemon': self.board.local.name,
+            'daemon': self.blackboard.local.name,
             'front': query.front,
             'tenant': query.tenant,
             'class': query.traffic_class,
@@ -143,16 +143,16 @@
 
 
 def observer(
-    board: Blackboard,
+    blackboard: Blackboard,
     clock: Clock,
     limits: LimitSettings,
 ) -> Observer:
     """Build the request observer of a daemon."""
     metrics = daemon_metrics(limits.label_values)
     return Observer(
-        board=board,
+        blackboard=blackboard,
         metrics=metrics,
-        watch=state_watch(board, metrics),
+        watch=state_watch(blackboard, metrics),
         ring=ExplainRing(max_entries=limits.explain_entries),
         clock=clock,
     )
