--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_in_progress.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_in_progress.py
@@ -24,7 +24,7 @@
 
     @contextmanager
     def count_one(self) -> Iterator[None]:
-        """Count one request as in progress within a `with` block."""
+        """Count a request as in progress within a `with` block."""
         self.begin()
         try:
             yield
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_stop_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_stop_service.py
@@ -36,10 +36,10 @@
         """Whether all members are informed of the leave."""
 
     def leave(self) -> None:
-        """Announce that this daemon leaves; idempotent."""
+        """Announce that this daemon leaves the fleet; idempotent."""
 
     def send_exit(self) -> None:
-        """Announce that this daemon exits now."""
+        """Announce to other daemons that this daemon exits now."""
 
 
 class StepLog(Protocol):
@@ -126,7 +126,7 @@
         previous = self._stop.phase
         if self._stop.is_draining:
             self._leave()
-        phase = self._stop.step(self._conditions(caller_thread))
+        phase = self._stop.step(self._read_conditions(caller_thread))
         if phase is not previous:
             self._log.change(
                 'stop',
@@ -142,7 +142,7 @@
         self.on_leave.clear()
         self._members.leave()
 
-    def _conditions(self, caller_thread: GreenThread) -> StopConditions:
+    def _read_conditions(self, caller_thread: GreenThread) -> StopConditions:
         serving = 0 if caller_thread.dead else 1
         return StopConditions(
             now_ms=self._clock.now_ms(),
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_pool.py
@@ -152,7 +152,7 @@
     ) -> Result[BackendResponse, Failure]:
         connection = backend_connection(self._address, self._max_response_bytes)
         self._open[number] = connection
-        opened = connection.open(_connect_ms(request))
+        opened = connection.open(_connect_timeout_ms(request))
         if is_successful(opened):
             response = self._exchange_on(number, request, trace)
         else:
@@ -230,7 +230,7 @@
     )
 
 
-def _connect_ms(request: AnyRequest) -> float:
+def _connect_timeout_ms(request: AnyRequest) -> float:
     if isinstance(request, ForwardRequest):
         return min(request.connect_ms, request.timeout_ms)
     return request.timeout_ms
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_response.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_response.py
@@ -28,9 +28,9 @@
     try:
         tree = json.loads(response.body)
     except ValueError:
-        return _bad_reply('the body is not JSON')
+        return _invalid_reply_failure('the body is not JSON')
     if not isinstance(tree, dict):
-        return _bad_reply('the body is not an object')
+        return _invalid_reply_failure('the body is not an object')
     if response.status == _OK:
         return Success(tree)
     return Bad(_read_problem(response.status, tree))
@@ -41,7 +41,7 @@
     try:
         reply = _read_reply(tree)
     except (KeyError, TypeError) as error:
-        return _bad_reply(
+        return _invalid_reply_failure(
             f'the response has a missing or invalid member: {error}'
         )
     return check_reply(expected, reply)
@@ -58,7 +58,7 @@
             ),
         )
     except (KeyError, TypeError, ValueError) as error:
-        return _bad_reply(
+        return _invalid_reply_failure(
             f'the health report has a missing or invalid member: {error}'
         )
     return Success(report)
@@ -95,5 +95,5 @@
         return may_have_run(FailureCode.BAD_REPLY, f'status {status}')
 
 
-def _bad_reply(detail: str) -> Result[Any, Failure]:
+def _invalid_reply_failure(detail: str) -> Result[Any, Failure]:
     return Bad(may_have_run(FailureCode.BAD_REPLY, detail))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_api.py
@@ -56,7 +56,7 @@
             self._settings.timeouts.longest_deadline_ms,
         )
         if not is_successful(read):
-            return failure_reply(read.failure(), _request_id(tree))
+            return failure_reply(read.failure(), _read_request_id(tree))
         return self._answer(read.unwrap())
 
     def _answer(self, query: QueryRequest) -> HttpReply:
@@ -85,7 +85,8 @@
             'complete': answer.coverage.complete,
             'fraction': answer.coverage.fraction,
             'missing': [
-                _missing_range(missing) for missing in answer.coverage.missing
+                _describe_missing_range(missing)
+                for missing in answer.coverage.missing
             ],
         },
         'config_version': answered.config_version,
@@ -94,7 +95,7 @@
     }
 
 
-def _missing_range(missing: MissingRange) -> dict[str, Any]:
+def _describe_missing_range(missing: MissingRange) -> dict[str, Any]:
     return {
         'lo': missing.span.lo,
         'hi': missing.span.hi,
@@ -102,6 +103,6 @@
     }
 
 
-def _request_id(tree: dict[str, Any]) -> str | None:
+def _read_request_id(tree: dict[str, Any]) -> str | None:
     given = tree.get('request_id')
     return given if isinstance(given, str) else None
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_activator.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_activator.py
@@ -29,10 +29,10 @@
     _log: StateLog
 
     def offer(self, raw: str | None, source: ConfigSource) -> OfferOutcome:
-        """Activate a document if it is newer; see `ConfigState.offer`."""
+        """Activate a newer configuration document; see `ConfigState.offer`."""
         outcome = self.state.offer(raw, source)
         if outcome is OfferOutcome.ACCEPTED:
-            self._publish()
+            self._publish_configuration()
         self._log_outcome(outcome, source)
         return outcome
 
@@ -42,7 +42,7 @@
         if outcome is OfferOutcome.CONFLICT:
             self._log_outcome(outcome, ConfigSource.PEER)
 
-    def _publish(self) -> None:
+    def _publish_configuration(self) -> None:
         active = self.state.active
         if active is None:
             return
@@ -72,7 +72,7 @@
 
 
 def config_activator(blackboard: Blackboard, clock: Clock) -> ConfigActivator:
-    """Build the activator of a daemon without a configuration."""
+    """Build the activator of a daemon without a configuration document."""
     return ConfigActivator(
         state=config_state(clock),
         blackboard=blackboard,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_exchange.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_exchange.py
@@ -45,7 +45,7 @@
             local = self._local_member()
             members = tuple(self._blackboard.members.values())
             if self._follower.is_poll_due(local, members):
-                self._poll(self._follower.choose_peer(local, members))
+                self._poll_peer(self._follower.choose_peer(local, members))
             eventlet.sleep(_CHECK_INTERVAL_S)
 
     def notify_peers(self) -> None:
@@ -95,7 +95,7 @@
         if self._pool.free():
             self._pool.spawn_n(self._exchange, address, sender)
 
-    def _poll(self, chosen: Member | None) -> None:
+    def _poll_peer(self, chosen: Member | None) -> None:
         answered = chosen is not None and self._exchange(chosen.peer, None)
         self._follower.record_poll(answered=answered)
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_patcher.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_patcher.py
@@ -35,7 +35,7 @@
 
 @attrs.define(kw_only=True)
 class ConfigPatcher:
-    """Runs a `PatchWriter` for each patch and bounds their concurrency."""
+    """Writes configuration patches, with a limit on concurrent patches."""
 
     _blackboard: Blackboard
     _activator: ConfigActivator
@@ -49,7 +49,7 @@
     )
 
     def patch(self, request: PatchRequest) -> PatchOutcome:
-        """Write a patch to the platform and activate the new version.
+        """Write a configuration patch to the platform and activate the result.
 
         Args:
             request: validated patch request.
@@ -59,14 +59,14 @@
             have been written.
         """
         if self._slots.locked():
-            return Bad(_overload_refusal())
+            return Bad(_build_overload_refusal())
         with self._slots:
-            return self._run_writer(self._writer(request))
+            return self._run_writer(self._build_writer(request))
 
     def _known_version(self) -> int:
-        """Return the highest version that is known in the fleet.
+        """Return the highest configuration version that the fleet knows.
 
-        A daemon without a document queries all other daemons, so that a
+        A daemon without a configuration document queries all other daemons, so that a
         platform that lost its data does not get a second version 1.
         """
         state = self._activator.state
@@ -78,7 +78,7 @@
         )
         return max(state.version, announced)
 
-    def _writer(self, request: PatchRequest) -> PatchWriter:
+    def _build_writer(self, request: PatchRequest) -> PatchWriter:
         return PatchWriter(
             request=request,
             known_version=self._known_version(),
@@ -110,7 +110,7 @@
             advance_patch(execute_write(self._key, step.write), writer)
 
 
-def _overload_refusal() -> PatchRefused:
+def _build_overload_refusal() -> PatchRefused:
     return PatchRefused(
         failure=not_run(
             FailureCode.SHED,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_reader.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_reader.py
@@ -38,14 +38,14 @@
     _watch_revision: int | None = None
 
     def read_forever(self) -> None:
-        """Read the key whenever a read by this daemon is due."""
+        """Read the configuration key whenever a read by this daemon is due."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             if self._follower.is_read_due():
                 self._read_if_assigned()
             eventlet.sleep(_CHECK_INTERVAL_S)
 
     def watch_forever(self) -> None:
-        """Watch the key from the revision of the last successful read.
+        """Watch the configuration key from the last revision that was read.
 
         Only daemons that are assigned to read the platform watch the key.
         """
@@ -76,7 +76,7 @@
         self._log.change(_STORE, state, detail=self.failure)
 
     def _refresh(self) -> Failure | None:
-        """Read the document if the key changed since the last read."""
+        """Read the configuration document if the key has changed."""
         revision = self._key.revision()
         if not is_successful(revision):
             return revision.failure()
@@ -87,13 +87,13 @@
         reply = self._key.read()
         if not is_successful(reply):
             return reply.failure()
-        self._offer(reply.unwrap())
+        self._offer_stored(reply.unwrap())
         return None
 
     def _watch(self, revision: int) -> None:
         try:
             for stored in self._key.watch(revision):
-                self._offer(stored)
+                self._offer_stored(stored)
                 if not self._is_assigned():
                     break
         except (OSError, ValueError) as error:
@@ -101,7 +101,7 @@
         # The next watch starts after the next read, which has a backoff.
         self._watch_revision = None
 
-    def _offer(self, stored: StoredDocument) -> None:
+    def _offer_stored(self, stored: StoredDocument) -> None:
         self._known_revision = stored.revision
         self._watch_revision = stored.revision
         self._activator.offer(stored.raw, ConfigSource.PLATFORM)
@@ -113,7 +113,7 @@
     key: ConfigKey,
     follower: ConfigFollower,
 ) -> ConfigReader:
-    """Build the reader of a daemon that has not read the key."""
+    """Build the reader of the configuration key."""
     return ConfigReader(
         blackboard=blackboard,
         activator=activator,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_service.py
@@ -1,4 +1,4 @@
-"""Configuration service of a daemon."""
+"""Service that follows, distributes and patches the configuration."""
 
 import random
 
@@ -56,7 +56,7 @@
     settings: Settings,
     count_cost: CountCost,
 ) -> ConfigService:
-    """Build the configuration service of a daemon.
+    """Build the service that follows and patches the configuration.
 
     Args:
         blackboard: facts that the components of this daemon share.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_status_collector.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_status_collector.py
@@ -48,7 +48,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigStatusCollector:
-    """Queries all members with bounded concurrency."""
+    """Queries the configuration status of all members concurrently."""
 
     _blackboard: Blackboard
     _peers: PeerClient
@@ -65,7 +65,7 @@
             self._queried_members(), key=lambda member: member.name
         )
         pool = eventlet.GreenPool(_MAX_CONCURRENT_CALLS)
-        return tuple(pool.imap(self._query, members))
+        return tuple(pool.imap(self._query_member, members))
 
     def highest_version(self) -> int:
         """Return the highest active version of the reachable daemons."""
@@ -79,7 +79,7 @@
             if member.state is not MemberStatus.DEAD
         ]
 
-    def _query(self, member: Member) -> DaemonConfigStatus:
+    def _query_member(self, member: Member) -> DaemonConfigStatus:
         request = peer.ConfigRequest(have_version=_MAX_VERSION)
         reply = self._peers.call(
             member.peer,
@@ -93,7 +93,7 @@
             state=member.state.value,
         )
         if is_successful(reply):
-            return _with_reply(member_status, reply.unwrap())
+            return _apply_status_reply(member_status, reply.unwrap())
         return attrs.evolve(member_status, failure=reply.failure().detail)
 
 
@@ -102,7 +102,7 @@
     peers: PeerClient,
     settings: Settings,
 ) -> ConfigStatusCollector:
-    """Build the status collector of a daemon."""
+    """Build the collector of the configuration status of all daemons."""
     return ConfigStatusCollector(
         blackboard=blackboard,
         peers=peers,
@@ -110,7 +110,7 @@
     )
 
 
-def _with_reply(
+def _apply_status_reply(
     member_status: DaemonConfigStatus, reply: Any
 ) -> DaemonConfigStatus:
     return attrs.evolve(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_build.py
@@ -28,7 +28,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteComponents:
-    """Components that the daemon adds to its APIs.
+    """Components that run non-idempotent requests.
 
     Attributes:
         api: caller API for non-idempotent requests.
@@ -48,12 +48,12 @@
     settings: Settings,
     observer: Observer,
 ) -> ExecuteComponents:
-    """Build the components of a new incarnation.
+    """Build the components that run non-idempotent requests.
 
     Args:
         blackboard: facts that the components of the daemon share.
         clock: monotonic clock of the daemon.
-        home: home service of the same daemon.
+        home: service of this daemon that schedules the requests of shards.
         settings: settings of the daemon.
         observer: source of the metrics and of the ring of recent answers.
     """
@@ -97,7 +97,7 @@
 
 
 def _new_gate(name: str, clock: Clock) -> OnceGate:
-    """Build a gate with a ticket key that is unique to this incarnation."""
+    """Build a gate with a ticket key that only this daemon process has."""
     rng = random.SystemRandom()
     incarnation = rng.getrandbits(_INCARNATION_BITS)
     key = ticket_key(name, incarnation, rng.randbytes(_SECRET_BYTES))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_connection.py
@@ -111,11 +111,13 @@
     remaining = begin_send()
     if isinstance(remaining, Failed):
         return Failed(remaining.failure())
-    window = _window(remaining.unwrap(), probed.unwrap())
+    window = _compute_start_window(remaining.unwrap(), probed.unwrap())
     return _send(connection, target, call, window, timeouts)
 
 
-def _window(remaining_ms: float, server_now_ms: float | None) -> _StartWindow:
+def _compute_start_window(
+    remaining_ms: float, server_now_ms: float | None
+) -> _StartWindow:
     # The clock reading predates `remaining_ms`, so the computed limit is never too
     # late, even if a process was paused in between.
     not_after_ms = (
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_observer.py
@@ -38,7 +38,7 @@
             request.tenant,
             received.traffic_class,
         )
-        result_fields = _result_fields(result)
+        result_fields = _outcome_fields(result)
         verdict = Verdict(result_fields['verdict'])
         self._metrics.count_answer(labels, verdict, result_fields['outcome'])
         self._metrics.observe_execute(labels, took_ms)
@@ -56,7 +56,7 @@
         self._ring.store_trace(request.request_id, record)
 
 
-def _result_fields(result: Result[str, Failure]) -> dict[str, Any]:
+def _outcome_fields(result: Result[str, Failure]) -> dict[str, Any]:
     if isinstance(result, Failed):
         failure = result.failure()
         return {
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_peer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_peer.py
@@ -15,6 +15,6 @@
     _clock: Clock
 
     def execute(self, request: object) -> object:
-        """Answer a request whose ticket names this incarnation."""
+        """Answer a request with a ticket of this daemon incarnation."""
         received = request_from_peer(request, self._clock.now_ms())
         return reply_to_peer(self._service.answer_locally(received))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_received_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_received_request.py
@@ -50,7 +50,7 @@
         The request, or a failure with the verdict `MAY_HAVE_RUN`, since an
         earlier request with the same id and a valid body may have run.
     """
-    problem = _problem(body, max_deadline_ms)
+    problem = _find_problem(body, max_deadline_ms)
     if problem is not None:
         return Failed(may_have_run(FailureCode.BAD_REQUEST, problem))
     request = ExecuteRequest(
@@ -75,7 +75,7 @@
     return failure.with_verdict(Verdict.MAY_HAVE_RUN)
 
 
-def _problem(body: dict[str, Any], max_deadline_ms: int) -> str | None:
+def _find_problem(body: dict[str, Any], max_deadline_ms: int) -> str | None:
     known = {*dict(_STRING_MEMBERS), *_INTEGER_MEMBERS}
     unknown = sorted(body.keys() - known)
     if unknown:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_runner.py
@@ -47,7 +47,7 @@
 
 @attrs.define(kw_only=True)
 class ExecuteRunner:
-    """Runs the non-idempotent requests of one incarnation."""
+    """Runs the non-idempotent requests of one daemon incarnation."""
 
     _table: OnceTable
     _clock: Clock
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_service.py
@@ -62,7 +62,7 @@
         return self.answer_locally(received)
 
     def answer_locally(self, received: ReceivedRequest) -> Result[str, Failure]:
-        """Answer a request whose ticket names this incarnation."""
+        """Answer a request with a ticket of this daemon incarnation."""
         request = received.request
         admitted = self._gate.admit(request)
         if isinstance(admitted, Failed):
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -60,7 +60,9 @@
             return Failed(
                 not_run(FailureCode.DRAINING, detail, _RETRY_AFTER_MS)
             )
-        return Success(tuple(_target(named) for named in candidates))
+        return Success(
+            tuple(_build_target(named_server) for named_server in candidates)
+        )
 
     def invalidate(self, request: ExecuteRequest) -> None:
         """Discard the cached views of the front, which are outdated."""
@@ -102,6 +104,8 @@
     )
 
 
-def _target(named: NamedServer) -> ExecuteTarget:
-    place = address(named.server.address)
-    return ExecuteTarget(name=named.name, host=place.host, port=place.port)
+def _build_target(named_server: NamedServer) -> ExecuteTarget:
+    place = address(named_server.server.address)
+    return ExecuteTarget(
+        name=named_server.name, host=place.host, port=place.port
+    )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_ticket_issuer.py
@@ -10,7 +10,7 @@
 
 @attrs.frozen(kw_only=True)
 class TicketIssuer:
-    """Issues the tickets of this incarnation.
+    """Issues the tickets of this incarnation of the daemon.
 
     The lifetime of a ticket equals that of the entry answer, so a daemon that
     stops gracefully runs until all of its tickets have expired.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/__init__.py
@@ -1,1 +1,1 @@
-"""Home daemons: scheduling of the requests of each shard."""
+"""Home daemon: the daemon that schedules the requests of one shard."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
@@ -16,7 +16,7 @@
 
 _POLL_INTERVAL_MS: Final = 500
 _POLL_TIMEOUT_MS: Final = 400
-# After this time without requests another daemon is the home of the shard.
+# After this time without requests, another daemon is the home daemon.
 _MAX_UNUSED_MS: Final = 60_000
 _MS: Final = 1000
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_service.py
@@ -77,16 +77,16 @@
         collector = _OutcomeCollector(expected_count=len(request.planned))
         query = json.loads(request.query)
         for planned in request.planned:
-            task = self._task(request, planned, deadline_ms)
+            task = self._build_task(request, planned, deadline_ms)
             search = SearchRequest(expected=planned.expected, query=query)
-            self._start(request.front, planned, task, search, collector)
+            self._start_task(request.front, planned, task, search, collector)
         parts = collector.wait()
         shards = sorted({each.shard for each in request.planned})
         return ScatterOutcome(
             parts=parts,
-            shards=self._views(request.front, shards),
+            shards=self._read_views(request.front, shards),
             config_version=self._blackboard.config_version,
-            level=self._lowest_level(request, shards),
+            level=self._find_lowest_level(request, shards),
         )
 
     def describe(
@@ -99,13 +99,13 @@
         names = [ShardName(front=front, shard=shard) for shard in shards]
         for _ in pool.imap(self._runners.get_runner, names):
             """Wait until each runner has polled its servers."""
-        return self._views(front, shards)
+        return self._read_views(front, shards)
 
     def poll_forever(self) -> None:
         """Poll the health endpoints of the servers in use periodically."""
         self._runners.poll_forever()
 
-    def _views(
+    def _read_views(
         self,
         front: str,
         shards: Iterable[str],
@@ -119,7 +119,7 @@
                 views.append(runner.scheduler.servers.view(shard))
         return tuple(views)
 
-    def _task(
+    def _build_task(
         self,
         request: ScatterRequest,
         planned: PlannedSubQuery,
@@ -135,7 +135,7 @@
             weight=1 / request.level,
         )
 
-    def _lowest_level(
+    def _find_lowest_level(
         self, request: ScatterRequest, shards: list[str]
     ) -> float:
         """Return the lowest admission level of the requested shards."""
@@ -147,7 +147,7 @@
             default=1,
         )
 
-    def _start(
+    def _start_task(
         self,
         front: str,
         planned: PlannedSubQuery,
@@ -185,7 +185,7 @@
     limits: LimitSettings,
     metrics: DaemonMetrics,
 ) -> HomeService:
-    """Build the home service of a daemon.
+    """Build the service that schedules the sub-queries of shards.
 
     Args:
         blackboard: facts that the components of the daemon share.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_settings.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_settings.py
@@ -14,7 +14,7 @@
 from fennelfork.placement import RoutingMode, limit_slots
 from fennelfork.servers import FixedHedge, HedgePolicy, NoHedge, QuantileHedge
 
-# Two daemons may act as the home of a shard at the same time. Each one uses at
+# Two daemons may act as home daemon of a shard at the same time. Each uses at
 # most its share of the connections of a server.
 _MAX_HOMES: Final = 2
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_shard.py
@@ -219,7 +219,7 @@
     max_response_bytes: int,
     failure_callback: Callable[[Failure], None],
 ) -> ShardRunner:
-    """Build the runner of a shard without servers.
+    """Build the runner of a shard that has no backend servers yet.
 
     Args:
         clock: clock of the daemon.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_problem.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_problem.py
@@ -52,7 +52,7 @@
     @property
     def status_line(self) -> str:
         """Status code and reason phrase for `start_response` of WSGI."""
-        return f'{self.status} {_title(self.status)}'
+        return f'{self.status} {_problem_title(self.status)}'
 
 
 def problem_status(code: FailureCode) -> int:
@@ -78,7 +78,7 @@
     effective_status = status or problem_status(failure.code)
     document: dict[str, Any] = {
         'type': f'urn:fennelfork:problem:{failure.code.value}',
-        'title': _title(effective_status),
+        'title': _problem_title(effective_status),
         'status': effective_status,
         'detail': failure.detail,
         'code': failure.code.value,
@@ -109,7 +109,7 @@
     )
 
 
-def _title(status: int) -> str:
+def _problem_title(status: int) -> str:
     if status == _CLIENT_CLOSED:
         return 'Client Closed Request'
     return http.HTTPStatus(status).phrase
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_router.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_router.py
@@ -82,11 +82,11 @@
         path = environ['RAW_PATH_INFO']
         methods: set[str] = set()
         for route in self._routes:
-            names = _match(route.path, path)
+            names = _match_path(route.path, path)
             if names is None:
                 continue
             if route.method == environ['REQUEST_METHOD']:
-                return route.handler(_request(environ, names))
+                return route.handler(_build_request(environ, names))
             methods.add(route.method)
         if methods:
             return _method_not_allowed(environ['REQUEST_METHOD'], methods)
@@ -132,7 +132,7 @@
     return attrs.evolve(reply, headers=(*reply.headers, ('Allow', allowed)))
 
 
-def _match(pattern: str, path: str) -> dict[str, str] | None:
+def _match_path(pattern: str, path: str) -> dict[str, str] | None:
     pattern_segments = pattern.split('/')
     path_segments = path.split('/')
     if len(pattern_segments) != len(path_segments):
@@ -146,7 +146,9 @@
     return names
 
 
-def _request(environ: dict[str, Any], names: dict[str, str]) -> HttpRequest:
+def _build_request(
+    environ: dict[str, Any], names: dict[str, str]
+) -> HttpRequest:
     options = parse_qs(environ.get('QUERY_STRING', ''))
     return HttpRequest(
         environ=environ,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/http/_wsgi_request.py
@@ -62,7 +62,9 @@
         JSON object, or the refusal of the request.
     """
     return _declared_length(environ, limits).bind(
-        lambda length: _read_bytes(environ, length, limits).bind(_parse),
+        lambda length: _read_bytes(environ, length, limits).bind(
+            _parse_json_object
+        ),
     )
 
 
@@ -132,7 +134,7 @@
     return Success(body)
 
 
-def _parse(body: bytes) -> Result[JsonObject, Refusal]:
+def _parse_json_object(body: bytes) -> Result[JsonObject, Refusal]:
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as err:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_codec.py
@@ -53,8 +53,8 @@
     Raises:
         ValueError: if the response is invalid.
     """
-    found = _field(reply, 'kvs', [])
-    return _stored_document(found[0]) if found else _ABSENT_DOCUMENT
+    entries = _read_field(reply, 'kvs', [])
+    return _stored_document(entries[0]) if entries else _ABSENT_DOCUMENT
 
 
 def read_revision(reply: Any) -> int:
@@ -66,8 +66,8 @@
     Raises:
         ValueError: if the response is invalid.
     """
-    found = _field(reply, 'kvs', [])
-    return int(_field(found[0], 'mod_revision', None)) if found else 0
+    entries = _read_field(reply, 'kvs', [])
+    return int(_read_field(entries[0], 'mod_revision', None)) if entries else 0
 
 
 def read_swap_result(reply: Any) -> bool:
@@ -79,8 +79,8 @@
     Raises:
         ValueError: if the response is invalid.
     """
-    _field(reply, 'header', None)
-    return bool(_field(reply, 'succeeded', False))
+    _read_field(reply, 'header', None)
+    return bool(_read_field(reply, 'succeeded', False))
 
 
 def read_watch_line(line: bytes) -> tuple[StoredDocument, ...]:
@@ -92,36 +92,37 @@
     Raises:
         ValueError: if the line is invalid or cancels the watch.
     """
-    update = _field(json.loads(line), 'result', None)
-    if _field(update, 'canceled', False):
+    update = _read_field(json.loads(line), 'result', None)
+    if _read_field(update, 'canceled', False):
         raise ValueError('the platform cancelled the watch')
     return tuple(
-        _document_from_event(event) for event in _field(update, 'events', [])
+        _document_from_event(event)
+        for event in _read_field(update, 'events', [])
     )
 
 
 def _document_from_event(event: Any) -> StoredDocument:
-    if _field(event, 'type', 'PUT') == _DELETE_EVENT:
+    if _read_field(event, 'type', 'PUT') == _DELETE_EVENT:
         return _ABSENT_DOCUMENT
-    return _stored_document(_field(event, 'kv', None))
+    return _stored_document(_read_field(event, 'kv', None))
 
 
 def _stored_document(entry: Any) -> StoredDocument:
-    encoded = _field(entry, 'value', '')
+    encoded = _read_field(entry, 'value', '')
     return StoredDocument(
         raw=base64.b64decode(encoded, validate=True).decode(),
-        revision=int(_field(entry, 'mod_revision', None)),
+        revision=int(_read_field(entry, 'mod_revision', None)),
     )
 
 
-def _field(tree: Any, name: str, default: Any) -> Any:
+def _read_field(tree: Any, name: str, default: Any) -> Any:
     """Return a field of a JSON object; required without a default."""
     if not isinstance(tree, dict):
         raise ValueError(f'expected a JSON object, got {type(tree).__name__}')
-    found = tree.get(name, default)
-    if found is None:
+    field_value = tree.get(name, default)
+    if field_value is None:
         raise ValueError(f'the field {name!r} is missing')
-    return found
+    return field_value
 
 
 def _encode(text: str) -> str:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_http.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/kv/_http.py
@@ -94,7 +94,7 @@
         except http_errors.HTTPError as error:
             raise ConnectionError(self._rotate_endpoint(error)) from error
         try:
-            for line in _lines(response):
+            for line in _iterate_lines(response):
                 self._record_cost(received=len(line))
                 yield line
         except http_errors.HTTPError as error:
@@ -176,7 +176,7 @@
     )
 
 
-def _lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
+def _iterate_lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
     if response.status != _OK:
         raise ConnectionError(
             f'the platform responded with status {response.status}'
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/logs/_decision_log.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/logs/_decision_log.py
@@ -8,7 +8,7 @@
 from fennelfork.config import TokenBucket, token_bucket
 from fennelfork_daemon.logs._logs import structlog
 
-# Rate limit of each event.
+# Rate limit on the log lines of each event.
 _LINES_PER_SECOND: Final = 10
 _BURST_LINES: Final = 50
 _LINES_DROPPED: Final = 'lines_dropped'
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_probe_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_probe_client.py
@@ -36,7 +36,7 @@
 
 @attrs.frozen(kw_only=True)
 class ProbeClient:
-    """Sends probes."""
+    """Sends membership probes to other daemons."""
 
     def call(
         self,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -148,15 +148,15 @@
             eventlet.spawn_n(self._send_probe, send)
         for change in self.controller.view.take_changes():
             self._metrics.count_change(change)
-        self._publish()
+        self._publish_members()
 
-    def _publish(self) -> None:
+    def _publish_members(self) -> None:
         view = self.controller.view
         self._blackboard.local = view.local
         self._blackboard.is_superseded = view.local_member.is_superseded
         reconfigured = view.table.take_reconfigured()
         if view.table.epoch == self._epoch:
-            # The set of members is the same, so the cached homes stay valid.
+            # The set of members is unchanged, so cached home daemons stay valid.
             self._blackboard.members.update(
                 (member.name, member) for member in reconfigured
             )
@@ -177,7 +177,7 @@
     clock: Clock,
     metrics: MembershipMetrics,
 ) -> MembershipService:
-    """Build the membership service of the local daemon of `blackboard`."""
+    """Build the membership service of this daemon."""
     return MembershipService(
         controller=membership(
             blackboard.local, MembershipPolicy(), random.Random()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_vm_list.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_vm_list.py
@@ -33,19 +33,19 @@
     _http: urllib3.PoolManager
 
     def run(self) -> None:
-        """Read the list periodically until the daemon stops."""
+        """Read the VM list periodically until the daemon stops."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             self.read()
-            eventlet.sleep(self._wait_ms() / _MS_PER_S)
+            eventlet.sleep(self._next_read_delay_ms() / _MS_PER_S)
 
     def read(self) -> None:
-        """Read the list once; a failed read keeps the previous seeds."""
+        """Read the VM list once; a failed read keeps the previous seeds."""
         seeds = self._fetch_seeds()
         self._schedule.record_read(succeeded=seeds is not None)
         if seeds is not None:
             self._controller.set_seeds(seeds)
 
-    def _wait_ms(self) -> float:
+    def _next_read_delay_ms(self) -> float:
         local = self._blackboard.local
         members = self._blackboard.members
         watchers = choose_watchers(local.data_centre, members.values())
@@ -100,7 +100,7 @@
 
 
 def _parse_seed(vm: dict[str, Any]) -> Member:
-    """Convert one VM to a seed.
+    """Convert one VM of the VM list to a membership seed.
 
     The incarnation 0 lets claims of the daemon itself override the seed.
     """
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_families.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_families.py
@@ -117,11 +117,15 @@
             (*_QUERY_LABELS, 'verdict', 'code'),
             registry=registry,
         ),
-        hedges=_by_front(
+        hedges=_build_front_counter(
             'hedges', 'Second copies of slow sub-queries', registry
         ),
-        retries=_by_front('retries', 'Sub-queries sent again', registry),
-        sheds=_by_front('sheds', 'Sub-queries shed by servers', registry),
+        retries=_build_front_counter(
+            'retries', 'Sub-queries sent again', registry
+        ),
+        sheds=_build_front_counter(
+            'sheds', 'Sub-queries shed by servers', registry
+        ),
         dropped_replies=Counter(
             'fennelfork_dropped_replies',
             'Replies of servers thrown away, by what was wrong with them.',
@@ -152,7 +156,7 @@
     )
 
 
-def _by_front(
+def _build_front_counter(
     name: str,
     help_text: str,
     registry: CollectorRegistry,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
@@ -19,7 +19,11 @@
 def members_page(blackboard: Blackboard) -> JsonTree:
     """Return the known members of the fleet, sorted by name."""
     names = sorted(blackboard.members)
-    return {'members': [_member(blackboard.members[name]) for name in names]}
+    return {
+        'members': [
+            _describe_member(blackboard.members[name]) for name in names
+        ]
+    }
 
 
 def fronts_page(
@@ -36,21 +40,21 @@
     return {
         'config_version': blackboard.config_version,
         'fronts': [
-            _front(blackboard, statuses, name)
+            _describe_front(blackboard, statuses, name)
             for name in sorted(blackboard.document.fronts)
         ],
     }
 
 
-def _member(member: Member) -> JsonTree:
+def _describe_member(member: Member) -> JsonTree:
     return attrs.asdict(member) | {'state': member.state.value}
 
 
-def _front(
+def _describe_front(
     blackboard: Blackboard, statuses: StatusByShard, name: str
 ) -> JsonTree:
     front = blackboard.document.fronts[name]
-    homes = _homes(blackboard, name, front)
+    homes = _home_names(blackboard, name, front)
     return {
         'name': name,
         'keys': front.keys,
@@ -59,7 +63,7 @@
             {
                 'name': shard_name,
                 'home': homes.get(shard_name),
-                'servers': _servers(
+                'servers': _describe_servers(
                     shard,
                     statuses.get((name, shard_name), ()),
                 ),
@@ -69,7 +73,9 @@
     }
 
 
-def _homes(blackboard: Blackboard, name: str, front: Front) -> dict[str, str]:
+def _home_names(
+    blackboard: Blackboard, name: str, front: Front
+) -> dict[str, str]:
     return {
         shard: group.home.name
         for group in route_homes(blackboard, name, front.shards, frozenset())
@@ -77,7 +83,7 @@
     }
 
 
-def _servers(
+def _describe_servers(
     shard: Shard, statuses: tuple[ServerStatus, ...]
 ) -> list[JsonTree]:
     status_by_name = {status.name: status for status in statuses}
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_client.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/peer/_client.py
@@ -70,7 +70,7 @@
         try:
             connection = self._acquire(address, timeout_ms)
         except OSError as error:
-            return Bad(_unreachable(address, error))
+            return Bad(_unreachable_failure(address, error))
         return self._exchange(connection, address, method, request)
 
     def close_idle(self, address: str) -> None:
@@ -90,7 +90,7 @@
         except (TException, OSError) as error:
             connection.transport.close()
             self.close_idle(address)
-            return Bad(_no_reply(address, error))
+            return Bad(_no_reply_failure(address, error))
         self._release(address, connection)
         return Success(reply)
 
@@ -120,14 +120,14 @@
     return _Connection(client=client, transport=transport, sock=sock)
 
 
-def _unreachable(address: str, error: Exception) -> Failure:
+def _unreachable_failure(address: str, error: Exception) -> Failure:
     return not_run(
         FailureCode.UNREACHABLE,
         f'daemon {address} cannot be reached: {error}',
     )
 
 
-def _no_reply(address: str, error: Exception) -> Failure:
+def _no_reply_failure(address: str, error: Exception) -> Failure:
     return may_have_run(
         FailureCode.UNREACHABLE,
         f'daemon {address} sent no reply: {error}',
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/__init__.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/__init__.py
@@ -1,1 +1,1 @@
-"""The root of a query: pins a snapshot, scatters, merges, answers."""
+"""Root daemon: the daemon that coordinates one query."""
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -95,7 +95,7 @@
         shards: frozenset[str],
         unresponsive: frozenset[str],
     ) -> None:
-        """Send the pending sub-queries of some shards to their homes."""
+        """Send the pending sub-queries of some shards to home daemons."""
         groups = route_homes(
             self._blackboard,
             self._request.front,
@@ -105,9 +105,9 @@
         for group in groups:
             trace_fallback(self.trace, group, unresponsive)
             request = self._build_request(merge, group)
-            number = next(self._serials)
-            self._in_flight[number] = group
-            eventlet.spawn_n(self._send_to_home, number, group.home, request)
+            serial = next(self._serials)
+            self._in_flight[serial] = group
+            eventlet.spawn_n(self._send_to_home, serial, group.home, request)
             self.work = attrs.evolve(
                 self.work,
                 sub_queries=self.work.sub_queries + len(request.planned),
@@ -116,33 +116,33 @@
     def _remove_failed_groups(self, merge: Merge) -> list[HomeGroup]:
         """Remove and return the groups whose home daemon failed or is unresponsive.
 
-        A responsive home daemon is never replaced, since a second home would
+        A responsive home daemon is never replaced, since a second one would
         assign the slots of the same servers again.
         """
         failed = self._failed_groups
         self._failed_groups = []
         awaited = pending_shards(merge)
         overdue = {
-            number: group
-            for number, group in self._in_flight.items()
+            serial: group
+            for serial, group in self._in_flight.items()
             if group.shards & awaited
         }
         if not failed and overdue:
             pool = eventlet.GreenPool(len(overdue))
-            for number in tuple(pool.imap(self._probe_home, overdue)):
-                if number is not None:
-                    failed.append(self._in_flight.pop(number))
+            for serial in tuple(pool.imap(self._probe_home, overdue)):
+                if serial is not None:
+                    failed.append(self._in_flight.pop(serial))
                     self._may_have_run_shards |= failed[-1].shards
         return failed
 
-    def _probe_home(self, number: int) -> int | None:
-        home = self._in_flight[number].home
+    def _probe_home(self, serial: int) -> int | None:
+        home = self._in_flight[serial].home
         timeout_ms = min(self.remaining_ms, _PROBE_TIMEOUT_MS)
         front = self._request.front
         return (
             None
             if self._homes.is_responsive(home, front, timeout_ms)
-            else number
+            else serial
         )
 
     def _build_request(self, merge: Merge, group: HomeGroup) -> ScatterRequest:
@@ -160,10 +160,10 @@
         )
 
     def _send_to_home(
-        self, number: int, home: Member, request: ScatterRequest
+        self, serial: int, home: Member, request: ScatterRequest
     ) -> None:
         outcome = self._homes.scatter(home, request, self.remaining_ms)
-        self._outcomes.put((number, outcome))
+        self._outcomes.put((serial, outcome))
 
     def _receive_outcomes(self, merge: Merge, wait_ms: float) -> None:
         """Merge outcomes until the wait ends or no more are needed."""
@@ -173,10 +173,10 @@
             if not should_wait(merge, self._request.demand, wait_ms):
                 return
             try:
-                number, outcome = self._outcomes.get(timeout=wait_ms / _MS)
+                serial, outcome = self._outcomes.get(timeout=wait_ms / _MS)
             except eventlet.queue.Empty:
                 return
-            group = self._in_flight.pop(number, None)
+            group = self._in_flight.pop(serial, None)
             if is_successful(outcome):
                 self._apply_outcome(merge, outcome.unwrap())
             elif group is not None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -142,12 +142,12 @@
 def root_service(
     blackboard: Blackboard, clock: Clock, home: Home
 ) -> RootService:
-    """Build the root service of a daemon.
+    """Build the service that coordinates queries as root daemon.
 
     Args:
         blackboard: facts that the components of the daemon share.
         clock: clock of the daemon.
-        home: home service of the same daemon.
+        home: service of this daemon that schedules the requests of shards.
     """
     health = peer_health(clock)
     homes = HomeClient(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_body.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_body.py
@@ -24,7 +24,7 @@
 
     Args:
         environ: WSGI environment of the request.
-        most_bytes: maximum size of the body.
+        max_bytes: maximum size of the body.
         read_ms: timeout for the complete body, in milliseconds.
 
     Returns:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build.py
@@ -13,7 +13,9 @@
     attempt_parts,
     route_caller_api,
 )
-from fennelfork_daemon.routes._build_crash_protection import crash_protection
+from fennelfork_daemon.routes._build_crash_protection import (
+    poison_request_protection,
+)
 from fennelfork_daemon.routes._common_parts import CommonParts, common_parts
 from fennelfork_daemon.routes._entries import RouteEntries
 from fennelfork_daemon.routes._follower import StoreFollower, store_follower
@@ -57,9 +59,11 @@
         reporter=reporter,
     )
     in_progress = InProgress()
-    follower = _follower(base, reporter, availability)
-    watch = crash_protection(base, registration, reporter, follower.polling)
-    calls = attempt_parts(base, watch)
+    follower = _build_follower(base, reporter, availability)
+    protection = poison_request_protection(
+        base, registration, reporter, follower.polling
+    )
+    calls = attempt_parts(base, protection)
     reload = SettingsReload(
         settings=settings,
         retry_budgets=base.retry_budgets,
@@ -74,14 +78,14 @@
         operator_api=operator_api(
             base.metrics,
             base.blackboard.quarantine,
-            watch.guard,
+            protection.guard,
         ),
         follower=follower,
         background_tasks=(
             follower.run,
             registration.run,
             reload.run,
-            watch.publisher.run,
+            protection.publisher.run,
             lag_monitor(base.clock, base.limits, calls.reporter).run,
         ),
         pools=base.pools,
@@ -99,7 +103,7 @@
     )
 
 
-def _follower(
+def _build_follower(
     base: CommonParts,
     reporter: StoreReporter,
     availability: StoreAvailability,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_caller_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_caller_api.py
@@ -10,14 +10,16 @@
 )
 from fennelfork_daemon.routes._attempt_runner import AttemptParts
 from fennelfork_daemon.routes._availability import StoreAvailability
-from fennelfork_daemon.routes._build_crash_protection import CrashProtection
+from fennelfork_daemon.routes._build_crash_protection import (
+    PoisonRequestProtection,
+)
 from fennelfork_daemon.routes._caller_api import RouteCallerApi
 from fennelfork_daemon.routes._common_parts import CommonParts
 from fennelfork_daemon.routes._initial_routes import InitialRoutes
 
 
 def attempt_parts(
-    base: CommonParts, protection: CrashProtection
+    base: CommonParts, protection: PoisonRequestProtection
 ) -> AttemptParts:
     """Build the objects that the attempts of all requests share."""
     selector = Selector(
@@ -51,7 +53,7 @@
     Args:
         base: objects that all parts of the daemon share.
         parts: objects that the attempts of all requests share.
-        contact: state of the connection to the store.
+        availability: availability of the store.
     """
     return RouteCallerApi(
         initial_routes=InitialRoutes(
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_crash_protection.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_build_crash_protection.py
@@ -1,4 +1,4 @@
-"""Construction of the protection against poison requests."""
+"""Construction of the components that quarantine poison requests."""
 
 import random
 
@@ -14,13 +14,13 @@
 
 
 @attrs.frozen(kw_only=True)
-class CrashProtection:
-    """Protection of the backend servers against poison requests.
+class PoisonRequestProtection:
+    """Components that keep poison requests from crashing backend servers.
 
     Attributes:
         reporter: logs and metrics of requests.
         guard: admission of suspected and quarantined requests.
-        publisher: publisher of suspicions to other daemons.
+        publisher: publisher of suspected poison requests to other daemons.
     """
 
     reporter: RequestReporter
@@ -28,13 +28,13 @@
     publisher: SuspicionPublisher
 
 
-def crash_protection(
+def poison_request_protection(
     base: CommonParts,
     registration: Registration,
     store_reporter: StoreReporter,
     polling: StorePolling,
-) -> CrashProtection:
-    """Build the protection against poison requests for a daemon.
+) -> PoisonRequestProtection:
+    """Build the components that detect and quarantine poison requests.
 
     Args:
         base: objects that all parts of the daemon share.
@@ -64,4 +64,6 @@
         request_reporter=reporter,
         store_reporter=store_reporter,
     )
-    return CrashProtection(reporter=reporter, guard=guard, publisher=publisher)
+    return PoisonRequestProtection(
+        reporter=reporter, guard=guard, publisher=publisher
+    )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_api.py
@@ -100,7 +100,9 @@
             return self._refuse(_NO_ROUTES_YET, caller_request)
         route = table.find(caller_request.host, caller_request.path)
         if route is None:
-            return self._refuse(_no_route(caller_request), caller_request)
+            return self._refuse(
+                _no_route_failure(caller_request), caller_request
+            )
         admitted = self._attempt_parts.guard.admit(caller_request.fingerprint)
         if not is_successful(admitted):
             return self._refuse(admitted.failure(), caller_request)
@@ -211,6 +213,6 @@
         )
 
 
-def _no_route(caller_request: CallerRequest) -> Failure:
+def _no_route_failure(caller_request: CallerRequest) -> Failure:
     detail = f'no route matches host {caller_request.host!r} and path {caller_request.path!r}'
     return not_run(FailureCode.UNKNOWN_FRONT, detail)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_events_requests.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_events_requests.py
@@ -75,7 +75,7 @@
 
 @attrs.frozen(kw_only=True)
 class RequestJudged:
-    """The status of a request that may crash backend servers changed.
+    """The status of a suspected poison request changed.
 
     Attributes:
         fingerprint: hash of the content of the request.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_follower.py
@@ -98,7 +98,7 @@
         self._revision = listing.revision
 
     def apply_changes(self, changes: UpdateBatch) -> None:
-        """Apply the response of a watch."""
+        """Apply the response of a watch of the store."""
         self._availability.record_update()
         self.apply_updates(changes.updates)
         self._revision = changes.revision
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_guard.py
@@ -52,7 +52,7 @@
             fingerprint, suspicion
         ):
             return Success(suspicion.services)
-        return Bad(_refusal(suspicion))
+        return Bad(_build_refusal(suspicion))
 
     def record_response(
         self, send: Send, caller_request: CallerRequest
@@ -87,7 +87,7 @@
             self._report_status(caller_request.fingerprint, status, 'own')
 
     def release(self, fingerprint: str) -> bool:
-        """Release a request on behalf of an operator.
+        """Release a quarantined request on behalf of an operator.
 
         Returns:
             Whether the request was suspected or quarantined.
@@ -125,7 +125,7 @@
         self._publisher.wake()
 
 
-def _refusal(suspicion: Suspicion) -> Failure:
+def _build_refusal(suspicion: Suspicion) -> Failure:
     incarnations = ', '.join(crash.run for crash in suspicion.crashes)
     if suspicion.status is RequestStatus.QUARANTINED:
         detail = (
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
@@ -126,25 +126,25 @@
             buckets=_LATENCY_BUCKETS,
             registry=registry,
         ),
-        answers=_counter(
+        answers=_build_counter(
             registry,
             'fennelfork_route_answers',
             'Answered requests by what their caller got.',
             ('route', 'outcome'),
         ),
-        extra_attempts=_counter(
+        extra_attempts=_build_counter(
             registry,
             'fennelfork_route_extra_calls',
             'Calls of backend servers beyond the first of each service.',
             ('route', 'reason'),
         ),
-        missing=_counter(
+        missing=_build_counter(
             registry,
             'fennelfork_missing_parts',
             'Parts that an answer went out without.',
             ('service',),
         ),
-        decisions=_counter(
+        decisions=_build_counter(
             registry,
             'fennelfork_decisions',
             'Decisions by kind, and whether a log line was written.',
@@ -168,7 +168,7 @@
     return sum(record.status is status for record in quarantine.records)
 
 
-def _counter(
+def _build_counter(
     registry: CollectorRegistry,
     name: str,
     description: str,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
@@ -74,7 +74,7 @@
     def publish(
         self, updates: SuspicionUpdates, lease: int
     ) -> Result[bool, Failure]:
-        """Publish suspicions; return false if the lease has expired.
+        """Publish suspected requests; return false if the lease has expired.
 
         Entries that are not durable are attached to the lease.
         """
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
@@ -62,7 +62,7 @@
             eventlet.sleep(self.delay_ms / _MS_PER_SECOND)
 
     def step(self) -> None:
-        """Renew the registration, or create a missing one."""
+        """Renew the registration of this daemon, or create it."""
         if not self._blackboard.is_ready:
             return
         if self._lease is None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_request_reporter.py
@@ -136,7 +136,7 @@
         self._metrics.record_answer(
             AnsweredRequest(
                 route=dispatch.route.name,
-                outcome=_outcome(answer),
+                outcome=_describe_outcome(answer),
                 took_ms=took_ms,
                 hedges=dispatch.hedges,
                 retries=dispatch.retries,
@@ -164,10 +164,12 @@
                 parts=f'{dispatch.response_count}/{len(dispatch.sub_requests)}',
                 hedges=dispatch.hedges,
                 retries=dispatch.retries,
-                answer=_outcome(answer),
+                answer=_describe_outcome(answer),
                 version=running_request.version,
                 sampled=as_expected,
-                steps=_steps(dispatch, received_ms, all_services=as_expected),
+                steps=_describe_steps(
+                    dispatch, received_ms, all_services=as_expected
+                ),
             ),
         )
 
@@ -198,7 +200,7 @@
     return answer.answer.status < _CLIENT_ERROR
 
 
-def _outcome(answer: Answer) -> str:
+def _describe_outcome(answer: Answer) -> str:
     if isinstance(answer, Refused):
         failure = answer.failure
         return f'{failure.code.value}, {failure.verdict.value}'
@@ -216,7 +218,7 @@
     ]
 
 
-def _steps(
+def _describe_steps(
     dispatch: Any,
     received_ms: float,
     *,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_stop.py
@@ -24,7 +24,7 @@
 
 @attrs.frozen(kw_only=True)
 class StopLog:
-    """Logs each step of the stop as a decision of this daemon."""
+    """Logs each step of the graceful stop of this daemon."""
 
     _log: DecisionLog
 
@@ -36,7 +36,7 @@
         running: int,
         cut: int,
     ) -> bool:
-        """Log a step; see `StateChanged`."""
+        """Log a step of the graceful stop; see `StateChanged`."""
         return self._log.log_decision(
             StateChanged(
                 subject=subject,
@@ -55,7 +55,7 @@
     in_progress: InProgress,
     log: DecisionLog,
 ) -> StopService:
-    """Create the stop service.
+    """Build the service for the graceful stop of a daemon.
 
     A stop removes the registration, serves requests until the entry answers
     have expired, and then ends the process.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_store_reporter.py
@@ -107,7 +107,7 @@
         status: RequestStatus,
         by: str = 'another',
     ) -> None:
-        """Log a change of the status of a suspected request."""
+        """Log a status change of a suspected poison request."""
         self._log.log_decision(
             requests.RequestJudged(
                 fingerprint=record.fingerprint,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_publisher.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_publisher.py
@@ -1,4 +1,4 @@
-"""Publication of suspected requests to the store."""
+"""Publication of suspected poison requests to the store."""
 
 import contextlib
 import random
@@ -16,7 +16,7 @@
 from fennelfork_daemon.routes._ports import Store
 
 _MS_PER_SECOND: Final = 1000
-# Maximum time between checks for expired suspicions.
+# Maximum time between checks for expired suspicions of poison requests.
 _MAX_IDLE_MS: Final = 60_000.0
 # Maximum number of transient suspicions that the whole fleet publishes at once.
 # When many servers crash together, all requests in flight become suspected, and
@@ -30,7 +30,9 @@
 
 @attrs.define(kw_only=True)
 class SuspicionPublisher:
-    """Publishes changes of suspicions to the store in batches.
+    """Publishes status changes of suspected poison requests to the store.
+
+    Changes are published in batches.
 
     Durable changes are published at once. Transient changes are delayed by a
     random time that grows with the fleet, so that the daemons do not write at
@@ -53,7 +55,7 @@
             self._wake_ups.put_nowait(True)
 
     def run(self) -> None:
-        """Publish changes until the process exits."""
+        """Publish changes of suspicions until the process exits."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             self._wait_for_wake_up(
                 self._rng.uniform(_MAX_IDLE_MS / 2, _MAX_IDLE_MS)
@@ -79,7 +81,10 @@
         return False
 
     def _draw_max_transient(self) -> int:
-        """Return the share of this daemon, rounded up or down at random."""
+        """Return the maximum number of transient suspicions in a batch.
+
+        The share of this daemon in the fleet is rounded at random.
+        """
         share = _MAX_TRANSIENT_IN_FLEET / self._fleet.max_size
         return int(share + self._rng.random())
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_updates.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_updates.py
@@ -8,7 +8,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigUpdate:
-    """The latest configuration."""
+    """The configuration was changed."""
 
     table: RouteTable
 
@@ -43,7 +43,7 @@
 
 @attrs.frozen(kw_only=True)
 class SuspicionUpdate:
-    """A daemon published the suspicion of a request.
+    """A daemon published the suspicion of a poison request.
 
     Attributes:
         record: published record of the suspicion.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_problems.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/settings/_problems.py
@@ -46,39 +46,39 @@
 
     Args:
         err: exception that a conversion raised.
-        wanted: type that the conversion should return.
+        target_type: type that the conversion should return.
         path: location in the document at which the conversion started.
 
     Returns:
         All problems, in the order of the fields of the classes.
     """
-    return tuple(_walk(err, target_type, path))
+    return tuple(_collect_problems(err, target_type, path))
 
 
-def _walk(
+def _collect_problems(
     err: Exception, target_type: Any, path: str
 ) -> Iterator[SettingProblem]:
     if isinstance(err, ClassValidationError | IterableValidationError):
-        yield from _walk_group(err, target_type, path)
+        yield from _collect_group_problems(err, target_type, path)
     elif isinstance(err, ForbiddenExtraKeysError):
         for key in sorted(err.extra_fields):
-            yield _unknown_key(key, err.cl, path)
+            yield _unknown_key_problem(key, err.cl, path)
     elif isinstance(err, KeyError):
-        yield _problem(path, 'is missing', target_type)
+        yield _setting_problem(path, 'is missing', target_type)
     else:
-        yield _problem(path, str(err), target_type)
+        yield _setting_problem(path, str(err), target_type)
 
 
-def _walk_group(
+def _collect_group_problems(
     group: ClassValidationError | IterableValidationError,
     target_type: Any,
     path: str,
 ) -> Iterator[SettingProblem]:
     named, others = group.group_exceptions()
     for member, note in named:
-        yield from _walk(member, note.type, _join_note(path, note))
+        yield from _collect_problems(member, note.type, _join_note(path, note))
     for other in others:
-        yield from _walk(other, target_type, path)
+        yield from _collect_problems(other, target_type, path)
 
 
 def _join_note(
@@ -93,13 +93,15 @@
     return f'{path}.{name}' if path else name
 
 
-def _problem(path: str, message: str, target_type: Any) -> SettingProblem:
+def _setting_problem(
+    path: str, message: str, target_type: Any
+) -> SettingProblem:
     return SettingProblem(
         path=path, message=message, allowed=describe_allowed(target_type)
     )
 
 
-def _unknown_key(key: str, table: type, path: str) -> SettingProblem:
+def _unknown_key_problem(key: str, table: type, path: str) -> SettingProblem:
     known = list(attrs.fields_dict(table))
     matches = difflib.get_close_matches(key, known, n=1, cutoff=_MIN_SIMILARITY)
     hint = f' (did you mean {matches[0]}?)' if matches else ''
