--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_daemon.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_daemon.py
@@ -63,7 +63,7 @@
             self._fleet.count_requests(self._caller_router()),
             self._settings,
         )
-        self._announce()
+        self._print_ready_line()
         return self._fleet.run_until_stopped(caller_thread)
 
     def _serve_peers(self) -> None:
@@ -76,7 +76,7 @@
         )
         eventlet.spawn_n(peer_server(self._listeners.peer, handler).serve)
 
-    def _announce(self) -> None:
+    def _print_ready_line(self) -> None:
         sys.stdout.write(f'{self._listeners.ready_line}\n')
         sys.stdout.flush()
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_fleet.py
@@ -30,7 +30,7 @@
 
 @attrs.frozen(kw_only=True)
 class Fleet:
-    """Membership of this daemon in the fleet, and the stop of this daemon.
+    """Membership of this daemon in the fleet, and its graceful stop.
 
     Attributes:
         members: membership service.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_in_progress.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_in_progress.py
@@ -23,7 +23,7 @@
     count: int = 0
 
     @contextmanager
-    def count_one(self) -> Iterator[None]:
+    def count_request(self) -> Iterator[None]:
         """Count a request as in progress within a `with` block."""
         self.begin()
         try:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_listeners.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_listeners.py
@@ -38,7 +38,7 @@
         }
         return json.dumps({'ready': addresses})
 
-    def announce(self) -> None:
+    def print_ready_line(self) -> None:
         """Write the ready line to standard output."""
         sys.stdout.write(f'{self.ready_line}\n')
         sys.stdout.flush()
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_peer_handler.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_peer_handler.py
@@ -29,7 +29,7 @@
 
     def scatter(self, request: Any) -> Any:
         """Run sub-queries as the home daemon of the shards."""
-        with self._in_progress.count_one():
+        with self._in_progress.count_request():
             outcome = self._home.scatter(scatter_request_from_peer(request))
             return outcome_to_peer(outcome)
 
@@ -44,7 +44,7 @@
 
     def execute(self, request: Any) -> Any:
         """Run a non-idempotent request with a ticket of this daemon."""
-        with self._in_progress.count_one():
+        with self._in_progress.count_request():
             return self._execute.execute(request)
 
     def probe(self, request: Any) -> Any:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_liveness.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/backend/_liveness.py
@@ -14,8 +14,8 @@
 _CONNECT_TIMEOUT_MS: Final = 300.0
 
 
-def has_ended(server_address: Address) -> bool:
-    """Whether the VM of a backend server refuses new connections.
+def has_server_crashed(server_address: Address) -> bool:
+    """Whether the address of a backend server refuses new connections.
 
     A live server may also lose a connection before its response, through a
     network reset or a close. Only a refused connection proves that the
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_patcher.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_patcher.py
@@ -66,8 +66,8 @@
     def _known_version(self) -> int:
         """Return the highest configuration version that the fleet knows.
 
-        A daemon without a configuration document queries all other daemons, so that a
-        platform that lost its data does not get a second version 1.
+        A daemon without a configuration document queries all other daemons,
+        so that a platform that lost its data does not get a second version 1.
         """
         state = self._activator.state
         if state.active is None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -156,7 +156,7 @@
         self._blackboard.is_superseded = view.local_member.is_superseded
         reconfigured = view.table.take_reconfigured()
         if view.table.epoch == self._epoch:
-            # The set of members is unchanged, so cached home daemons stay valid.
+            # The same members remain, so cached home daemons stay valid.
             self._blackboard.members.update(
                 (member.name, member) for member in reconfigured
             )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_labels.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/metrics/_labels.py
@@ -38,7 +38,7 @@
     _allowed: frozenset[str] = frozenset()
     _used: set[str] = attrs.field(factory=set)
 
-    def allow(self, names: Iterable[str]) -> None:
+    def set_names(self, names: Iterable[str]) -> None:
         """Replace the set of configured names."""
         self._allowed = frozenset(names)
 
@@ -73,9 +73,9 @@
         if document is self._document:
             return False
         self._document = document
-        self.fronts.allow(document.fronts)
-        self.tenants.allow(document.tenants)
-        self.classes.allow(document.classes)
+        self.fronts.set_names(document.fronts)
+        self.tenants.set_names(document.tenants)
+        self.classes.set_names(document.classes)
         return True
 
     def labels(self, front: str, tenant: str, traffic_class: str) -> Labels:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -63,7 +63,7 @@
     _failed_groups: list[HomeGroup] = attrs.field(factory=list)
     # Shards whose sub-queries an unanswered home daemon may still run.
     _may_have_run_shards: set[str] = attrs.field(factory=set)
-    _serials: Iterator[int] = attrs.field(factory=itertools.count)
+    _scatter_numbers: Iterator[int] = attrs.field(factory=itertools.count)
 
     @property
     def remaining_ms(self) -> float:
@@ -105,9 +105,11 @@
         for group in groups:
             trace_fallback(self.trace, group, unresponsive)
             request = self._build_request(merge, group)
-            serial = next(self._serials)
-            self._in_flight[serial] = group
-            eventlet.spawn_n(self._send_to_home, serial, group.home, request)
+            scatter_number = next(self._scatter_numbers)
+            self._in_flight[scatter_number] = group
+            eventlet.spawn_n(
+                self._send_to_home, scatter_number, group.home, request
+            )
             self.work = attrs.evolve(
                 self.work,
                 sub_queries=self.work.sub_queries + len(request.planned),
@@ -123,26 +125,26 @@
         self._failed_groups = []
         awaited = pending_shards(merge)
         overdue = {
-            serial: group
-            for serial, group in self._in_flight.items()
+            scatter_number: group
+            for scatter_number, group in self._in_flight.items()
             if group.shards & awaited
         }
         if not failed and overdue:
             pool = eventlet.GreenPool(len(overdue))
-            for serial in tuple(pool.imap(self._probe_home, overdue)):
-                if serial is not None:
-                    failed.append(self._in_flight.pop(serial))
+            for scatter_number in tuple(pool.imap(self._probe_home, overdue)):
+                if scatter_number is not None:
+                    failed.append(self._in_flight.pop(scatter_number))
                     self._may_have_run_shards |= failed[-1].shards
         return failed
 
-    def _probe_home(self, serial: int) -> int | None:
-        home = self._in_flight[serial].home
+    def _probe_home(self, scatter_number: int) -> int | None:
+        home = self._in_flight[scatter_number].home
         timeout_ms = min(self.remaining_ms, _PROBE_TIMEOUT_MS)
         front = self._request.front
         return (
             None
             if self._homes.is_responsive(home, front, timeout_ms)
-            else serial
+            else scatter_number
         )
 
     def _build_request(self, merge: Merge, group: HomeGroup) -> ScatterRequest:
@@ -160,10 +162,10 @@
         )
 
     def _send_to_home(
-        self, serial: int, home: Member, request: ScatterRequest
+        self, scatter_number: int, home: Member, request: ScatterRequest
     ) -> None:
         outcome = self._homes.scatter(home, request, self.remaining_ms)
-        self._outcomes.put((serial, outcome))
+        self._outcomes.put((scatter_number, outcome))
 
     def _receive_outcomes(self, merge: Merge, wait_ms: float) -> None:
         """Merge outcomes until the wait ends or no more are needed."""
@@ -173,10 +175,12 @@
             if not should_wait(merge, self._request.demand, wait_ms):
                 return
             try:
-                serial, outcome = self._outcomes.get(timeout=wait_ms / _MS)
+                scatter_number, outcome = self._outcomes.get(
+                    timeout=wait_ms / _MS
+                )
             except eventlet.queue.Empty:
                 return
-            group = self._in_flight.pop(serial, None)
+            group = self._in_flight.pop(scatter_number, None)
             if is_successful(outcome):
                 self._apply_outcome(merge, outcome.unwrap())
             elif group is not None:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/__init__.pyi
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/__init__.pyi
@@ -9,7 +9,9 @@
 from ._build import route_service as route_service
 from ._caller_request import CallerRequest as CallerRequest
 from ._caller_request import SignedResponse as SignedResponse
-from ._caller_request import end_to_end as end_to_end
+from ._caller_request import (
+    remove_hop_by_hop_headers as remove_hop_by_hop_headers,
+)
 from ._entries import EntryAnswer as EntryAnswer
 from ._entries import EntryQuery as EntryQuery
 from ._entries import RouteEntries as RouteEntries
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
@@ -25,7 +25,7 @@
     record_outcome,
 )
 from fennelfork_daemon._address import address
-from fennelfork_daemon.backend._liveness import has_ended
+from fennelfork_daemon.backend._liveness import has_server_crashed
 from fennelfork_daemon.backend._pool import ConnectionTrace
 from fennelfork_daemon.routes._caller_request import (
     CallerRequest,
@@ -113,7 +113,7 @@
         A draining server is ignored, because it stops without a crash.
         """
         is_draining = self._parts.selector.directory.is_draining(send.server)
-        if not is_draining and has_ended(address(send.server.address)):
+        if not is_draining and has_server_crashed(address(send.server.address)):
             self._parts.guard.record_crash(send, self._caller_request)
 
     def _send_request(self, send: Send) -> AttemptResult:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_request.py
@@ -90,7 +90,9 @@
     signature: str
 
 
-def end_to_end(headers: Iterable[tuple[str, str]]) -> HeaderPairs:
+def remove_hop_by_hop_headers(
+    headers: Iterable[tuple[str, str]],
+) -> HeaderPairs:
     """Return the headers without the hop-by-hop headers."""
     all_headers = tuple(headers)
     connection_options = {
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_metrics.py
@@ -79,8 +79,8 @@
 
     def allow_names_of(self, table: RouteTable) -> None:
         """Allow the names of the active routes and services as labels."""
-        self._routes.allow(route.name for route in table.routes)
-        self._services.allow(table.services)
+        self._routes.set_names(route.name for route in table.routes)
+        self._services.set_names(table.services)
 
     def record_answer(self, answered: AnsweredRequest) -> None:
         """Record one answered request."""
