--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -12,7 +12,7 @@
     Membership,
     MembershipPolicy,
     SendProbe,
-    announce,
+    announce_local_member,
     announce_exit,
     announce_leave,
     leave_is_announced,
@@ -110,7 +110,7 @@
             config_version=board.config_version,
             config_hash=board.config_hash,
         )
-        announce(self.controller, announced)
+        announce_local_member(self.controller, announced)
 
     def _relay(self, name: str) -> bool:
         send = self.controller.relay(name, self._clock.now_ms())
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
@@ -7,7 +7,7 @@
 
 from fennelfork import Blackboard
 from fennelfork.config import Front, Shard
-from fennelfork.home import ServerStatus, route_homes
+from fennelfork.home import ServerStatus, group_shards_by_home
 from fennelfork.membership import Member
 
 JsonTree = dict[str, Any]
@@ -70,7 +70,7 @@
 def _homes(board: Blackboard, name: str, front: Front) -> dict[str, str]:
     return {
         shard: group.home.name
-        for group in route_homes(board, name, front.shards, frozenset())
+        for group in group_shards_by_home(board, name, front.shards, frozenset())
         for shard in group.shards
     }
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
@@ -7,7 +7,7 @@
 
 from fennelfork import Blackboard, Clock
 from fennelfork.config import Front
-from fennelfork.home import HomeGroup, homes_of, route_homes
+from fennelfork.home import HomeGroup, homes_of, group_shards_by_home
 from fennelfork.placement import PeerHealth
 from fennelfork_daemon.home._client import HomeClient
 from fennelfork_daemon.root._view_cache import ViewCache
@@ -41,7 +41,7 @@
         unresponsive = self._health.avoided
         for _ in range(_MAX_ROUNDS):
             unknown_shards = self._views.unknown_shards(name, front.shards)
-            groups = route_homes(
+            groups = group_shards_by_home(
                 self._board, name, unknown_shards, unresponsive
             )
             if not groups:
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -17,7 +17,7 @@
     SubQueryOutcome,
     Work,
 )
-from fennelfork.home import HomeGroup, homes_of, route_homes
+from fennelfork.home import HomeGroup, homes_of, group_shards_by_home
 from fennelfork.membership import Member
 from fennelfork.placement import PeerHealth
 from fennelfork_daemon.home._client import HomeClient
@@ -96,7 +96,7 @@
         unresponsive: frozenset[str],
     ) -> None:
         """Send the pending sub-queries of some shards to their homes."""
-        groups = route_homes(
+        groups = group_shards_by_home(
             self._board,
             self._request.front,
             shards,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pools.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pools.py
@@ -36,7 +36,7 @@
         if pool is None:
             pool = self._open_pool(server)
         ledger = self._ledgers[server.incarnation]
-        ledger.limit = self._shares.limit_for(server.service)
+        ledger.limit = self._shares.connection_limit_for(server.service)
         return pool
 
     def close_all_except(self, incarnations: set[str]) -> None:
@@ -55,7 +55,7 @@
             pool.evict_idle()
 
     def _open_pool(self, server: BackendServer) -> BackendPool:
-        ledger = ConnectionLedger(limit=self._shares.limit_for(server.service))
+        ledger = ConnectionLedger(limit=self._shares.connection_limit_for(server.service))
         pool = backend_pool(
             address(server.address),
             ledger,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_update_applier.py
@@ -75,7 +75,7 @@
             _apply_update(update, self)
         self.board.fleet.record_size(len(self.board.members.entries))
         incarnations = self.board.directory.incarnations
-        self.board.states.keep(incarnations)
+        self.board.states.retain(incarnations)
         self._pools.close_all_except(incarnations)
 
 
--- a/packages/fennelfork/src/fennelfork/_entries.py
+++ b/packages/fennelfork/src/fennelfork/_entries.py
@@ -40,20 +40,20 @@
         chosen only if no alive member has one, suspect members only if no
         member is alive, and leaving or dead members never.
     """
-    usable = _usable(members)
+    usable = _select_usable(members)
     usable.sort(key=lambda member: member.name)
     rng.shuffle(usable)
     if salt:
         key = weight_key(salt)
         usable.sort(key=lambda member: member_weight(key, member))
     usable.sort(
-        key=lambda member: _distance(
+        key=lambda member: _rank_distance(
             member,
             caller_region,
             caller_data_centre,
         ),
     )
-    return _with_fallback(usable, count)
+    return _ensure_fallback(usable, count)
 
 
 def nearest_entries(
@@ -77,8 +77,8 @@
         rng: random generator for the selection among more daemons.
     """
     by_distance: dict[int, list[Member]] = {}
-    for member in _usable(members):
-        distance = _distance(member, caller_region, caller_data_centre)
+    for member in _select_usable(members):
+        distance = _rank_distance(member, caller_region, caller_data_centre)
         by_distance.setdefault(distance, []).append(member)
     chosen: list[Member] = []
     for distance in sorted(by_distance):
@@ -88,7 +88,7 @@
     return tuple(chosen[:max_count])
 
 
-def _usable(members: Iterable[Member]) -> list[Member]:
+def _select_usable(members: Iterable[Member]) -> list[Member]:
     known = list(members)
     alive = [member for member in known if member.state is MemberStatus.ALIVE]
     ready = [member for member in alive if member.is_ready]
@@ -98,7 +98,7 @@
     return ready or alive or suspect
 
 
-def _distance(member: Member, region: str, data_centre: str) -> int:
+def _rank_distance(member: Member, region: str, data_centre: str) -> int:
     if member.region != region:
         return _OTHER_REGION
     if member.data_centre != data_centre:
@@ -106,7 +106,7 @@
     return _SAME_DATA_CENTRE
 
 
-def _with_fallback(ordered: list[Member], count: int) -> tuple[Member, ...]:
+def _ensure_fallback(ordered: list[Member], count: int) -> tuple[Member, ...]:
     chosen = ordered[:count]
     centres = {member.data_centre for member in chosen}
     if count < _MIN_WITH_FALLBACK or len(centres) > 1:
--- a/packages/fennelfork/src/fennelfork/config/_document_converter.py
+++ b/packages/fennelfork/src/fennelfork/config/_document_converter.py
@@ -106,7 +106,7 @@
     json_type: type, hook: Any, candidate: Any, target: Any
 ) -> Any:
     if not isinstance(candidate, json_type):
-        raise _violation(candidate, target)
+        raise _build_violation(candidate, target)
     return hook(candidate, target)
 
 
@@ -114,7 +114,7 @@
     annotated: Any, hook: Any, candidate: Any, _target: Any
 ) -> Any:
     if not is_allowed(annotated.__metadata__[0], candidate):
-        raise _violation(candidate, annotated)
+        raise _build_violation(candidate, annotated)
     return hook(candidate)
 
 
@@ -143,7 +143,7 @@
     return entries
 
 
-def _violation(candidate: Any, target: Any) -> RuleViolationError:
+def _build_violation(candidate: Any, target: Any) -> RuleViolationError:
     encoded = json.dumps(candidate)
     if len(encoded) > _MAX_SHOWN_CHARACTERS:
         encoded = f'{encoded[:_MAX_SHOWN_CHARACTERS]}...'
--- a/packages/fennelfork/src/fennelfork/config/_document_problem.py
+++ b/packages/fennelfork/src/fennelfork/config/_document_problem.py
@@ -94,8 +94,8 @@
     if note is None:
         return path
     if isinstance(note, AttributeValidationNote):
-        return _join(path, note.name)
-    return _join(path, str(note.index))
+        return _join_path(path, note.name)
+    return _join_path(path, str(note.index))
 
 
 def _validation_note(error: Exception) -> _Note | None:
@@ -106,7 +106,7 @@
     return None
 
 
-def _join(path: str, key: str) -> str:
+def _join_path(path: str, key: str) -> str:
     return f'{path}.{key}' if path else key
 
 
@@ -117,7 +117,7 @@
     known_keys = ', '.join(field.name for field in attrs.fields(error.cl))
     for key in sorted(error.extra_fields):
         yield Problem(
-            path=_join(path, key),
+            path=_join_path(path, key),
             detail='unknown key',
             allowed=f'one of {known_keys}',
         )
--- a/packages/fennelfork/src/fennelfork/config/_merge_patch.py
+++ b/packages/fennelfork/src/fennelfork/config/_merge_patch.py
@@ -54,11 +54,11 @@
         The changes, sorted by path; an added or removed object contributes
         each of its leaves. Null and absent are equal, as in a merge patch.
     """
-    found = _changes(before, after, ())
-    return tuple(sorted(found, key=lambda change: change.path))
+    changes = _find_changes(before, after, ())
+    return tuple(sorted(changes, key=lambda change: change.path))
 
 
-def _changes(
+def _find_changes(
     before: Any,
     after: Any,
     path: tuple[str, ...],
@@ -73,7 +73,7 @@
         yield Change(path='.'.join(path), before=before, after=after)
     for key in keys:
         inner = (*path, key)
-        yield from _changes(old.get(key), new.get(key), inner)
+        yield from _find_changes(old.get(key), new.get(key), inner)
 
 
 def _is_leaf_value(tree: Any) -> bool:
--- a/packages/fennelfork/src/fennelfork/config/_parsed_document.py
+++ b/packages/fennelfork/src/fennelfork/config/_parsed_document.py
@@ -47,7 +47,7 @@
 
 def parsed_document(document: Document) -> ParsedDocument:
     """Build a parsed document from a validated document."""
-    return _build(document, {}, {})
+    return _build_parsed_document(document, {}, {})
 
 
 def parse_incrementally(
@@ -78,7 +78,7 @@
     if reused:
         tree = {**tree, _FRONTS: {**tree[_FRONTS], **reused}}
     return structure_document(tree).map(
-        lambda document: _build(
+        lambda document: _build_parsed_document(
             document,
             {name: previous.tree[_FRONTS][name] for name in reused},
             previous.front_texts,
@@ -102,10 +102,10 @@
         return False
     if front is previous.tree[_FRONTS][name]:
         return True
-    return _text(front) == previous.front_texts[name]
+    return _render_text(front) == previous.front_texts[name]
 
 
-def _build(
+def _build_parsed_document(
     document: Document,
     reused: _Tree,
     texts: dict[str, str],
@@ -118,7 +118,7 @@
     }
     tree = unstructure_document(attrs.evolve(document, fronts=changed))
     fronts = tree[_FRONTS]
-    changed_texts = {name: _text(front) for name, front in fronts.items()}
+    changed_texts = {name: _render_text(front) for name, front in fronts.items()}
     reused_texts = {name: texts[name] for name in reused}
     fronts |= reused
     return ParsedDocument(
@@ -128,5 +128,5 @@
     )
 
 
-def _text(tree: Any) -> str:
+def _render_text(tree: Any) -> str:
     return json.dumps(tree, sort_keys=True)
--- a/packages/fennelfork/src/fennelfork/config/_patch_refusal.py
+++ b/packages/fennelfork/src/fennelfork/config/_patch_refusal.py
@@ -91,14 +91,14 @@
     problems: Iterable[Problem], document: Document
 ) -> PatchRefused:
     """Refuse a patch because the resulting document is not valid."""
-    found = tuple(problems)
+    listed_problems = tuple(problems)
     return PatchRefused(
         failure=not_run(
             FailureCode.BAD_REQUEST,
-            f'the resulting document has {len(found)} problem(s)',
+            f'the resulting document has {len(listed_problems)} problem(s)',
         ),
         active_version=document.version,
-        problems=found,
+        problems=listed_problems,
     )
 
 
--- a/packages/fennelfork/src/fennelfork/gather/_coverage.py
+++ b/packages/fennelfork/src/fennelfork/gather/_coverage.py
@@ -61,7 +61,7 @@
     """
     gaps = missing_ranges(full_range, held)
     missing_width = sum(gap.width for gap in gaps)
-    reasons = sorted(failed, key=_start)
+    reasons = sorted(failed, key=_start_key)
     return Coverage(
         complete=not gaps,
         fraction=(full_range.width - missing_width) / full_range.width,
@@ -95,7 +95,7 @@
     return coverage.fraction >= demand.floor
 
 
-def _start(missing: MissingRange) -> int:
+def _start_key(missing: MissingRange) -> int:
     return missing.span.lo
 
 
@@ -110,17 +110,17 @@
         hi = min(known.span.hi, gap.hi)
         if lo < hi:
             if covered_until < lo:
-                yield _not_held(covered_until, lo)
+                yield _build_unheld_range(covered_until, lo)
             yield MissingRange(
                 span=KeyRange(lo=lo, hi=hi),
                 reason=known.reason,
             )
             covered_until = hi
     if covered_until < gap.hi:
-        yield _not_held(covered_until, gap.hi)
+        yield _build_unheld_range(covered_until, gap.hi)
 
 
-def _not_held(lo: int, hi: int) -> MissingRange:
+def _build_unheld_range(lo: int, hi: int) -> MissingRange:
     return MissingRange(
         span=KeyRange(lo=lo, hi=hi),
         reason=FailureCode.NOT_HELD,
--- a/packages/fennelfork/src/fennelfork/gather/_merge.py
+++ b/packages/fennelfork/src/fennelfork/gather/_merge.py
@@ -126,11 +126,11 @@
             coverage=coverage_of(
                 self.full_range,
                 [part.span for part in parts],
-                self._missing(),
+                self._list_missing(),
             ),
         )
 
-    def _missing(self) -> list[MissingRange]:
+    def _list_missing(self) -> list[MissingRange]:
         """Return the range and the reason of each sub-query without a reply.
 
         The reason of pending sub-queries is `DEADLINE`.
--- a/packages/fennelfork/src/fennelfork/gather/_partition.py
+++ b/packages/fennelfork/src/fennelfork/gather/_partition.py
@@ -76,7 +76,7 @@
         for version in sorted(held)
         if version not in exclude
     ]
-    best = max(maps, key=_preference, default=None)
+    best = max(maps, key=_preference_key, default=None)
     if best is not None and best.assignments:
         return Success(best)
     if exclude:
@@ -88,7 +88,7 @@
     )
 
 
-def _preference(candidate: PartitionMap) -> tuple[int, int]:
+def _preference_key(candidate: PartitionMap) -> tuple[int, int]:
     return (candidate.width, candidate.snapshot)
 
 
@@ -113,7 +113,7 @@
     """Cut the held ranges to disjoint parts of `full_range`, few and wide."""
     assignments: list[Assignment] = []
     covered_until = full_range.lo
-    for held_range in sorted(held, key=_by_start):
+    for held_range in sorted(held, key=_start_key):
         lo = max(held_range.span.lo, covered_until)
         hi = min(held_range.span.hi, full_range.hi)
         if lo < hi:
@@ -123,5 +123,5 @@
     return PartitionMap(snapshot=version, assignments=tuple(assignments))
 
 
-def _by_start(held_range: Assignment) -> tuple[int, int, str]:
+def _start_key(held_range: Assignment) -> tuple[int, int, str]:
     return (held_range.span.lo, -held_range.span.hi, held_range.shard)
--- a/packages/fennelfork/src/fennelfork/home/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/home/__init__.pyi
@@ -27,7 +27,7 @@
 from ._route import HomeGroup as HomeGroup
 from ._route import data_centres_of as data_centres_of
 from ._route import homes_of as homes_of
-from ._route import route_homes as route_homes
+from ._route import group_shards_by_home as group_shards_by_home
 from ._scheduler import HomeScheduler as HomeScheduler
 from ._scheduler import home_scheduler as home_scheduler
 from ._slots import SlotTable as SlotTable
--- a/packages/fennelfork/src/fennelfork/home/_admission.py
+++ b/packages/fennelfork/src/fennelfork/home/_admission.py
@@ -154,26 +154,26 @@
     def _record_arrival(self, arrival: Arrival, now_ms: float) -> None:
         rate = self._arrivals.get(arrival.flow)
         if rate is None:
-            self._sweep(now_ms)
+            self._remove_idle_flows(now_ms)
             rate = Rate(since_ms=now_ms, at_ms=now_ms)
             self._arrivals[arrival.flow] = rate
         rate.record(now_ms, arrival.weight)
 
-    def _sweep(self, now_ms: float) -> None:
+    def _remove_idle_flows(self, now_ms: float) -> None:
         """Remove idle flows each time that the number of flows doubles."""
         if len(self._arrivals) < self._next_sweep:
             return
-        self._forget(self._offered(now_ms))
+        self._remove_flows(self._compute_offered_rates(now_ms))
         self._next_sweep = max(_MIN_SWEEP_FLOWS, 2 * len(self._arrivals))
 
-    def _offered(self, now_ms: float) -> dict[Flow, float]:
+    def _compute_offered_rates(self, now_ms: float) -> dict[Flow, float]:
         return {
             flow: rate.per_ms(now_ms) for flow, rate in self._arrivals.items()
         }
 
     def _set_levels(self, load: LoadEstimate, now_ms: float) -> None:
         """Compute the admission level of each flow from its fair share."""
-        offered = self._offered(now_ms)
+        offered = self._compute_offered_rates(now_ms)
         capacity_per_ms = load.slots / self.service_ms
         excess_queued = max(
             0,
@@ -189,9 +189,9 @@
             flow: granted_rates[flow] / per_ms
             for flow, per_ms in offered.items()
         }
-        self._forget(offered)
+        self._remove_flows(offered)
 
-    def _forget(self, offered: dict[Flow, float]) -> None:
+    def _remove_flows(self, offered: dict[Flow, float]) -> None:
         for flow, per_ms in offered.items():
             if per_ms * _WINDOW_MS < _MIN_TRACKED_EVENTS:
                 self._arrivals.pop(flow)
--- a/packages/fennelfork/src/fennelfork/home/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/home/_dispatch.py
@@ -116,7 +116,7 @@
         ]
         eligible = untried or eligible
     candidates = [
-        _candidate(blackboard, server, job)
+        _build_candidate(blackboard, server, job)
         for server in eligible
         if free_slots(blackboard, server)
     ]
@@ -124,7 +124,7 @@
     return chosen.server if chosen else None
 
 
-def _candidate(
+def _build_candidate(
     blackboard: ShardBlackboard, server: ServerState, job: Job
 ) -> Candidate:
     name = server.config.name
@@ -140,14 +140,14 @@
 
 def _send_hedges(blackboard: ShardBlackboard) -> Iterator[Send]:
     """Send hedges for overdue attempts within the budget."""
-    for number, attempt in tuple(blackboard.overdue.items()):
+    for attempt_number, attempt in tuple(blackboard.overdue.items()):
         job = blackboard.jobs.get(attempt.task.job)
         if job is None or len(job.active_attempts) >= _MAX_ACTIVE_ATTEMPTS:
-            blackboard.overdue.pop(number)
+            blackboard.overdue.pop(attempt_number)
             continue
         server = _choose_server(blackboard, job, hedge=True)
         if server is not None and blackboard.hedge_budget.withdraw():
-            blackboard.overdue.pop(number)
+            blackboard.overdue.pop(attempt_number)
             job.hedges += 1
             yield _send(blackboard, job, server, hedge=True)
 
@@ -157,9 +157,9 @@
 ) -> Send:
     now_ms = blackboard.clock.now_ms()
     blackboard.last_attempt += 1
-    number = blackboard.last_attempt
-    blackboard.slots.acquire(server, number)
-    blackboard.attempts[number] = Attempt(
+    attempt_number = blackboard.last_attempt
+    blackboard.slots.acquire(server, attempt_number)
+    blackboard.attempts[attempt_number] = Attempt(
         task=job.task,
         server=server,
         sent_ms=now_ms,
@@ -169,10 +169,10 @@
         job.queue_ms = now_ms - job.queued_ms
         blackboard.hedge_budget.deposit()
     job.tried_servers.add(server)
-    job.active_attempts.add(number)
-    _set_hedge_timer(blackboard, number, job.task)
+    job.active_attempts.add(attempt_number)
+    _set_hedge_timer(blackboard, attempt_number, job.task)
     return Send(
-        attempt=number,
+        attempt=attempt_number,
         task=job.task,
         server=server,
         fresh_connection=hedge or not job.task.idempotent,
@@ -180,7 +180,7 @@
 
 
 def _set_hedge_timer(
-    blackboard: ShardBlackboard, number: int, task: Task
+    blackboard: ShardBlackboard, attempt_number: int, task: Task
 ) -> None:
     """Schedule the timer that marks an attempt as overdue."""
     delay_ms = hedge_delay_ms(
@@ -188,4 +188,4 @@
     )
     if delay_ms is not None and task.idempotent:
         at_ms = blackboard.clock.now_ms() + delay_ms
-        blackboard.set_timer(Timer(at_ms=at_ms, attempt=number))
+        blackboard.set_timer(Timer(at_ms=at_ms, attempt=attempt_number))
--- a/packages/fennelfork/src/fennelfork/home/_intake.py
+++ b/packages/fennelfork/src/fennelfork/home/_intake.py
@@ -59,9 +59,9 @@
 
 
 def _handle_attempt_timer(
-    blackboard: ShardBlackboard, number: int
+    blackboard: ShardBlackboard, attempt_number: int
 ) -> list[Action]:
-    attempt = blackboard.attempts.get(number)
+    attempt = blackboard.attempts.get(attempt_number)
     if attempt is None:
         return []
     if attempt.cancelled:
@@ -69,8 +69,8 @@
             FailureCode.CANCELLED,
             'the server did not confirm the cancellation',
         )
-        return handle_failure(blackboard, number, unconfirmed)
-    blackboard.overdue[number] = attempt
+        return handle_failure(blackboard, attempt_number, unconfirmed)
+    blackboard.overdue[attempt_number] = attempt
     return []
 
 
@@ -87,12 +87,12 @@
             request_id=task.request_id,
             weight=task.weight,
         ),
-        _load_estimate(blackboard, task),
+        _estimate_load(blackboard, task),
         blackboard.clock.now_ms(),
     )
 
 
-def _load_estimate(blackboard: ShardBlackboard, task: Task) -> LoadEstimate:
+def _estimate_load(blackboard: ShardBlackboard, task: Task) -> LoadEstimate:
     eligible = list(eligible_servers(blackboard, task))
     return LoadEstimate(
         slots=max(
--- a/packages/fennelfork/src/fennelfork/home/_outcome.py
+++ b/packages/fennelfork/src/fennelfork/home/_outcome.py
@@ -24,9 +24,9 @@
 )
 
 
-def handle_reply(blackboard: ShardBlackboard, number: int) -> list[Action]:
+def handle_reply(blackboard: ShardBlackboard, attempt_number: int) -> list[Action]:
     """Handle the valid response of an attempt."""
-    attempt = end_attempt(blackboard, number)
+    attempt = end_attempt(blackboard, attempt_number)
     if attempt is None:
         return []
     _record_service_time(blackboard, attempt)
@@ -35,11 +35,11 @@
     job = blackboard.jobs.pop(attempt.task.job, None)
     if job is None:
         return []
-    job.active_attempts.discard(number)
+    job.active_attempts.discard(attempt_number)
     blackboard.queue.remove(job.task.job)
     answered = TaskAnswered(
         task=job.task,
-        attempt=number,
+        attempt=attempt_number,
         server=attempt.server,
         stats=job.stats,
     )
@@ -47,10 +47,10 @@
 
 
 def handle_failure(
-    blackboard: ShardBlackboard, number: int, failure: Failure
+    blackboard: ShardBlackboard, attempt_number: int, failure: Failure
 ) -> list[Action]:
     """Handle a failed attempt: wait for others, retry, or refuse the job."""
-    attempt = end_attempt(blackboard, number)
+    attempt = end_attempt(blackboard, attempt_number)
     if attempt is None:
         return []
     if failure.verdict is not Verdict.NOT_RUN:
@@ -59,7 +59,7 @@
     job = blackboard.jobs.get(attempt.task.job)
     if job is None:
         return []
-    job.active_attempts.discard(number)
+    job.active_attempts.discard(attempt_number)
     job.record_failed_attempt(failure.verdict)
     if job.active_attempts:
         return []
@@ -69,12 +69,12 @@
     return [refuse(blackboard, job, failure)]
 
 
-def end_attempt(blackboard: ShardBlackboard, number: int) -> Attempt | None:
+def end_attempt(blackboard: ShardBlackboard, attempt_number: int) -> Attempt | None:
     """Release the slot of an attempt that has ended."""
-    attempt = blackboard.attempts.pop(number, None)
+    attempt = blackboard.attempts.pop(attempt_number, None)
     if attempt is not None:
-        blackboard.slots.release(number)
-        blackboard.overdue.pop(number, None)
+        blackboard.slots.release(attempt_number)
+        blackboard.overdue.pop(attempt_number, None)
     return attempt
 
 
@@ -94,8 +94,8 @@
         is_lost: whether a hedge was answered before the first attempt.
     """
     return [
-        _cancel(blackboard, number, is_lost=is_lost)
-        for number in sorted(job.active_attempts)
+        _cancel(blackboard, attempt_number, is_lost=is_lost)
+        for attempt_number in sorted(job.active_attempts)
     ]
 
 
@@ -130,20 +130,20 @@
 
 
 def _cancel(
-    blackboard: ShardBlackboard, number: int, *, is_lost: bool
+    blackboard: ShardBlackboard, attempt_number: int, *, is_lost: bool
 ) -> Cancel:
-    attempt = blackboard.attempts[number]
+    attempt = blackboard.attempts[attempt_number]
     slow = is_slow(blackboard, attempt) or (is_lost and not attempt.hedge)
     if slow:
         record_slow_attempt(blackboard, attempt)
     attempt.cancelled = True
-    blackboard.overdue.pop(number, None)
+    blackboard.overdue.pop(attempt_number, None)
     now_ms = blackboard.clock.now_ms()
     blackboard.set_timer(
-        Timer(at_ms=now_ms + _CANCEL_TIMEOUT_MS, attempt=number)
+        Timer(at_ms=now_ms + _CANCEL_TIMEOUT_MS, attempt=attempt_number)
     )
     return Cancel(
-        attempt=number,
+        attempt=attempt_number,
         task=attempt.task,
         server=attempt.server,
         suspect=slow,
--- a/packages/fennelfork/src/fennelfork/home/_queue.py
+++ b/packages/fennelfork/src/fennelfork/home/_queue.py
@@ -79,10 +79,10 @@
             flow=flow,
         )
         self._entries[job] = entry
-        self._flow_queue(flow).entries.add(entry)
+        self._get_flow_queue(flow).entries.add(entry)
         if len(self) <= self.limit:
             return None
-        longest = max(self._flows.values(), key=_relative_length)
+        longest = max(self._flows.values(), key=_relative_length_of)
         evicted: Entry = longest.entries[-1]
         self.remove(evicted.job)
         return evicted.job
@@ -108,7 +108,7 @@
 
     def in_order(self) -> Iterator[str]:
         """Yield the first jobs of each flow, in the order of the turns."""
-        turns = sorted(self._flows.values(), key=_turn)
+        turns = sorted(self._flows.values(), key=_turn_of)
         for flow_queue in turns:
             for entry in flow_queue.entries[:_LOOK_AHEAD_JOBS]:
                 yield entry.job
@@ -120,15 +120,15 @@
             flow: flow of the new job.
             deadline_ms: deadline of the new job.
         """
-        waiting = [found for found in self._flows.values() if found.entries]
-        own = self._flows.get(flow)
+        waiting = [flow_queue for flow_queue in self._flows.values() if flow_queue.entries]
+        own_queue = self._flows.get(flow)
         probe = Entry(
             deadline_ms=deadline_ms,
             arrival=self._arrivals + 1,
             job='',
             flow=flow,
         )
-        before = own.entries.bisect_left(probe) if own else 0
+        before = own_queue.entries.bisect_left(probe) if own_queue else 0
         own_weight = self.shares.weight(flow)
         others = sum(
             min(
@@ -136,7 +136,7 @@
                 (before + 1) * other.weight / own_weight,
             )
             for other in waiting
-            if other is not own
+            if other is not own_queue
         )
         return float(before + others)
 
@@ -145,24 +145,24 @@
 
         Callers choose tenant names, so idle flows must not accumulate.
         """
-        self._virtual_time = max(found.turn for found in self._flows.values())
+        self._virtual_time = max(flow_queue.turn for flow_queue in self._flows.values())
         self._flows.clear()
 
-    def _flow_queue(self, flow: Flow) -> _FlowQueue:
-        found = self._flows.get(flow)
-        if found is None:
-            found = _FlowQueue(
+    def _get_flow_queue(self, flow: Flow) -> _FlowQueue:
+        flow_queue = self._flows.get(flow)
+        if flow_queue is None:
+            flow_queue = _FlowQueue(
                 weight=self.shares.weight(flow), turn=self._virtual_time
             )
-            self._flows[flow] = found
-        elif not found.entries:
-            found.turn = max(found.turn, self._virtual_time)
-        return found
+            self._flows[flow] = flow_queue
+        elif not flow_queue.entries:
+            flow_queue.turn = max(flow_queue.turn, self._virtual_time)
+        return flow_queue
 
 
-def _turn(flow_queue: _FlowQueue) -> float:
+def _turn_of(flow_queue: _FlowQueue) -> float:
     return flow_queue.turn
 
 
-def _relative_length(flow_queue: _FlowQueue) -> float:
+def _relative_length_of(flow_queue: _FlowQueue) -> float:
     return len(flow_queue.entries) / flow_queue.weight
--- a/packages/fennelfork/src/fennelfork/home/_route.py
+++ b/packages/fennelfork/src/fennelfork/home/_route.py
@@ -19,36 +19,36 @@
     shards: frozenset[str]
 
 
-def route_homes(
-    board: Blackboard,
+def group_shards_by_home(
+    blackboard: Blackboard,
     front: str,
     shards: Iterable[str],
-    avoid: frozenset[str],
+    avoided_members: frozenset[str],
 ) -> tuple[HomeGroup, ...]:
     """Group shards by home daemon.
 
     Args:
-        board: blackboard with the configuration and the members.
+        blackboard: blackboard with the configuration and the members.
         front: name of a configured front.
         shards: names of the shards to query.
-        avoid: names of members that recently sent no reply, which are used
+        avoided_members: names of members that recently sent no reply, which are used
             only if no other member is available.
 
     Returns:
         The groups, without shards that are not configured. Unless the daemon
         routes by home, the local daemon is the home of all shards.
     """
-    if board.routing is not RoutingMode.HOME:
-        return _own_group(board, front, shards, avoid)
+    if blackboard.routing is not RoutingMode.HOME:
+        return _build_local_group(blackboard, front, shards, avoided_members)
     groups: dict[str, set[str]] = {}
-    known = board.document.fronts[front].shards
+    known = blackboard.document.fronts[front].shards
     for name in known.keys() & set(shards):
         centres = data_centres_of(known[name])
-        home = board.homes.home(front, name, centres, avoid)
+        home = blackboard.homes.find_home(front, name, centres, avoided_members)
         if home is not None:
             groups.setdefault(home.name, set()).add(name)
     return tuple(
-        HomeGroup(home=board.members[home_name], shards=frozenset(group))
+        HomeGroup(home=blackboard.members[home_name], shards=frozenset(group))
         for home_name, group in groups.items()
     )
 
@@ -66,18 +66,18 @@
     return tuple(name for name, _ in by_name)
 
 
-def _own_group(
-    board: Blackboard,
+def _build_local_group(
+    blackboard: Blackboard,
     front: str,
     shards: Iterable[str],
-    avoid: frozenset[str],
+    avoided_members: frozenset[str],
 ) -> tuple[HomeGroup, ...]:
-    known = board.document.fronts[front].shards
-    own = known.keys() & set(shards)
+    known = blackboard.document.fronts[front].shards
+    local_shards = known.keys() & set(shards)
     # The local daemon is the only home, so there is no alternative.
-    if not own or board.local.name in avoid:
+    if not local_shards or blackboard.local.name in avoided_members:
         return ()
-    return (HomeGroup(home=board.local, shards=frozenset(own)),)
+    return (HomeGroup(home=blackboard.local, shards=frozenset(local_shards)),)
 
 
 def _server_count(counted: tuple[str, int]) -> int:
--- a/packages/fennelfork/src/fennelfork/home/_scheduler.py
+++ b/packages/fennelfork/src/fennelfork/home/_scheduler.py
@@ -94,15 +94,15 @@
 
     def withdraw(self, job: str) -> list[Action]:
         """Cancel a job whose requester has gone."""
-        found = self._blackboard.jobs.get(job)
-        if found is None:
+        unfinished_job = self._blackboard.jobs.get(job)
+        if unfinished_job is None:
             return []
-        cancels = cancel_attempts(self._blackboard, found, is_lost=False)
+        cancels = cancel_attempts(self._blackboard, unfinished_job, is_lost=False)
         cancelled = not_run(
             FailureCode.CANCELLED,
             'the requester no longer waits for the result',
         )
-        refused = refuse(self._blackboard, found, cancelled)
+        refused = refuse(self._blackboard, unfinished_job, cancelled)
         return [refused, *cancels, *dispatch(self._blackboard)]
 
     def tick(self) -> list[Action]:
--- a/packages/fennelfork/src/fennelfork/home/_servers.py
+++ b/packages/fennelfork/src/fennelfork/home/_servers.py
@@ -48,8 +48,8 @@
 
     def connections(self, server: str) -> ConnectionLedger | None:
         """Return the connections to a server, or `None` if unknown."""
-        found = self._blackboard.servers.get(server)
-        return found.connections if found else None
+        server_state = self._blackboard.servers.get(server)
+        return server_state.connections if server_state else None
 
     def configure(
         self,
@@ -73,17 +73,17 @@
 
     def on_report(self, server: str, report: ServerReport) -> list[Action]:
         """Apply a health report of a server."""
-        found = self._blackboard.servers.get(server)
-        if found is None:
+        server_state = self._blackboard.servers.get(server)
+        if server_state is None:
             return []
-        found.apply_report(report, self._blackboard.clock.now_ms())
+        server_state.apply_report(report, self._blackboard.clock.now_ms())
         return dispatch(self._blackboard)
 
     def on_leaving(self, server: str) -> None:
         """Record that another source reported a server as leaving."""
-        found = self._blackboard.servers.get(server)
-        if found is not None:
-            found.leaving = True
+        server_state = self._blackboard.servers.get(server)
+        if server_state is not None:
+            server_state.leaving = True
 
 
 def _apply_config(
--- a/packages/fennelfork/src/fennelfork/home/_status.py
+++ b/packages/fennelfork/src/fennelfork/home/_status.py
@@ -44,12 +44,12 @@
     """Return the status of the servers of a shard, by name.
 
     Args:
-        board: state of the shard.
+        blackboard: blackboard of the shard.
     """
     return tuple(
         ServerStatus(
             name=name,
-            condition=_condition(server, blackboard.clock.now_ms()),
+            condition=_classify_condition(server, blackboard.clock.now_ms()),
             busy=blackboard.slots.busy(name),
             snapshots=tuple(held.version for held in server.snapshots),
         )
@@ -57,7 +57,7 @@
     )
 
 
-def _condition(server: ServerState, now_ms: float) -> ServerCondition:
+def _classify_condition(server: ServerState, now_ms: float) -> ServerCondition:
     ejection = server.ejection
     conditions = (
         (server.draining, ServerCondition.DRAINING),
--- a/packages/fennelfork/src/fennelfork/membership/_announce.py
+++ b/packages/fennelfork/src/fennelfork/membership/_announce.py
@@ -7,7 +7,7 @@
 from fennelfork.membership._messages import SendProbe
 
 
-def announce(fleet: Membership, local: Member) -> None:
+def announce_local_member(fleet: Membership, local: Member) -> None:
     """Update the record of the local daemon and gossip a changed record."""
     if local != fleet.view.local:
         fleet.view.update_local(local)
--- a/packages/fennelfork/src/fennelfork/membership/_member_table.py
+++ b/packages/fennelfork/src/fennelfork/membership/_member_table.py
@@ -104,15 +104,15 @@
         buckets = set(self._find_differing_buckets(digests))
         if not buckets:
             return ()
-        found = [member for member in self if _bucket(member.name) in buckets]
-        rng.shuffle(found)
-        return tuple(found[:limit])
+        differing_members = [member for member in self if _bucket_of(member.name) in buckets]
+        rng.shuffle(differing_members)
+        return tuple(differing_members[:limit])
 
     def _find_differing_buckets(self, digests: bytes) -> Iterator[int]:
-        for bucket, own in enumerate(self._digests):
+        for bucket, own_digest in enumerate(self._digests):
             start = bucket * _DIGEST_BYTES
             other = digests[start : start + _DIGEST_BYTES]
-            if own != int.from_bytes(other, 'big'):
+            if own_digest != int.from_bytes(other, 'big'):
                 yield bucket
 
     def _toggle_digest(self, member: Member | None, count: int) -> None:
@@ -122,8 +122,8 @@
         digest_input = (member.name, member.incarnation, member.state.value)
         text = f'{digest_input}{member.is_ready}'
         digest = xxhash.xxh32_intdigest(text.encode())
-        self._digests[_bucket(member.name)] ^= digest
+        self._digests[_bucket_of(member.name)] ^= digest
 
 
-def _bucket(name: str) -> int:
+def _bucket_of(name: str) -> int:
     return xxhash.xxh32_intdigest(name.encode()) % _BUCKETS
--- a/packages/fennelfork/src/fennelfork/membership/_prober.py
+++ b/packages/fennelfork/src/fennelfork/membership/_prober.py
@@ -156,7 +156,7 @@
     ) -> ProbeOutcome:
         if refused or probe_round.is_reported:
             return self._suspect(probe_round, now_ms)
-        relays = _relays(self.view, probe_round.target)
+        relays = _find_relays(self.view, probe_round.target)
         if not relays:
             return self._suspect(probe_round, now_ms)
         count = min(self.policy.relay_count, len(relays))
@@ -227,7 +227,7 @@
     return ack.sender.name != probe.probe_round.target
 
 
-def _relays(view: FleetView, target: str) -> list[Member]:
+def _find_relays(view: FleetView, target: str) -> list[Member]:
     return [
         member
         for member in view.table
--- a/packages/fennelfork/src/fennelfork/membership/_view.py
+++ b/packages/fennelfork/src/fennelfork/membership/_view.py
@@ -135,13 +135,13 @@
             digests: digests of the peer's table; equal digests show that the
                 peer knows all pending updates.
         """
-        matching = _matching_names(self.table, received)
+        matching = _find_matching_names(self.table, received)
         max_transmissions = self.policy.max_transmissions(self.table.live_count)
         if digests == self.table.digests:
             self._gossip.record_all_known(
                 self.policy.agreement_weight, max_transmissions
             )
-            return _claims_about(self.table, peer)
+            return _find_claims_about(self.table, peer)
         self._gossip.record_known(
             matching, self.policy.agreement_weight, max_transmissions
         )
@@ -152,7 +152,7 @@
         )
         records = [self.table.get(name) for name in names]
         updates = [record for record in records if record is not None]
-        return (*_claims_about(self.table, peer), *updates)
+        return (*_find_claims_about(self.table, peer), *updates)
 
     def take_changes(self) -> tuple[MemberChange, ...]:
         """Remove and return the changes since the last call."""
@@ -194,7 +194,7 @@
     return view
 
 
-def _claims_about(table: MemberTable, peer: Member) -> tuple[Member, ...]:
+def _find_claims_about(table: MemberTable, peer: Member) -> tuple[Member, ...]:
     """Return the claim that a member has to refute or adopt, if any."""
     known = table.get(peer.name)
     if known is None:
@@ -204,7 +204,7 @@
     return ()
 
 
-def _matching_names(table: MemberTable, received: Iterable[Member]) -> set[str]:
+def _find_matching_names(table: MemberTable, received: Iterable[Member]) -> set[str]:
     matching = set()
     for claim in received:
         known = table.get(claim.name)
--- a/packages/fennelfork/src/fennelfork/once/_gate.py
+++ b/packages/fennelfork/src/fennelfork/once/_gate.py
@@ -129,14 +129,14 @@
     def _route(
         self, ticket: Ticket
     ) -> Result[ExecuteLocally | ForwardToPeer, Failure]:
-        terms = ticket.terms
-        if terms.daemon != self._key.daemon:
+        ticket_terms = ticket.terms
+        if ticket_terms.daemon != self._key.daemon:
             return Success(
                 ForwardToPeer(
-                    daemon=terms.daemon, incarnation=terms.incarnation
+                    daemon=ticket_terms.daemon, incarnation=ticket_terms.incarnation
                 ),
             )
-        if terms.incarnation != self._key.incarnation:
+        if ticket_terms.incarnation != self._key.incarnation:
             return Failed(
                 unknown_outcome('the daemon of the ticket has restarted')
             )
--- a/packages/fennelfork/src/fennelfork/once/_target.py
+++ b/packages/fennelfork/src/fennelfork/once/_target.py
@@ -71,7 +71,7 @@
     data_centre: str,
     rng: random.Random,
 ) -> list[NamedServer]:
-    named = [NamedServer(name=name, server=each) for name, each in servers]
+    named = [NamedServer(name=name, server=server) for name, server in servers]
     rng.shuffle(named)
     named.sort(
         key=lambda named_server: named_server.server.data_centre != data_centre
--- a/packages/fennelfork/src/fennelfork/once/_ticket.py
+++ b/packages/fennelfork/src/fennelfork/once/_ticket.py
@@ -115,17 +115,17 @@
         lifetime_ms: time within which execution may start under the ticket.
     """
     issued_ms = math.floor(clock.now_ms())
-    terms = TicketTerms(
+    ticket_terms = TicketTerms(
         daemon=key.daemon,
         incarnation=key.incarnation,
         issued_ms=issued_ms,
         expires_ms=issued_ms + lifetime_ms,
     )
     serial = f'{rng.getrandbits(_SERIAL_BITS):024x}'
-    signed = _FIELD_SEPARATOR.join((serial, _encode(terms)))
+    signed = _FIELD_SEPARATOR.join((serial, _encode_terms(ticket_terms)))
     return Ticket(
         serial=serial,
-        terms=terms,
+        terms=ticket_terms,
         signed=signed,
         mac=key.mac(signed),
     )
@@ -144,11 +144,11 @@
         return Failed(unknown_outcome('the ticket is malformed'))
     serial, payload, mac = parts
     try:
-        terms = _decode(payload)
+        ticket_terms = _decode_terms(payload)
     except (ValueError, binascii.Error, cattrs.BaseValidationError):
         return Failed(unknown_outcome('the ticket is malformed'))
     signed = _FIELD_SEPARATOR.join((serial, payload))
-    return Success(Ticket(serial=serial, terms=terms, signed=signed, mac=mac))
+    return Success(Ticket(serial=serial, terms=ticket_terms, signed=signed, mac=mac))
 
 
 def check_ticket(key: TicketKey, ticket: Ticket) -> Result[Ticket, Failure]:
@@ -218,12 +218,12 @@
     return may_have_run(FailureCode.TICKET, detail)
 
 
-def _encode(terms: TicketTerms) -> str:
-    text = json.dumps(cattrs.unstructure(terms), separators=(',', ':'))
+def _encode_terms(ticket_terms: TicketTerms) -> str:
+    text = json.dumps(cattrs.unstructure(ticket_terms), separators=(',', ':'))
     return base64.urlsafe_b64encode(text.encode()).decode().rstrip('=')
 
 
-def _decode(payload: str) -> TicketTerms:
+def _decode_terms(payload: str) -> TicketTerms:
     padding = '=' * (-len(payload) % 4)
     raw = base64.urlsafe_b64decode(payload + padding)
     return cattrs.structure(json.loads(raw), TicketTerms)
--- a/packages/fennelfork/src/fennelfork/placement/_home_index.py
+++ b/packages/fennelfork/src/fennelfork/placement/_home_index.py
@@ -35,12 +35,12 @@
     _groups: Mapping[_Group, list[Member]]
     _cache: dict[_CacheKey, Member | None] = attrs.field(factory=dict)
 
-    def home(
+    def find_home(
         self,
         front: str,
         shard: str,
         data_centres: Sequence[str],
-        avoid: frozenset[str] = _NO_MEMBERS,
+        avoided_members: frozenset[str] = _NO_MEMBERS,
     ) -> Member | None:
         """Return the home daemon of a shard.
 
@@ -48,7 +48,7 @@
             front: name of the search front.
             shard: name of the shard within the front.
             data_centres: preferred data centres of the home, best first.
-            avoid: names of members to use only if no other member is usable.
+            avoided_members: names of members to use only if no other member is usable.
 
         Returns:
             The member with the highest weight among the alive members of the
@@ -59,9 +59,9 @@
         """
         cache_key = (front, shard, tuple(data_centres))
         best = self._cached_home(cache_key)
-        if best is None or best.name not in avoid:
+        if best is None or best.name not in avoided_members:
             return best
-        return self._find_home(cache_key, avoid) or best
+        return self._find_home(cache_key, avoided_members) or best
 
     def _cached_home(self, cache_key: _CacheKey) -> Member | None:
         if cache_key not in self._cache:
@@ -71,13 +71,13 @@
         return self._cache[cache_key]
 
     def _find_home(
-        self, cache_key: _CacheKey, avoid: frozenset[str]
+        self, cache_key: _CacheKey, avoided_members: frozenset[str]
     ) -> Member | None:
         front, shard, data_centres = cache_key
         key = weight_key(_PURPOSE, front, shard)
         for group in self._ordered_groups(data_centres):
             candidates = [
-                member for member in group if member.name not in avoid
+                member for member in group if member.name not in avoided_members
             ]
             if candidates:
                 return heaviest_member(key, candidates)
--- a/packages/fennelfork/src/fennelfork/placement/_rendezvous.py
+++ b/packages/fennelfork/src/fennelfork/placement/_rendezvous.py
@@ -27,7 +27,7 @@
     members: Iterable[Member],
 ) -> Member | None:
     """Return the home of one shard; `HomeIndex.home` caches repeated look-ups."""
-    return home_index(members).home(front, shard, data_centres)
+    return home_index(members).find_home(front, shard, data_centres)
 
 
 def choose_watchers(
--- a/packages/fennelfork/src/fennelfork/routes/_concurrency.py
+++ b/packages/fennelfork/src/fennelfork/routes/_concurrency.py
@@ -164,8 +164,8 @@
     def for_route(self, route: Route) -> ConcurrencyLimit:
         """Return the concurrency limit of the services of a route."""
         services = services_of(route.target)
-        found = self._limits.get(services)
-        if found is None:
-            found = ConcurrencyLimit()
-            self._limits[services] = found
-        return found
+        concurrency_limit = self._limits.get(services)
+        if concurrency_limit is None:
+            concurrency_limit = ConcurrencyLimit()
+            self._limits[services] = concurrency_limit
+        return concurrency_limit
--- a/packages/fennelfork/src/fennelfork/routes/_connection_share.py
+++ b/packages/fennelfork/src/fennelfork/routes/_connection_share.py
@@ -32,7 +32,7 @@
         """Whether daemons that started with this one had time to register."""
         return self._fleet.is_settled
 
-    def limit_for(self, service: str) -> int:
+    def connection_limit_for(self, service: str) -> int:
         """Return the maximum of connections to each server of a service."""
         known = self.services.get(service)
         limit = _DEFAULT_CONNECTIONS if known is None else known.connections
--- a/packages/fennelfork/src/fennelfork/routes/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/routes/_dispatch.py
@@ -47,7 +47,7 @@
     Attributes:
         route: route of the request at the time of its arrival.
         latency_baseline: latency baseline of the route.
-        legs: sub-requests, by service.
+        sub_requests: sub-requests, by service.
         hedges: number of hedges that were sent.
         retries: number of retries that were sent.
     """
@@ -188,7 +188,7 @@
     """
     came_ms, left_ms = times
     timeout_ms = min(left_ms, route.timeout_ms)
-    ordered = sorted(services, key=lambda one: one not in suspect_services)
+    ordered = sorted(services, key=lambda service: service not in suspect_services)
     return Dispatch(
         route=route,
         latency_baseline=latency_baseline,
--- a/packages/fennelfork/src/fennelfork/routes/_failure.py
+++ b/packages/fennelfork/src/fennelfork/routes/_failure.py
@@ -20,7 +20,7 @@
     """Merge the failures of all sub-requests of a request.
 
     Args:
-        legs: sub-requests of the request, at least one.
+        sub_requests: sub-requests of the request, at least one.
         timed_out: whether the deadline of the request has passed.
 
     Returns:
--- a/packages/fennelfork/src/fennelfork/routes/_latency_baseline.py
+++ b/packages/fennelfork/src/fennelfork/routes/_latency_baseline.py
@@ -72,11 +72,11 @@
 
     def for_route(self, route: Route) -> LatencyBaseline:
         """Return the latency baseline of a route; create it if necessary."""
-        found = self._baselines.get(route.name)
-        if found is None:
-            found = latency_baseline(route.latency_target_ms)
-            self._baselines[route.name] = found
-        return found
+        baseline = self._baselines.get(route.name)
+        if baseline is None:
+            baseline = latency_baseline(route.latency_target_ms)
+            self._baselines[route.name] = baseline
+        return baseline
 
 
 def latency_baseline(latency_target_ms: float) -> LatencyBaseline:
--- a/packages/fennelfork/src/fennelfork/routes/_records.py
+++ b/packages/fennelfork/src/fennelfork/routes/_records.py
@@ -16,11 +16,11 @@
             deduplicated.
         max_records: maximum number of records to return.
     """
-    records = (record for part in parts for record in _records(part))
+    records = (record for part in parts for record in _split_records(part))
     return b''.join(heapq.nlargest(max_records, records))
 
 
-def _records(part: bytes) -> Iterator[bytes]:
+def _split_records(part: bytes) -> Iterator[bytes]:
     whole = len(part) - len(part) % RECORD_BYTES
     for start in range(0, whole, RECORD_BYTES):
         yield part[start : start + RECORD_BYTES]
--- a/packages/fennelfork/src/fennelfork/routes/_request_attempts.py
+++ b/packages/fennelfork/src/fennelfork/routes/_request_attempts.py
@@ -29,7 +29,7 @@
         if the request is suspected.
 
         Args:
-            legs: sub-requests of the request.
+            sub_requests: sub-requests of the request.
             now_ms: current time.
         """
         known = list(sub_requests)
@@ -57,7 +57,7 @@
         """Send or defer a retry after a failed attempt, if a retry is allowed.
 
         Args:
-            leg: sub-request of the failed attempt.
+            sub_request: sub-request of the failed attempt.
             attempt: number of the failed attempt.
             failure: failure of the attempt.
             now_ms: current time.
@@ -90,7 +90,7 @@
         than the hedge delay.
 
         Args:
-            leg: sub-request whose response is late.
+            sub_request: sub-request whose response is late.
             now_ms: current time.
         """
         if not self._idempotent:
--- a/packages/fennelfork/src/fennelfork/routes/_retry_budget.py
+++ b/packages/fennelfork/src/fennelfork/routes/_retry_budget.py
@@ -64,7 +64,7 @@
 
     def record_request(self, service: str) -> None:
         """Record the first attempt of a request to a service."""
-        self._window(service).requests.append(self._clock.now_ms())
+        self._get_window(service).requests.append(self._clock.now_ms())
 
     def try_spend(self, service: str) -> bool:
         """Record an extra attempt if the budget of the service allows it.
@@ -72,16 +72,16 @@
         Returns:
             Whether the extra attempt may be sent.
         """
-        window = self._window(service)
-        if len(window.extra_attempts) + 1 > self._limit(window):
+        window = self._get_window(service)
+        if len(window.extra_attempts) + 1 > self._compute_limit(window):
             return False
         window.extra_attempts.append(self._clock.now_ms())
         return True
 
-    def _limit(self, window: _SlidingWindow) -> float:
-        return self.policy.ratio * len(window.requests) + self._fixed_share()
+    def _compute_limit(self, window: _SlidingWindow) -> float:
+        return self.policy.ratio * len(window.requests) + self._compute_fixed_share()
 
-    def _fixed_share(self) -> float:
+    def _compute_fixed_share(self) -> float:
         """Return the share of this daemon in the fixed number.
 
         The share is zero during the first window after the start, because a
@@ -92,7 +92,7 @@
             return 0
         return _MARGIN * self.policy.fixed / self._fleet.max_size
 
-    def _window(self, service: str) -> _SlidingWindow:
+    def _get_window(self, service: str) -> _SlidingWindow:
         window = self._windows.setdefault(service, _SlidingWindow())
         window.discard_before(self._clock.now_ms() - self.policy.window_ms)
         return window
--- a/packages/fennelfork/src/fennelfork/routes/_route_table.py
+++ b/packages/fennelfork/src/fennelfork/routes/_route_table.py
@@ -49,9 +49,9 @@
         """
         end = path.rfind(_SLASH)
         while end >= 0:
-            found = self._by_prefix.get((host, path[: end + 1]))
-            if found is not None:
-                return found
+            route = self._by_prefix.get((host, path[: end + 1]))
+            if route is not None:
+                return route
             end = path.rfind(_SLASH, 0, end)
         return None
 
--- a/packages/fennelfork/src/fennelfork/routes/_selection.py
+++ b/packages/fennelfork/src/fennelfork/routes/_selection.py
@@ -46,8 +46,8 @@
         """
         if self.is_local(data_centre):
             return 0
-        own = self.region_of.get(self.data_centre)
-        if own is not None and self.region_of.get(data_centre) == own:
+        own_region = self.region_of.get(self.data_centre)
+        if own_region is not None and self.region_of.get(data_centre) == own_region:
             return _OTHER_DATA_CENTRE_MS
         return (
             _OTHER_REGION_MS + _OTHER_REGION_TARGET_FRACTION * latency_target_ms
@@ -99,14 +99,14 @@
         """
         servers = {
             server.incarnation: server
-            for server in self.directory.usable(wanted.service)
+            for server in self.directory.usable_servers(wanted.service)
             if server.incarnation not in wanted.tried
         }
         # The connection limit is the same for all servers of the service.
-        share = self.shares.limit_for(wanted.service)
+        share = self.shares.connection_limit_for(wanted.service)
         by_availability: dict[_Availability, list[BackendServer]] = {}
         for server in servers.values():
-            availability = self._availability(server, wanted, share)
+            availability = self._classify_availability(server, wanted, share)
             by_availability.setdefault(availability, []).append(server)
         if wanted.only_healthy:
             by_availability.pop(_Availability.UNHEALTHY, None)
@@ -114,17 +114,17 @@
             return None
         preferred = by_availability[min(by_availability)]
         chosen = choose_candidate(
-            self._candidates(preferred, wanted.latency_baseline), self._rng
+            self._build_candidates(preferred, wanted.latency_baseline), self._rng
         )
         return None if chosen is None else servers[chosen.server]
 
-    def _availability(
+    def _classify_availability(
         self,
         server: BackendServer,
         wanted: SelectionCriteria,
         share: int,
     ) -> _Availability:
-        state = self.states.of(server.incarnation)
+        state = self.states.for_incarnation(server.incarnation)
         now_ms = self._clock.now_ms()
         is_unresponsive = (
             state.unresponsive_ms(now_ms)
@@ -139,16 +139,16 @@
             return _Availability.BUSY
         return _Availability.AVAILABLE
 
-    def _candidates(
+    def _build_candidates(
         self,
         servers: list[BackendServer],
         latency_baseline: LatencyBaseline,
     ) -> Iterator[Candidate]:
         for server in servers:
-            state = self.states.of(server.incarnation)
-            yield self._candidate(server, state, latency_baseline)
+            state = self.states.for_incarnation(server.incarnation)
+            yield self._build_candidate(server, state, latency_baseline)
 
-    def _candidate(
+    def _build_candidate(
         self,
         server: BackendServer,
         state: ServerState,
--- a/packages/fennelfork/src/fennelfork/routes/_sender.py
+++ b/packages/fennelfork/src/fennelfork/routes/_sender.py
@@ -62,7 +62,7 @@
         """Send one attempt if the route, the servers and the budget allow it.
 
         Args:
-            leg: sub-request that the attempt belongs to.
+            sub_request: sub-request that the attempt belongs to.
             now_ms: current time.
             only_healthy: whether to send nothing rather than to use an
                 unhealthy server.
--- a/packages/fennelfork/src/fennelfork/routes/_server_directory.py
+++ b/packages/fennelfork/src/fennelfork/routes/_server_directory.py
@@ -53,7 +53,7 @@
     _indexed: tuple[int, int] = (0, 0)
     _changes: int = 0
 
-    def usable(self, service: str) -> list[BackendServer]:
+    def usable_servers(self, service: str) -> list[BackendServer]:
         """Return the servers of a service that are not draining."""
         self._update_index()
         return self._by_service.get(service, [])
--- a/packages/fennelfork/src/fennelfork/routes/_server_state.py
+++ b/packages/fennelfork/src/fennelfork/routes/_server_state.py
@@ -108,15 +108,15 @@
 
     _states: dict[str, ServerState] = attrs.field(factory=dict)
 
-    def of(self, run: str) -> ServerState:
+    def for_incarnation(self, incarnation: str) -> ServerState:
         """Return the state of an incarnation, created on first use."""
-        state = self._states.get(run)
+        state = self._states.get(incarnation)
         if state is None:
             state = ServerState()
-            self._states[run] = state
+            self._states[incarnation] = state
         return state
 
-    def keep(self, runs: set[str]) -> None:
+    def retain(self, incarnations: set[str]) -> None:
         """Remove the states of all incarnations that are not listed."""
-        for run in self._states.keys() - runs:
-            self._states.pop(run)
+        for incarnation in self._states.keys() - incarnations:
+            self._states.pop(incarnation)
--- a/packages/fennelfork/src/fennelfork/routes/_suspicion_exchange.py
+++ b/packages/fennelfork/src/fennelfork/routes/_suspicion_exchange.py
@@ -69,7 +69,7 @@
             max_transient: maximum number of suspicions without an isolated
                 crash to publish; the remaining ones are not published.
         """
-        for fingerprint, known in self.table.evict():
+        for fingerprint, known in self.table.evict_suspicions():
             self._queue_removal(fingerprint, known)
         transient = [
             changed
--- a/packages/fennelfork/src/fennelfork/routes/_suspicion_table.py
+++ b/packages/fennelfork/src/fennelfork/routes/_suspicion_table.py
@@ -63,7 +63,7 @@
         """
         return self._known.pop(fingerprint)
 
-    def evict(self) -> list[tuple[str, Suspicion]]:
+    def evict_suspicions(self) -> list[tuple[str, Suspicion]]:
         """Remove and return expired and surplus suspicions.
 
         Surplus suspicions are evicted in the order transient, durable,
--- a/packages/fennelfork/src/fennelfork/servers/_connection.py
+++ b/packages/fennelfork/src/fennelfork/servers/_connection.py
@@ -125,29 +125,29 @@
         }
         close = {connection} | (peers & self._idle_since_ms.keys())
         self._invalidated |= peers - close
-        return tuple(self._remove(number) for number in sorted(close))
+        return tuple(self._remove(connection_id) for connection_id in sorted(close))
 
     def invalidate_all(self) -> tuple[int, ...]:
         """Invalidate all connections, and return the idle ones to close now."""
         idle = tuple(self._idle_since_ms)
         self._invalidated |= self._opened_ms.keys() - self._idle_since_ms.keys()
-        return tuple(self._remove(number) for number in idle)
+        return tuple(self._remove(connection_id) for connection_id in idle)
 
     def evict_idle(self, now_ms: float) -> tuple[int, ...]:
         """Remove and return the connections that were idle for too long."""
         expired = [
-            number
-            for number, since_ms in self._idle_since_ms.items()
+            connection_id
+            for connection_id, since_ms in self._idle_since_ms.items()
             if now_ms - since_ms >= _MAX_IDLE_MS
         ]
-        return tuple(self._remove(number) for number in expired)
+        return tuple(self._remove(connection_id) for connection_id in expired)
 
     def _reuse(self, now_ms: float) -> ConnectionChoice:
         """Select the most recently used connection, so that others expire."""
-        number, since_ms = self._idle_since_ms.popitem()
+        connection_id, since_ms = self._idle_since_ms.popitem()
         idle_ms = now_ms - since_ms
         return ConnectionChoice(
-            connection=number,
+            connection=connection_id,
             opened=False,
             probe=idle_ms > _PROBE_IDLE_MS,
             idle_ms=idle_ms,
--- a/packages/fennelfork/src/fennelfork/servers/_hedge.py
+++ b/packages/fennelfork/src/fennelfork/servers/_hedge.py
@@ -57,11 +57,11 @@
         Args:
             quantile: number between 0 and 1.
         """
-        found = self._cached_quantiles.get(quantile)
-        if found is None:
-            found = self._compute_ms(quantile)
-            self._cached_quantiles[quantile] = found
-        return found
+        latency_ms = self._cached_quantiles.get(quantile)
+        if latency_ms is None:
+            latency_ms = self._compute_ms(quantile)
+            self._cached_quantiles[quantile] = latency_ms
+        return latency_ms
 
     def _compute_ms(self, quantile: float) -> float:
         percent = quantile * _PERCENT
