--- a/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/membership/_service.py
@@ -12,9 +12,9 @@
     Membership,
     MembershipPolicy,
     SendProbe,
-    announce_local_member,
     announce_exit,
     announce_leave,
+    announce_local_member,
     leave_is_announced,
     membership,
 )
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/operator/_pages.py
@@ -70,7 +70,9 @@
 def _homes(board: Blackboard, name: str, front: Front) -> dict[str, str]:
     return {
         shard: group.home.name
-        for group in group_shards_by_home(board, name, front.shards, frozenset())
+        for group in group_shards_by_home(
+            board, name, front.shards, frozenset()
+        )
         for shard in group.shards
     }
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
@@ -7,7 +7,7 @@
 
 from fennelfork import Blackboard, Clock
 from fennelfork.config import Front
-from fennelfork.home import HomeGroup, homes_of, group_shards_by_home
+from fennelfork.home import HomeGroup, group_shards_by_home, homes_of
 from fennelfork.placement import PeerHealth
 from fennelfork_daemon.home._client import HomeClient
 from fennelfork_daemon.root._view_cache import ViewCache
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -17,7 +17,7 @@
     SubQueryOutcome,
     Work,
 )
-from fennelfork.home import HomeGroup, homes_of, group_shards_by_home
+from fennelfork.home import HomeGroup, group_shards_by_home, homes_of
 from fennelfork.membership import Member
 from fennelfork.placement import PeerHealth
 from fennelfork_daemon.home._client import HomeClient
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_attempt_runner.py
@@ -74,7 +74,9 @@
     def start_attempts(self, sends: list[Send]) -> None:
         """Start one green thread for each attempt."""
         for send in sends:
-            state = self._parts.selector.states.for_incarnation(send.server.incarnation)
+            state = self._parts.selector.states.for_incarnation(
+                send.server.incarnation
+            )
             state.record_sent(send.attempt, send.sent_ms)
             self._running[send.attempt] = eventlet.spawn(
                 self._run_attempt, send
@@ -153,7 +155,9 @@
                 send.server.data_centre,
             ),
         )
-        state = self._parts.selector.states.for_incarnation(send.server.incarnation)
+        state = self._parts.selector.states.for_incarnation(
+            send.server.incarnation
+        )
         was_ejected = state.ejection.is_ejected(record.now_ms)
         was_in_slow_start = state.ejection.in_slow_start
         record_outcome(outcome, record, state)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pools.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_pools.py
@@ -55,7 +55,9 @@
             pool.evict_idle()
 
     def _open_pool(self, server: BackendServer) -> BackendPool:
-        ledger = ConnectionLedger(limit=self._shares.connection_limit_for(server.service))
+        ledger = ConnectionLedger(
+            limit=self._shares.connection_limit_for(server.service)
+        )
         pool = backend_pool(
             address(server.address),
             ledger,
--- a/packages/fennelfork/src/fennelfork/_stop.py
+++ b/packages/fennelfork/src/fennelfork/_stop.py
@@ -11,7 +11,7 @@
 
 @enum.unique
 class StopPhase(enum.Enum):
-    """Phase of the stop of a daemon.
+    """Phase of the graceful stop of a daemon.
 
     `SERVING`: no stop is requested. `ANNOUNCING`: the members are informed that
     the daemon leaves. `LINGERING`: all members are informed, and callers may
@@ -59,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class StopConditions:
-    """Conditions on which the phase of a stop depends.
+    """Conditions on which the phase of a graceful stop depends.
 
     Attributes:
         now_ms: current time.
@@ -102,13 +102,13 @@
         return 1 if self.aborted_requests else 0
 
     def drain(self, now_ms: float) -> None:
-        """Start to drain; the daemon serves requests until `end` is called."""
+        """Start to drain; requests are still served until `end` is called."""
         if self.phase is StopPhase.SERVING:
             self.phase = StopPhase.ANNOUNCING
             self._announcing_since_ms = now_ms
 
     def end(self, now_ms: float) -> None:
-        """Request termination; a second call may force the end."""
+        """Request the end of the process; a second call may force the end."""
         self.drain(now_ms)
         self._forced = self._end_requested and self._policy.repeat_forces_end
         if not self._end_requested:
@@ -116,7 +116,7 @@
             self._end_ms = now_ms
 
     def step(self, conditions: StopConditions) -> StopPhase:
-        """Advance the phase as far as the conditions allow."""
+        """Advance the phase of the stop as far as the conditions allow."""
         if self._must_abort(conditions):
             self.phase = StopPhase.ENDED
             self.aborted_requests = conditions.running
@@ -135,7 +135,7 @@
         return self._forced or timed_out
 
     def _is_phase_over(self, conditions: StopConditions) -> bool:
-        """Return whether the current phase is over."""
+        """Return whether the current phase of the stop is over."""
         if self.phase is StopPhase.ANNOUNCING:
             waited_ms = conditions.now_ms - self._announcing_since_ms
             return conditions.announced or waited_ms >= self._policy.announce_ms
@@ -155,5 +155,5 @@
 
 
 def graceful_stop(policy: StopPolicy) -> GracefulStop:
-    """Build the stop of a daemon that serves requests."""
+    """Build the state of the graceful stop of a daemon that is serving."""
     return GracefulStop(policy=policy)
--- a/packages/fennelfork/src/fennelfork/config/_parsed_document.py
+++ b/packages/fennelfork/src/fennelfork/config/_parsed_document.py
@@ -118,7 +118,9 @@
     }
     tree = unstructure_document(attrs.evolve(document, fronts=changed))
     fronts = tree[_FRONTS]
-    changed_texts = {name: _render_text(front) for name, front in fronts.items()}
+    changed_texts = {
+        name: _render_text(front) for name, front in fronts.items()
+    }
     reused_texts = {name: texts[name] for name in reused}
     fronts |= reused
     return ParsedDocument(
--- a/packages/fennelfork/src/fennelfork/config/_patch_event.py
+++ b/packages/fennelfork/src/fennelfork/config/_patch_event.py
@@ -32,14 +32,14 @@
 
 @attrs.frozen(kw_only=True)
 class DocumentRead:
-    """Event: the read succeeded."""
+    """Event: the read of the configuration key succeeded."""
 
     stored: StoredDocument
 
 
 @attrs.frozen(kw_only=True)
 class ReadFailed:
-    """Event: the read failed or timed out."""
+    """Event: the read of the configuration key failed or timed out."""
 
     detail: str
 
--- a/packages/fennelfork/src/fennelfork/config/_state.py
+++ b/packages/fennelfork/src/fennelfork/config/_state.py
@@ -21,7 +21,7 @@
 
 @enum.unique
 class ConfigSource(enum.StrEnum):
-    """Origin of a document."""
+    """Origin of a configuration document."""
 
     PLATFORM = 'platform'
     PEER = 'peer'
@@ -29,7 +29,7 @@
 
 @enum.unique
 class OfferOutcome(enum.StrEnum):
-    """Result of an offer of a document to a daemon.
+    """Result of an offer of a configuration document to a daemon.
 
     `ACCEPTED`: the document is active now. `SAME`: the document is already
     active. `OLDER`: the active version is higher. `CONFLICT`: the active
@@ -47,7 +47,7 @@
 
 @attrs.frozen(kw_only=True)
 class ActiveDocument:
-    """The active document with its origin.
+    """The active configuration document with its origin.
 
     Attributes:
         parsed: document with its JSON tree.
@@ -65,13 +65,13 @@
 
     @property
     def document(self) -> Document:
-        """The validated document."""
+        """The validated configuration document."""
         return self.parsed.document
 
 
 @attrs.frozen(kw_only=True)
 class ConfigAnomaly:
-    """A refused offer, recorded for operators.
+    """A refused configuration document, recorded for operators.
 
     Attributes:
         outcome: reason of the refusal.
@@ -92,7 +92,7 @@
 
 @attrs.define(kw_only=True)
 class ConfigState:
-    """The active document of a daemon; the version never decreases.
+    """Active configuration of a daemon; the version never decreases.
 
     Attributes:
         active: active document; none before the first document.
@@ -113,7 +113,7 @@
 
     @property
     def version(self) -> int:
-        """The active version; zero before the first document."""
+        """The active configuration version; zero before the first document."""
         return 0 if self.active is None else self.active.document.version
 
     @property
@@ -122,7 +122,7 @@
         return '' if self.active is None else self.active.digest
 
     def offer(self, raw: str | None, source: ConfigSource) -> OfferOutcome:
-        """Activate a document if it is valid and newer than the active one.
+        """Activate a configuration document if valid and newer.
 
         Args:
             raw: offered document; none if the source has no document.
@@ -184,7 +184,7 @@
         )
 
     def confirm_unchanged(self) -> None:
-        """Record that the key in the platform has not changed."""
+        """Record that the configuration key in the platform has not changed."""
         if ConfigSource.PLATFORM not in self.anomalies:
             self._confirm(ConfigSource.PLATFORM)
 
@@ -239,5 +239,5 @@
 
 
 def config_state(clock: Clock) -> ConfigState:
-    """Build the state of a daemon without an active document."""
+    """Build the state of a daemon without a configuration document."""
     return ConfigState(clock=clock)
--- a/packages/fennelfork/src/fennelfork/gather/_merge.py
+++ b/packages/fennelfork/src/fennelfork/gather/_merge.py
@@ -75,7 +75,7 @@
 
     @property
     def snapshot_gone(self) -> bool:
-        """Whether a sub-query failed because its snapshot is gone."""
+        """Whether a sub-query failed because its snapshot was removed."""
         return any(
             failure.code is FailureCode.SNAPSHOT_GONE
             for failure in self.failures
--- a/packages/fennelfork/src/fennelfork/home/__init__.py
+++ b/packages/fennelfork/src/fennelfork/home/__init__.py
@@ -1,5 +1,7 @@
 """Admission and scheduling of sub-queries at the home daemon of a shard.
 
+Home daemon: the daemon that schedules the requests of one shard.
+
 The public names are declared in `__init__.pyi` and imported on first use.
 """
 
--- a/packages/fennelfork/src/fennelfork/home/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/home/__init__.pyi
@@ -26,8 +26,8 @@
 from ._queue import FairQueue as FairQueue
 from ._route import HomeGroup as HomeGroup
 from ._route import data_centres_of as data_centres_of
-from ._route import homes_of as homes_of
 from ._route import group_shards_by_home as group_shards_by_home
+from ._route import homes_of as homes_of
 from ._scheduler import HomeScheduler as HomeScheduler
 from ._scheduler import home_scheduler as home_scheduler
 from ._slots import SlotTable as SlotTable
--- a/packages/fennelfork/src/fennelfork/home/_admission.py
+++ b/packages/fennelfork/src/fennelfork/home/_admission.py
@@ -22,8 +22,9 @@
 # Above 1, so that slots do not become idle; the resulting queue is subtracted
 # from the capacity.
 _TARGET_UTILISATION: Final = 1.05
-# Home daemons admit more than their level because root daemons already apply
-# the lowest level. A rejected sub-query wastes the others of its query.
+# Home daemons admit more than their admission level because root daemons
+# already apply the lowest level. A rejected sub-query wastes the other
+# sub-queries of its query.
 _LEVEL_MARGIN: Final = 1.15
 # Share of the remaining time that may be spent in the queue before the shard
 # counts as overloaded.
--- a/packages/fennelfork/src/fennelfork/home/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/home/_dispatch.py
@@ -104,8 +104,8 @@
 ) -> str | None:
     """Return the best eligible server with a free slot, or `None`.
 
-    A hedge goes to an untried server if there is one, even if it has to wait
-    for a slot.
+    A hedge goes to an untried server if there is such a server, even if the
+    hedge has to wait for a slot.
     """
     eligible = list(eligible_servers(blackboard, job.task))
     if hedge:
--- a/packages/fennelfork/src/fennelfork/home/_draining.py
+++ b/packages/fennelfork/src/fennelfork/home/_draining.py
@@ -41,5 +41,5 @@
 
 
 def draining_servers(clock: Clock) -> DrainingServers:
-    """Create a record without refusals."""
+    """Create a record without refusals of draining servers."""
     return DrainingServers(clock=clock)
--- a/packages/fennelfork/src/fennelfork/home/_gate.py
+++ b/packages/fennelfork/src/fennelfork/home/_gate.py
@@ -41,7 +41,7 @@
 
 @attrs.define(kw_only=True)
 class EntryGate:
-    """Rejects requests at the root that some home daemon would reject.
+    """Rejects requests at the root daemon that a home daemon would reject.
 
     A query needs all home daemons, so the lowest level applies. Decisions
     depend on the hash of the request id, so that all daemons agree.
@@ -53,7 +53,10 @@
     )
 
     def record_level(self, reported: AdmissionLevel) -> None:
-        """Record the level of a home daemon; a level of 1 removes the entry."""
+        """Record the admission level that a home daemon reported.
+
+        A level of 1 removes the entry.
+        """
         levels = self._reported_levels.setdefault(
             (reported.front, reported.flow), {}
         )
@@ -96,5 +99,5 @@
 
 
 def entry_gate(clock: Clock) -> EntryGate:
-    """Create a gate that admits all requests."""
+    """Create an admission gate that admits all requests at first."""
     return EntryGate(clock=clock)
--- a/packages/fennelfork/src/fennelfork/home/_intake.py
+++ b/packages/fennelfork/src/fennelfork/home/_intake.py
@@ -45,7 +45,7 @@
 
 
 def handle_timer(blackboard: ShardBlackboard, timer: Timer) -> list[Action]:
-    """Handle a timer that is due."""
+    """Handle a due timer of a job or an attempt."""
     if timer.attempt:
         return _handle_attempt_timer(blackboard, timer.attempt)
     job = blackboard.jobs.get(timer.job)
--- a/packages/fennelfork/src/fennelfork/home/_outcome.py
+++ b/packages/fennelfork/src/fennelfork/home/_outcome.py
@@ -24,7 +24,9 @@
 )
 
 
-def handle_reply(blackboard: ShardBlackboard, attempt_number: int) -> list[Action]:
+def handle_reply(
+    blackboard: ShardBlackboard, attempt_number: int
+) -> list[Action]:
     """Handle the valid response of an attempt."""
     attempt = end_attempt(blackboard, attempt_number)
     if attempt is None:
@@ -49,7 +51,7 @@
 def handle_failure(
     blackboard: ShardBlackboard, attempt_number: int, failure: Failure
 ) -> list[Action]:
-    """Handle a failed attempt: wait for others, retry, or refuse the job."""
+    """Handle a failed attempt: await others, retry, or refuse the job."""
     attempt = end_attempt(blackboard, attempt_number)
     if attempt is None:
         return []
@@ -69,7 +71,9 @@
     return [refuse(blackboard, job, failure)]
 
 
-def end_attempt(blackboard: ShardBlackboard, attempt_number: int) -> Attempt | None:
+def end_attempt(
+    blackboard: ShardBlackboard, attempt_number: int
+) -> Attempt | None:
     """Release the slot of an attempt that has ended."""
     attempt = blackboard.attempts.pop(attempt_number, None)
     if attempt is not None:
--- a/packages/fennelfork/src/fennelfork/home/_queue.py
+++ b/packages/fennelfork/src/fennelfork/home/_queue.py
@@ -120,7 +120,11 @@
             flow: flow of the new job.
             deadline_ms: deadline of the new job.
         """
-        waiting = [flow_queue for flow_queue in self._flows.values() if flow_queue.entries]
+        waiting = [
+            flow_queue
+            for flow_queue in self._flows.values()
+            if flow_queue.entries
+        ]
         own_queue = self._flows.get(flow)
         probe = Entry(
             deadline_ms=deadline_ms,
@@ -145,7 +149,9 @@
 
         Callers choose tenant names, so idle flows must not accumulate.
         """
-        self._virtual_time = max(flow_queue.turn for flow_queue in self._flows.values())
+        self._virtual_time = max(
+            flow_queue.turn for flow_queue in self._flows.values()
+        )
         self._flows.clear()
 
     def _get_flow_queue(self, flow: Flow) -> _FlowQueue:
--- a/packages/fennelfork/src/fennelfork/home/_route.py
+++ b/packages/fennelfork/src/fennelfork/home/_route.py
@@ -1,4 +1,7 @@
-"""Assignment of the shards of a query to home daemons."""
+"""Assignment of the shards of a query to home daemons.
+
+Home daemon: the daemon that schedules the requests of one shard.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -25,7 +28,7 @@
     shards: Iterable[str],
     avoided_members: frozenset[str],
 ) -> tuple[HomeGroup, ...]:
-    """Group shards by home daemon.
+    """Group the shards of a query by home daemon.
 
     Args:
         blackboard: blackboard with the configuration and the members.
@@ -35,8 +38,9 @@
             only if no other member is available.
 
     Returns:
-        The groups, without shards that are not configured. Unless the daemon
-        routes by home, the local daemon is the home of all shards.
+        The groups, without shards that are not configured. Unless the
+        daemon routes by home daemon, the local daemon is the home daemon of
+        all shards.
     """
     if blackboard.routing is not RoutingMode.HOME:
         return _build_local_group(blackboard, front, shards, avoided_members)
@@ -54,7 +58,7 @@
 
 
 def homes_of(groups: Iterable[HomeGroup]) -> frozenset[str]:
-    """Return the names of the home daemons of groups."""
+    """Return the names of the home daemons of groups of shards."""
     return frozenset(group.home.name for group in groups)
 
 
@@ -74,7 +78,7 @@
 ) -> tuple[HomeGroup, ...]:
     known = blackboard.document.fronts[front].shards
     local_shards = known.keys() & set(shards)
-    # The local daemon is the only home, so there is no alternative.
+    # The local daemon is the only home daemon, without an alternative.
     if not local_shards or blackboard.local.name in avoided_members:
         return ()
     return (HomeGroup(home=blackboard.local, shards=frozenset(local_shards)),)
--- a/packages/fennelfork/src/fennelfork/home/_scheduler.py
+++ b/packages/fennelfork/src/fennelfork/home/_scheduler.py
@@ -49,7 +49,7 @@
 
     @property
     def busy(self) -> int:
-        """Number of slots in use."""
+        """Number of server slots in use."""
         return self._blackboard.slots.total
 
     @property
@@ -93,11 +93,13 @@
         return dispatch(self._blackboard)
 
     def withdraw(self, job: str) -> list[Action]:
-        """Cancel a job whose requester has gone."""
+        """Cancel a job whose requester no longer waits for the result."""
         unfinished_job = self._blackboard.jobs.get(job)
         if unfinished_job is None:
             return []
-        cancels = cancel_attempts(self._blackboard, unfinished_job, is_lost=False)
+        cancels = cancel_attempts(
+            self._blackboard, unfinished_job, is_lost=False
+        )
         cancelled = not_run(
             FailureCode.CANCELLED,
             'the requester no longer waits for the result',
--- a/packages/fennelfork/src/fennelfork/membership/__init__.pyi
+++ b/packages/fennelfork/src/fennelfork/membership/__init__.pyi
@@ -1,8 +1,8 @@
 """Gossip-based membership of the daemons, after the SWIM protocol."""
 
-from ._announce import announce_local_member as announce_local_member
 from ._announce import announce_exit as announce_exit
 from ._announce import announce_leave as announce_leave
+from ._announce import announce_local_member as announce_local_member
 from ._announce import leave_is_announced as leave_is_announced
 from ._member import Member as Member
 from ._member import MemberStatus as MemberStatus
--- a/packages/fennelfork/src/fennelfork/membership/_announce.py
+++ b/packages/fennelfork/src/fennelfork/membership/_announce.py
@@ -8,7 +8,7 @@
 
 
 def announce_local_member(fleet: Membership, local: Member) -> None:
-    """Update the record of the local daemon and gossip a changed record."""
+    """Store the member record of the local daemon; gossip it if changed."""
     if local != fleet.view.local:
         fleet.view.update_local(local)
         fleet.schedule.extra_probes.add_gossip_probes(
--- a/packages/fennelfork/src/fennelfork/membership/_extra_probes.py
+++ b/packages/fennelfork/src/fennelfork/membership/_extra_probes.py
@@ -58,7 +58,7 @@
         return True
 
     def take_leave_targets(self) -> tuple[str, ...]:
-        """Remove and return the leave targets of this step."""
+        """Remove and return the members to inform of a leave in this step."""
         count = self.policy.leave_probes_per_step
         names = tuple(self.leave_targets[:count])
         self.leave_targets = self.leave_targets[count:]
--- a/packages/fennelfork/src/fennelfork/membership/_health.py
+++ b/packages/fennelfork/src/fennelfork/membership/_health.py
@@ -23,7 +23,7 @@
         return 1 + self.score
 
     def improve(self) -> None:
-        """Record an acknowledgement in time."""
+        """Record that a probe was acknowledged in time."""
         self.score = max(0, self.score - 1)
 
     def degrade(self) -> None:
--- a/packages/fennelfork/src/fennelfork/membership/_member_table.py
+++ b/packages/fennelfork/src/fennelfork/membership/_member_table.py
@@ -27,7 +27,8 @@
     different times.
 
     Attributes:
-        epoch: number that rises with each change of homes or entry answers.
+        epoch: number that rises with each change of home daemons or entry
+            answers.
         live_count: number of members that are not dead.
     """
 
@@ -39,7 +40,7 @@
 
     @property
     def digests(self) -> bytes:
-        """The digests of all buckets, concatenated."""
+        """The digests of all buckets of members, concatenated."""
         return b''.join(
             digest.to_bytes(_DIGEST_BYTES, 'big') for digest in self._digests
         )
@@ -104,7 +105,9 @@
         buckets = set(self._find_differing_buckets(digests))
         if not buckets:
             return ()
-        differing_members = [member for member in self if _bucket_of(member.name) in buckets]
+        differing_members = [
+            member for member in self if _bucket_of(member.name) in buckets
+        ]
         rng.shuffle(differing_members)
         return tuple(differing_members[:limit])
 
--- a/packages/fennelfork/src/fennelfork/membership/_policy.py
+++ b/packages/fennelfork/src/fennelfork/membership/_policy.py
@@ -1,4 +1,4 @@
-"""Times and limits of membership."""
+"""Times and limits of the membership protocol."""
 
 import math
 from typing import Final
@@ -10,7 +10,7 @@
 
 @attrs.frozen(kw_only=True)
 class MembershipPolicy:
-    """Times and limits, equal in all daemons of a fleet.
+    """Times and limits of the membership protocol, equal in all daemons.
 
     Attributes:
         period_ms: interval between regular probes.
--- a/packages/fennelfork/src/fennelfork/membership/_view.py
+++ b/packages/fennelfork/src/fennelfork/membership/_view.py
@@ -204,7 +204,9 @@
     return ()
 
 
-def _find_matching_names(table: MemberTable, received: Iterable[Member]) -> set[str]:
+def _find_matching_names(
+    table: MemberTable, received: Iterable[Member]
+) -> set[str]:
     matching = set()
     for claim in received:
         known = table.get(claim.name)
--- a/packages/fennelfork/src/fennelfork/membership/_vm_list.py
+++ b/packages/fennelfork/src/fennelfork/membership/_vm_list.py
@@ -29,7 +29,7 @@
     _rng: random.Random
 
     def record_read(self, *, succeeded: bool) -> None:
-        """Record the result of a read."""
+        """Record whether a read of the VM list succeeded."""
         self.failures = 0 if succeeded else self.failures + 1
 
     def wait_ms(self, *, is_alone: bool, is_watching: bool) -> float:
--- a/packages/fennelfork/src/fennelfork/once/_caller.py
+++ b/packages/fennelfork/src/fennelfork/once/_caller.py
@@ -14,7 +14,7 @@
 
 @enum.unique
 class CallerStep(enum.Enum):
-    """Next step of the caller.
+    """Next step of a caller that sent a non-idempotent request.
 
     `ASK_AGAIN`: send the same id under the same ticket, to any daemon. `RENEW`:
     obtain a new ticket, and thus use a new id. `LOOK_UP`: stop sending and read
@@ -55,7 +55,7 @@
 
 @attrs.define(kw_only=True)
 class OnceCaller:
-    """One operation that a caller wants executed at most once.
+    """Request of a caller that must be executed at most once.
 
     Attributes:
         is_in_doubt: whether an attempt under the current ticket may have run.
@@ -66,7 +66,7 @@
     def next_step(
         self, event: CallerEvent, ticket_left_ms: float
     ) -> CallerStep:
-        """Return the next step after an event.
+        """Return the next step of the caller after an event.
 
         Args:
             event: result of the last attempt.
--- a/packages/fennelfork/src/fennelfork/once/_gate.py
+++ b/packages/fennelfork/src/fennelfork/once/_gate.py
@@ -133,7 +133,8 @@
         if ticket_terms.daemon != self._key.daemon:
             return Success(
                 ForwardToPeer(
-                    daemon=ticket_terms.daemon, incarnation=ticket_terms.incarnation
+                    daemon=ticket_terms.daemon,
+                    incarnation=ticket_terms.incarnation,
                 ),
             )
         if ticket_terms.incarnation != self._key.incarnation:
@@ -149,7 +150,7 @@
     rng: random.Random,
     limits: OnceLimits | None = None,
 ) -> OnceGate:
-    """Build the gate of a new incarnation.
+    """Build the ticket issuer and request table of a new incarnation.
 
     Args:
         key: secret key of the incarnation.
--- a/packages/fennelfork/src/fennelfork/once/_table.py
+++ b/packages/fennelfork/src/fennelfork/once/_table.py
@@ -103,7 +103,7 @@
         ticket: Ticket,
         request: OnceRequest,
     ) -> Result[OnceAdmission, Failure]:
-        """Decide on a request with a valid ticket that is bound to its id.
+        """Decide on a request whose id is bound to a valid ticket.
 
         Args:
             ticket: ticket that passed `check_binding` and `check_ticket`.
--- a/packages/fennelfork/src/fennelfork/once/_ticket.py
+++ b/packages/fennelfork/src/fennelfork/once/_ticket.py
@@ -70,20 +70,20 @@
 
 @attrs.frozen(kw_only=True)
 class TicketKey:
-    """Secret key of one incarnation, never stored and never sent."""
+    """Ticket signing key of one incarnation, never stored and never sent."""
 
     daemon: str
     incarnation: int
     _secret: bytes = attrs.field(repr=False)
 
     def mac(self, signed: str) -> str:
-        """Return the message authentication code of `signed`."""
+        """Return the message authentication code of the text `signed`."""
         code = hmac.new(self._secret, signed.encode(), hashlib.sha256)
         return code.hexdigest()[:_MAC_CHARS]
 
 
 def ticket_key(daemon: str, incarnation: int, secret: bytes) -> TicketKey:
-    """Build the key of an incarnation.
+    """Build the ticket signing key of one incarnation of a daemon.
 
     Args:
         daemon: name of the daemon.
@@ -109,7 +109,7 @@
     """Issue a ticket that expires after `lifetime_ms`.
 
     Args:
-        key: key of the issuing incarnation.
+        key: ticket signing key of the issuing incarnation.
         clock: monotonic clock of the incarnation.
         rng: source of the serial.
         lifetime_ms: time within which execution may start under the ticket.
@@ -148,7 +148,9 @@
     except (ValueError, binascii.Error, cattrs.BaseValidationError):
         return Failed(unknown_outcome('the ticket is malformed'))
     signed = _FIELD_SEPARATOR.join((serial, payload))
-    return Success(Ticket(serial=serial, terms=ticket_terms, signed=signed, mac=mac))
+    return Success(
+        Ticket(serial=serial, terms=ticket_terms, signed=signed, mac=mac)
+    )
 
 
 def check_ticket(key: TicketKey, ticket: Ticket) -> Result[Ticket, Failure]:
--- a/packages/fennelfork/src/fennelfork/placement/_config_follow.py
+++ b/packages/fennelfork/src/fennelfork/placement/_config_follow.py
@@ -27,7 +27,7 @@
 
 @attrs.frozen(kw_only=True)
 class FollowPolicy:
-    """Intervals and limits for reads and polls.
+    """Intervals and limits for configuration reads and polls.
 
     Attributes:
         read_interval_ms: interval between reads of the platform by a watcher,
@@ -54,7 +54,7 @@
 
 @attrs.define(kw_only=True)
 class ConfigFollower:
-    """Schedule of the reads and polls of one daemon.
+    """Schedule of configuration reads and polls of one daemon.
 
     Attributes:
         policy: intervals and limits.
@@ -99,7 +99,7 @@
         )
 
     def is_read_due(self) -> bool:
-        """Whether a read of the platform is due."""
+        """Whether a read of the configuration from the platform is due."""
         return self._clock.now_ms() >= self.next_read_ms
 
     def defer_role_check(self) -> None:
@@ -133,7 +133,7 @@
         )
 
     def record_poll(self, *, answered: bool) -> None:
-        """Record the end of a poll and schedule the next poll."""
+        """Record the end of a poll of a peer and schedule the next poll."""
         now_ms = self._clock.now_ms()
         if answered:
             self.last_answer_ms = now_ms
@@ -171,7 +171,7 @@
         local: Member,
         members: Iterable[Member],
     ) -> tuple[Member, ...]:
-        """Choose random peers with an older version to notify."""
+        """Choose random peers with an older configuration to notify."""
         peers = [
             peer
             for peer in _reachable_peers(local, members)
@@ -191,7 +191,7 @@
     jitter: random.Random,
     policy: FollowPolicy | None = None,
 ) -> ConfigFollower:
-    """Build the schedule of a daemon that starts now.
+    """Build the schedule of configuration reads of a starting daemon.
 
     Args:
         clock: monotonic clock.
--- a/packages/fennelfork/src/fennelfork/placement/_home_index.py
+++ b/packages/fennelfork/src/fennelfork/placement/_home_index.py
@@ -1,4 +1,7 @@
-"""Index of the home daemons of shards."""
+"""Index of home daemons.
+
+Home daemon: the daemon that schedules the requests of one shard.
+"""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from itertools import product
@@ -25,7 +28,7 @@
 
 @attrs.define(kw_only=True)
 class HomeIndex:
-    """Members grouped by state and data centre, with a cache of homes.
+    """Members by state and data centre, with a cache of home daemons.
 
     The index is valid for one membership; a change of the members requires a
     new index. The first look-up of a shard hashes each member of a data centre,
@@ -47,7 +50,7 @@
         Args:
             front: name of the search front.
             shard: name of the shard within the front.
-            data_centres: preferred data centres of the home, best first.
+            data_centres: preferred data centres of the home daemon, best first.
             avoided_members: names of members to use only if no other member is usable.
 
         Returns:
@@ -99,7 +102,7 @@
 
 
 def home_index(members: Iterable[Member]) -> HomeIndex:
-    """Build the index of the given members."""
+    """Build the index of home daemons from the members of the fleet."""
     groups: dict[_Group, list[Member]] = {}
     for member in members:
         key = (member.is_ready, member.state, member.data_centre)
--- a/packages/fennelfork/src/fennelfork/placement/_peer_health.py
+++ b/packages/fennelfork/src/fennelfork/placement/_peer_health.py
@@ -1,4 +1,4 @@
-"""Failures of peers as observed by one root daemon.
+"""Failures of peer daemons as observed by one root daemon.
 
 Membership detects a crashed daemon after seconds. A root daemon avoids an
 unresponsive peer immediately, for a pause that doubles with each failure.
@@ -22,14 +22,14 @@
 
 @attrs.define(kw_only=True)
 class PeerHealth:
-    """Unresponsive peers by name."""
+    """Unresponsive peer daemons by name."""
 
     _clock: Clock
     _avoidances: dict[str, _Avoidance] = attrs.field(factory=dict)
 
     @property
     def avoided(self) -> frozenset[str]:
-        """Names of the peers to avoid now."""
+        """Names of the peer daemons to avoid now."""
         now_ms = self._clock.now_ms()
         return frozenset(
             name
@@ -58,5 +58,5 @@
 
 
 def peer_health(clock: Clock) -> PeerHealth:
-    """Build the peer health of a root daemon without recorded failures."""
+    """Build a record without failures of peer daemons."""
     return PeerHealth(clock=clock)
--- a/packages/fennelfork/src/fennelfork/placement/_rendezvous.py
+++ b/packages/fennelfork/src/fennelfork/placement/_rendezvous.py
@@ -26,7 +26,7 @@
     data_centres: Sequence[str],
     members: Iterable[Member],
 ) -> Member | None:
-    """Return the home of one shard; `HomeIndex.home` caches repeated look-ups."""
+    """Return the home daemon of one shard, without the cache of `HomeIndex`."""
     return home_index(members).find_home(front, shard, data_centres)
 
 
--- a/packages/fennelfork/src/fennelfork/placement/_weight.py
+++ b/packages/fennelfork/src/fennelfork/placement/_weight.py
@@ -8,7 +8,7 @@
 
 
 def weight_key(*parts: str) -> int:
-    """Return the hash key of the work to assign."""
+    """Return the hash key of a shard or another unit of work to assign."""
     return xxhash.xxh64_intdigest('\0'.join(parts).encode())
 
 
--- a/packages/fennelfork/src/fennelfork/routes/_attempt_gate.py
+++ b/packages/fennelfork/src/fennelfork/routes/_attempt_gate.py
@@ -93,7 +93,7 @@
 
 
 def attempt_gate(*, suspected: bool) -> AttemptGate:
-    """Build the gate of a request that has no attempts yet.
+    """Build the attempt gate of a request that has no attempts yet.
 
     Args:
         suspected: whether backend servers crashed during earlier attempts of
--- a/packages/fennelfork/src/fennelfork/routes/_connection_share.py
+++ b/packages/fennelfork/src/fennelfork/routes/_connection_share.py
@@ -29,11 +29,11 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether daemons that started with this one had time to register."""
+        """Whether daemons that started at the same time could register."""
         return self._fleet.is_settled
 
     def connection_limit_for(self, service: str) -> int:
-        """Return the maximum of connections to each server of a service."""
+        """Return the maximum number of connections to a server of a service."""
         known = self.services.get(service)
         limit = _DEFAULT_CONNECTIONS if known is None else known.connections
         daemons = self._fleet.max_size
--- a/packages/fennelfork/src/fennelfork/routes/_dispatch.py
+++ b/packages/fennelfork/src/fennelfork/routes/_dispatch.py
@@ -124,7 +124,7 @@
         return sends
 
     def send_hedges(self, now_ms: float) -> list[Send]:
-        """Send the hedges that are due."""
+        """Send the hedges of sub-requests that are due."""
         sends = []
         for sub_request in self.sub_requests.values():
             if sub_request.is_waiting and now_ms >= sub_request.hedge_at_ms:
@@ -148,7 +148,7 @@
         return None
 
     def next_timer_ms(self, now_ms: float) -> float:
-        """Return the next time at which hedges or the end may be due."""
+        """Return the next time at which hedges or the timeout may be due."""
         due = [
             sub_request.hedge_at_ms
             for sub_request in self.sub_requests.values()
@@ -174,7 +174,7 @@
     *,
     suspect_services: Collection[str] = (),
 ) -> Dispatch[_Part]:
-    """Create the dispatch of one request.
+    """Create the state that decides on the attempts of one request.
 
     Args:
         route: route of the request.
@@ -188,7 +188,9 @@
     """
     came_ms, left_ms = times
     timeout_ms = min(left_ms, route.timeout_ms)
-    ordered = sorted(services, key=lambda service: service not in suspect_services)
+    ordered = sorted(
+        services, key=lambda service: service not in suspect_services
+    )
     return Dispatch(
         route=route,
         latency_baseline=latency_baseline,
--- a/packages/fennelfork/src/fennelfork/routes/_fleet_size.py
+++ b/packages/fennelfork/src/fennelfork/routes/_fleet_size.py
@@ -31,7 +31,7 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether daemons that started with this one had time to register."""
+        """Whether daemons that started at the same time could register."""
         return self._clock.now_ms() - self._first_ms >= _SETTLING_MS
 
     @property
@@ -48,7 +48,7 @@
         self._seen.append((now_ms, max(1, count)))
 
     def _discard_old(self) -> None:
-        """Discard counts that were superseded before the window began."""
+        """Discard fleet sizes that were superseded before the window began."""
         oldest_ms = self._clock.now_ms() - self._window_ms
         replaced = sum(at_ms <= oldest_ms for at_ms, _count in self._seen)
         self._seen = self._seen[max(0, replaced - 1) :]
--- a/packages/fennelfork/src/fennelfork/routes/_quarantine.py
+++ b/packages/fennelfork/src/fennelfork/routes/_quarantine.py
@@ -33,7 +33,7 @@
 
 @attrs.frozen(kw_only=True)
 class Quarantine:
-    """Suspicions of one daemon and the rules that quarantine requests.
+    """Suspected poison requests of a daemon, and the quarantine rules.
 
     Attributes:
         exchange: synchronisation of the suspicions with other daemons.
@@ -45,7 +45,7 @@
 
     @property
     def records(self) -> tuple[SuspicionRecord, ...]:
-        """The records of all suspicions of this daemon."""
+        """Records of all requests that this daemon suspects."""
         return self.exchange.records
 
     def find(self, fingerprint: str) -> Suspicion | None:
@@ -104,7 +104,7 @@
         return self.release(fingerprint)
 
     def release(self, fingerprint: str) -> bool:
-        """Release a request.
+        """Release a request from quarantine or suspicion.
 
         Args:
             fingerprint: fingerprint of the request.
@@ -133,7 +133,7 @@
 
 
 def quarantine(clock: Clock, wall: Clock) -> Quarantine:
-    """Build the quarantine of a daemon without any suspicions.
+    """Build the quarantine of a daemon without suspected requests.
 
     Args:
         clock: monotonic clock of the daemon.
--- a/packages/fennelfork/src/fennelfork/routes/_records.py
+++ b/packages/fennelfork/src/fennelfork/routes/_records.py
@@ -9,7 +9,7 @@
 
 
 def largest_records(parts: Iterable[bytes], max_records: int) -> bytes:
-    """Return the greatest records of all parts in descending order.
+    """Return the greatest records of all responses in descending order.
 
     Args:
         parts: concatenated records in any order. Equal records are not
--- a/packages/fennelfork/src/fennelfork/routes/_registry.py
+++ b/packages/fennelfork/src/fennelfork/routes/_registry.py
@@ -15,7 +15,7 @@
 
 @attrs.define(kw_only=True)
 class Registry(Generic[_Entry]):
-    """Registered entries, by name.
+    """Entries registered in the store, by name.
 
     After a store outage, an entry that is missing is kept for a grace period,
     because its owner may not have registered again yet.
@@ -39,7 +39,7 @@
         return self._entries
 
     def put(self, name: str, entry: _Entry) -> _Entry | None:
-        """Add or replace an entry.
+        """Add or replace a registered entry.
 
         Returns:
             The previous entry of this name, if any.
--- a/packages/fennelfork/src/fennelfork/routes/_retry_budget.py
+++ b/packages/fennelfork/src/fennelfork/routes/_retry_budget.py
@@ -79,10 +79,13 @@
         return True
 
     def _compute_limit(self, window: _SlidingWindow) -> float:
-        return self.policy.ratio * len(window.requests) + self._compute_fixed_share()
+        return (
+            self.policy.ratio * len(window.requests)
+            + self._compute_fixed_share()
+        )
 
     def _compute_fixed_share(self) -> float:
-        """Return the share of this daemon in the fixed number.
+        """Return the extra attempts of this daemon out of the fixed number.
 
         The share is zero during the first window after the start, because a
         previous incarnation of this daemon may have used it already.
--- a/packages/fennelfork/src/fennelfork/routes/_selection.py
+++ b/packages/fennelfork/src/fennelfork/routes/_selection.py
@@ -47,7 +47,10 @@
         if self.is_local(data_centre):
             return 0
         own_region = self.region_of.get(self.data_centre)
-        if own_region is not None and self.region_of.get(data_centre) == own_region:
+        if (
+            own_region is not None
+            and self.region_of.get(data_centre) == own_region
+        ):
             return _OTHER_DATA_CENTRE_MS
         return (
             _OTHER_REGION_MS + _OTHER_REGION_TARGET_FRACTION * latency_target_ms
@@ -114,7 +117,8 @@
             return None
         preferred = by_availability[min(by_availability)]
         chosen = choose_candidate(
-            self._build_candidates(preferred, wanted.latency_baseline), self._rng
+            self._build_candidates(preferred, wanted.latency_baseline),
+            self._rng,
         )
         return None if chosen is None else servers[chosen.server]
 
--- a/packages/fennelfork/src/fennelfork/routes/_server_directory.py
+++ b/packages/fennelfork/src/fennelfork/routes/_server_directory.py
@@ -54,7 +54,7 @@
     _changes: int = 0
 
     def usable_servers(self, service: str) -> list[BackendServer]:
-        """Return the servers of a service that are not draining."""
+        """Return the registered servers of a service that are not draining."""
         self._update_index()
         return self._by_service.get(service, [])
 
--- a/packages/fennelfork/src/fennelfork/routes/_server_state.py
+++ b/packages/fennelfork/src/fennelfork/routes/_server_state.py
@@ -109,7 +109,7 @@
     _states: dict[str, ServerState] = attrs.field(factory=dict)
 
     def for_incarnation(self, incarnation: str) -> ServerState:
-        """Return the state of an incarnation, created on first use."""
+        """Return the state of a server incarnation, created on first use."""
         state = self._states.get(incarnation)
         if state is None:
             state = ServerState()
@@ -117,6 +117,6 @@
         return state
 
     def retain(self, incarnations: set[str]) -> None:
-        """Remove the states of all incarnations that are not listed."""
+        """Remove the states of all server incarnations that are not listed."""
         for incarnation in self._states.keys() - incarnations:
             self._states.pop(incarnation)
--- a/packages/fennelfork/src/fennelfork/routes/_store_polling.py
+++ b/packages/fennelfork/src/fennelfork/routes/_store_polling.py
@@ -99,7 +99,7 @@
 
 
 def store_polling(fleet: FleetSize, max_age_ms: float) -> StorePolling:
-    """Create the store polling of a daemon.
+    """Create the timeouts and delays of the store calls of a daemon.
 
     Args:
         fleet: number of daemons that poll the store.
--- a/packages/fennelfork/src/fennelfork/routes/_suspicion.py
+++ b/packages/fennelfork/src/fennelfork/routes/_suspicion.py
@@ -49,7 +49,7 @@
 
 @attrs.frozen(kw_only=True)
 class SuspicionRecord:
-    """Suspicion as daemons exchange it through the store.
+    """Record of a suspected poison request, exchanged through the store.
 
     Attributes:
         fingerprint: fingerprint of the request.
@@ -150,7 +150,7 @@
         revision: int,
         now_ms: float,
     ) -> None:
-        """Merge a record from the store into this suspicion.
+        """Merge a suspicion record from the store into this suspicion.
 
         The arrival of a record does not tell when its crashes happened, so
         only the daemons that observed a crash count isolated crashes. The
--- a/packages/fennelfork/src/fennelfork/routes/_suspicion_exchange.py
+++ b/packages/fennelfork/src/fennelfork/routes/_suspicion_exchange.py
@@ -1,4 +1,4 @@
-"""Synchronisation of suspicions between daemons through the store."""
+"""Synchronisation of suspected poison requests through the store."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -26,10 +26,10 @@
 
 @attrs.frozen(kw_only=True)
 class SuspicionExchange:
-    """Synchronises the suspicions of one daemon with the store.
+    """Synchronises the suspected poison requests of a daemon with the store.
 
     Attributes:
-        table: suspicions of this daemon.
+        table: poison requests that this daemon suspects.
     """
 
     table: SuspicionTable
@@ -38,32 +38,32 @@
 
     @property
     def records(self) -> tuple[SuspicionRecord, ...]:
-        """The records of all suspicions of this daemon."""
+        """Records of all requests that this daemon suspects."""
         return tuple(map(self.record_of, self.table))
 
     @property
     def has_durable_changes(self) -> bool:
-        """Whether a pending change affects the behaviour of other daemons."""
+        """Whether a change of a durable suspicion awaits publication."""
         return any(
             self.table[changed].is_durable for changed in self._pending.changed
         )
 
     def record_of(self, fingerprint: str) -> SuspicionRecord:
-        """Return the record of a request for other daemons."""
+        """Return the suspicion record of a request for other daemons."""
         known = self.table.find(fingerprint) or _NO_SUSPICION
         return known.to_record(fingerprint)
 
     def publish(self, fingerprint: str) -> None:
-        """Queue the record of a request for publication."""
+        """Queue the suspicion record of a request for publication."""
         self.table[fingerprint].is_own = True
         self._pending.mark_changed(fingerprint)
 
     def remove(self, fingerprint: str) -> None:
-        """Remove a suspicion from the table and queue its store removal."""
+        """Remove a suspicion, and queue the removal from the store."""
         self._queue_removal(fingerprint, self.table.pop(fingerprint))
 
     def take_updates(self, max_transient: int) -> SuspicionUpdates:
-        """Return the changes to publish and clear the queue.
+        """Return the changed suspicions to publish and clear the queue.
 
         Args:
             max_transient: maximum number of suspicions without an isolated
@@ -82,7 +82,7 @@
         return self._pending.take_all(self.record_of)
 
     def requeue(self, updates: SuspicionUpdates) -> None:
-        """Queue changes again that the store did not accept."""
+        """Queue changes of suspicions again that the store did not accept."""
         for record in updates.records:
             if record.fingerprint in self.table:
                 self.publish(record.fingerprint)
@@ -159,7 +159,7 @@
         known: Suspicion,
         stored: SuspicionRecord,
     ) -> None:
-        """Publish again if another daemon overwrote the record."""
+        """Publish a suspicion again if another daemon overwrote the record."""
         if known.to_record(stored.fingerprint) == stored:
             self._pending.discard(stored.fingerprint)
         elif known.is_own and known.status is not stored.status:
--- a/packages/fennelfork/src/fennelfork/routes/_suspicion_table.py
+++ b/packages/fennelfork/src/fennelfork/routes/_suspicion_table.py
@@ -1,4 +1,4 @@
-"""Bounded table of suspicions with expiry."""
+"""Bounded table of suspected poison requests, with expiry."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -22,7 +22,7 @@
 
 @attrs.frozen(kw_only=True)
 class SuspicionTable:
-    """Suspicions by the fingerprint of the request, bounded in number."""
+    """Suspected poison requests by fingerprint, bounded in number."""
 
     _clock: Clock
     _wall: Clock
@@ -49,7 +49,7 @@
         return self._known.get(fingerprint)
 
     def create(self, fingerprint: str) -> Suspicion:
-        """Insert an empty suspicion, which replaces an existing one."""
+        """Insert an empty suspicion; replace an existing suspicion."""
         now_ms = self._clock.now_ms()
         known = Suspicion(updated_ms=now_ms, status_since_ms=now_ms)
         self._known[fingerprint] = known
@@ -64,7 +64,7 @@
         return self._known.pop(fingerprint)
 
     def evict_suspicions(self) -> list[tuple[str, Suspicion]]:
-        """Remove and return expired and surplus suspicions.
+        """Remove and return expired and surplus suspicions of requests.
 
         Surplus suspicions are evicted in the order transient, durable,
         quarantined, and within each group from the oldest on.
@@ -89,7 +89,7 @@
 
 
 def suspicion_table(clock: Clock, wall: Clock) -> SuspicionTable:
-    """Build an empty table of suspicions.
+    """Build an empty table of suspected poison requests.
 
     Args:
         clock: monotonic clock of the daemon.
--- a/packages/fennelfork/src/fennelfork/routes/_suspicion_updates.py
+++ b/packages/fennelfork/src/fennelfork/routes/_suspicion_updates.py
@@ -1,4 +1,4 @@
-"""Changes of suspicions that are not yet published to the store."""
+"""Unpublished changes of suspicions of poison requests."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(kw_only=True)
 class SuspicionUpdates:
-    """Batch of changes to publish to the store.
+    """Batch of changed suspicions to publish to the store.
 
     Attributes:
         records: records of requests whose suspicion changed.
@@ -37,12 +37,12 @@
         return tuple(self._changed)
 
     def mark_changed(self, fingerprint: str) -> None:
-        """Queue the record of a request for publication."""
+        """Queue the suspicion record of a request for publication."""
         self._removed.pop(fingerprint, None)
         self._changed[fingerprint] = None
 
     def mark_removed(self, fingerprint: str) -> None:
-        """Queue the removal of the entry of a request."""
+        """Queue the removal of the store entry of a request."""
         self._changed.pop(fingerprint, None)
         self._removed[fingerprint] = None
 
--- a/packages/fennelfork/src/fennelfork/servers/_budget.py
+++ b/packages/fennelfork/src/fennelfork/servers/_budget.py
@@ -40,7 +40,7 @@
 
 
 def budget(ratio: float, limit: float, initial: float = 0) -> Budget:
-    """Create a budget.
+    """Create a budget for extra attempts.
 
     Args:
         ratio: number of tokens added by one deposit, at least 0.
--- a/packages/fennelfork/src/fennelfork/servers/_connection.py
+++ b/packages/fennelfork/src/fennelfork/servers/_connection.py
@@ -125,7 +125,9 @@
         }
         close = {connection} | (peers & self._idle_since_ms.keys())
         self._invalidated |= peers - close
-        return tuple(self._remove(connection_id) for connection_id in sorted(close))
+        return tuple(
+            self._remove(connection_id) for connection_id in sorted(close)
+        )
 
     def invalidate_all(self) -> tuple[int, ...]:
         """Invalidate all connections, and return the idle ones to close now."""
--- a/packages/fennelfork/tests/test_membership.py
+++ b/packages/fennelfork/tests/test_membership.py
@@ -9,9 +9,9 @@
 
 from fennelfork.membership import (
     MemberStatus,
-    announce_local_member,
     announce_exit,
     announce_leave,
+    announce_local_member,
     leave_is_announced,
 )
 
