--- a/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/execute/_targets.py
@@ -42,7 +42,7 @@
             request: request that names the record.
             deadline_at_ms: clock reading of the deadline, in milliseconds.
         """
-        front = self._board.front(request.front)
+        front = self._board.find_front(request.front)
         if front is None:
             detail = f'there is no front {request.front!r}'
             return Failed(not_run(FailureCode.UNKNOWN_FRONT, detail))
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/home/_runners.py
@@ -108,7 +108,7 @@
 
     def _configured_entry(self, name: ShardName) -> _RunnerEntry | None:
         """Return the runner of a shard, updated to the active configuration."""
-        front = self._board.front(name.front)
+        front = self._board.find_front(name.front)
         if front is None or name.shard not in front.shards:
             return None
         entry = self._entries.get(name)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_service.py
@@ -52,7 +52,7 @@
             The answer with its coverage, or a failure whose verdict says
             whether any part of the query may have run.
         """
-        front = self._board.front(request.front)
+        front = self._board.find_front(request.front)
         if front is None:
             detail = f'there is no front {request.front!r}'
             return Bad(not_run(FailureCode.UNKNOWN_FRONT, detail))
