--- a/packages/fennelfork-bench/src/fennelfork_bench/_vms_app.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/_vms_app.py
@@ -25,11 +25,11 @@
 
 @attrs.frozen(kw_only=True)
 class VmListVersion:
-    """List of VMs from one point in time on.
+    """Version of the VM list that replaces the previous version.
 
     Attributes:
-        at_ms: time of the change in milliseconds.
-        vms: VMs of the list.
+        at_ms: time of the replacement in milliseconds.
+        vms: VMs in this version of the list.
     """
 
     at_ms: float
--- a/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_reported_status.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/backend_server/_reported_status.py
@@ -12,7 +12,10 @@
 
 @attrs.define(kw_only=True)
 class ReportedStatus:
-    """Reported health and load of a server, changed by the health fault."""
+    """Reported health and load of a server.
+
+    An injected health fault changes or delays the reported values.
+    """
 
     _state: ServerState
     _health: Health
--- a/packages/fennelfork-bench/src/fennelfork_bench/checks/_base.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/checks/_base.py
@@ -86,7 +86,7 @@
 
 
 def caller_attempts(history: History) -> tuple[CallerAttempt, ...]:
-    """Pair each sent request with its ends, in the order of sending."""
+    """Return each sent request with its outcome events, in sending order."""
     ends: dict[str, list[Ended]] = {}
     for end in history.of_type(Ended):
         ends.setdefault(end.attempt, []).append(end)
--- a/packages/fennelfork-bench/src/fennelfork_bench/experiments/_stop.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/experiments/_stop.py
@@ -84,7 +84,7 @@
 
 def _restart_daemon(fleet: Fleet, name: str, restarts: RestartStats) -> None:
     process = fleet.daemons[name]
-    fleet.list_as_leaving(name)
+    fleet.mark_vm_leaving(name)
     from_ms = _CLOCK.now_ms()
     process.terminate()
     if process.wait(_STOP_TIMEOUT_S) != 0:
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_fleet.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_fleet.py
@@ -83,8 +83,8 @@
         """Return the spec of a daemon by name."""
         return next(each for each in self.spec.daemons if each.name == name)
 
-    def list_as_leaving(self, name: str) -> None:
-        """Report the VM of a daemon as leaving in the VM list."""
+    def mark_vm_leaving(self, name: str) -> None:
+        """Mark the VM of a daemon as leaving in the VM list."""
         self._leaving.add(name)
         self.update_vm_list()
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/rig/_specs.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/rig/_specs.py
@@ -53,7 +53,7 @@
 
 @attrs.frozen(kw_only=True)
 class FrontSpec:
-    """Specification of one search front.
+    """Configuration of one search front of a test fleet.
 
     Attributes:
         name: name of the search front.
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_entry.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_entry.py
@@ -69,7 +69,7 @@
 
 
 def await_entries(fleet: Fleet) -> None:
-    """Wait until the entries of every daemon list all daemons.
+    """Wait until every daemon returns all daemons from `GET /v1/entries`.
 
     Raises:
         RigError: if a daemon is still missing after the timeout.
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault.py
@@ -33,7 +33,7 @@
         context: round whose processes are affected.
 
     Returns:
-        Function that clears the fault; `clear_nothing` if the fault is
+        Function that clears the fault; `skip_clearing` if the fault is
         permanent or clears itself.
     """
     raise TypeError(f'no injection is registered for {fault!r}')
@@ -48,7 +48,7 @@
     _record_change(fault, context, active=False)
 
 
-def clear_nothing() -> None:
+def skip_clearing() -> None:
     """Do nothing, for faults that are permanent or clear themselves."""
 
 
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_daemons.py
@@ -58,7 +58,7 @@
 @inject.register
 def _inject_stop(fault: StopDaemon, context: RoundContext) -> Clear:
     daemon = _draw_daemon(context)
-    context.fleet.list_as_leaving(daemon.name)
+    context.fleet.mark_vm_leaving(daemon.name)
     context.recorder.record_event(
         StopAsked(
             at_ms=context.recorder.now_ms(), daemon=daemon.ready['caller']
--- a/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
+++ b/packages/fennelfork-bench/src/fennelfork_bench/soak/_fault_servers.py
@@ -5,7 +5,7 @@
 import attrs
 
 from fennelfork_bench.history._server import DrainAsked
-from fennelfork_bench.soak._fault import Clear, Fault, clear_nothing, inject
+from fennelfork_bench.soak._fault import Clear, Fault, inject, skip_clearing
 from fennelfork_bench.soak._round_context import RoundContext
 from fennelfork_bench.soak._servers import send_control_command, server_events
 from fennelfork_bench.soak._targets import (
@@ -65,19 +65,19 @@
     for event in server_events(server):
         context.recorder.record_event(event)
     server.kill()
-    return clear_nothing
+    return skip_clearing
 
 
 @inject.register
 def _inject_freeze(fault: FreezeServer, context: RoundContext) -> Clear:
     set_server_faults(draw_server(context), freeze_ms=1000 * fault.hold_s)
-    return clear_nothing
+    return skip_clearing
 
 
 @inject.register
 def _inject_silence(fault: SilenceConnections, context: RoundContext) -> Clear:
     set_server_faults(draw_server(context), silence=True)
-    return clear_nothing
+    return skip_clearing
 
 
 @inject.register
@@ -100,4 +100,4 @@
     send_control_command(server, 'drain', {'draining': True})
     now_ms = context.recorder.now_ms()
     context.recorder.record_event(DrainAsked(at_ms=now_ms, server=server.name))
-    return clear_nothing
+    return skip_clearing
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/_green.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/_green.py
@@ -14,7 +14,7 @@
 
 warnings.filterwarnings('ignore', message=r'\s*Eventlet is deprecated')
 
-from fennelfork_daemon._blocked_imports import (  # noqa: E402  # after the filter
+from fennelfork_daemon._blocked_imports import (  # noqa: E402  # after the warning filter
     block_asyncio,
 )
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_entries_api.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/callers/_entries_api.py
@@ -45,7 +45,7 @@
         )
         return json_reply(
             {
-                'entries': [_describe_entry(member) for member in chosen],
+                'entries': [_serialise_entry(member) for member in chosen],
                 'ttl_ms': self._ttl_ms,
                 **self._issuer.ticket_fields(),
                 'config_version': self._blackboard.config_version,
@@ -53,7 +53,7 @@
         )
 
 
-def _describe_entry(member: Member) -> dict[str, Any]:
+def _serialise_entry(member: Member) -> dict[str, Any]:
     return {
         'address': member.caller,
         'daemon': member.name,
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_codec.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_codec.py
@@ -29,12 +29,12 @@
     try:
         raw = unpacker.decompress(packed, _MAX_BYTES).decode()
     except (zlib.error, ValueError) as error:
-        return Bad(_unreadable_failure(str(error)))
+        return Bad(_decode_failure(str(error)))
     if not unpacker.eof:
-        return Bad(_unreadable_failure('the document is truncated or too long'))
+        return Bad(_decode_failure('the document is truncated or too long'))
     return Success(raw)
 
 
-def _unreadable_failure(reason: str) -> Failure:
+def _decode_failure(reason: str) -> Failure:
     detail = f'a peer sent an invalid configuration document: {reason}'
     return may_have_run(FailureCode.BAD_REPLY, detail)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/config/_reader.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/config/_reader.py
@@ -39,7 +39,7 @@
 
     def read_forever(self) -> None:
         """Read the configuration key whenever a read by this daemon is due."""
-        while True:  # noqa: WPS457  # as long as the daemon runs
+        while True:  # noqa: WPS457  # the loop runs until the daemon exits
             if self._follower.is_read_due():
                 self._read_if_assigned()
             eventlet.sleep(_CHECK_INTERVAL_S)
@@ -49,7 +49,7 @@
 
         Only daemons that are assigned to read the platform watch the key.
         """
-        while True:  # noqa: WPS457  # as long as the daemon runs
+        while True:  # noqa: WPS457  # the loop runs until the daemon exits
             if self._watch_revision is not None and self._is_assigned():
                 self._watch(self._watch_revision)
             eventlet.sleep(_CHECK_INTERVAL_S)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_describer.py
@@ -1,4 +1,4 @@
-"""Requests for the views of shards that a root daemon lacks."""
+"""Requests for shard views that are missing from the cache of a root daemon."""
 
 from typing import Final
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_fan_out.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_fan_out.py
@@ -28,7 +28,7 @@
     demand: CoverageDemand,
     remaining_ms: float,
 ) -> bool:
-    """Whether further replies can still satisfy the demand of a query.
+    """Whether further replies can still provide the required coverage.
 
     Args:
         merge: replies and failures so far.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/root/_scatter.py
@@ -61,7 +61,8 @@
     _outcomes: eventlet.Queue = attrs.field(factory=eventlet.Queue)
     _in_flight: dict[int, HomeGroup] = attrs.field(factory=dict)
     _failed_groups: list[HomeGroup] = attrs.field(factory=list)
-    # Shards whose sub-queries an unanswered home daemon may still run.
+    # Shards whose sub-queries may still run on a home daemon that has not
+    # replied.
     _may_have_run_shards: set[str] = attrs.field(factory=set)
     _scatter_numbers: Iterator[int] = attrs.field(factory=itertools.count)
 
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_request.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_caller_request.py
@@ -8,8 +8,8 @@
 from fennelfork.routes import fingerprint
 from fennelfork_daemon.backend._request import HeaderPairs
 
-# Hop-by-hop headers (RFC 9110, 7.6.1) and the content length, which is set anew
-# for the forwarded body.
+# Hop-by-hop headers (RFC 9110, 7.6.1) and the content length, which is
+# recomputed for the forwarded body.
 _HOP_BY_HOP: Final = frozenset(
     (
         'connection',
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_events_servers.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_events_servers.py
@@ -27,7 +27,9 @@
 
 @attrs.frozen(kw_only=True)
 class ServerGone:
-    """A backend server was removed and receives no further attempts.
+    """The entry of a backend server was removed from the store.
+
+    The backend server receives no further attempts.
 
     Attributes:
         server: name of the backend server.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_events_store.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_events_store.py
@@ -64,7 +64,7 @@
 
 @attrs.frozen(kw_only=True)
 class ConfigTaken:
-    """A version of the configuration becomes active.
+    """The daemon activated a version of the configuration.
 
     Attributes:
         version: new active version.
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_ports.py
@@ -74,9 +74,10 @@
     def publish(
         self, updates: SuspicionUpdates, lease: int
     ) -> Result[bool, Failure]:
-        """Publish suspected requests; return false if the lease has expired.
+        """Publish the status of suspected poison requests to the other daemons.
 
-        Entries that are not durable are attached to the lease.
+        Entries that are not durable are attached to the lease. Returns false
+        if the lease has expired.
         """
 
     def claim_trial(
@@ -89,8 +90,8 @@
         Returns false if the entry has changed since the revision.
         """
 
-    def end_lease(self, lease: int) -> Result[bool, Failure]:
-        """End a lease, which removes the registration."""
+    def revoke_lease(self, lease: int) -> Result[bool, Failure]:
+        """Revoke a lease, which removes the registration of the daemon."""
 
 
 class CallerCodec(Protocol):
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_registration.py
@@ -76,7 +76,7 @@
         if self._blackboard.is_leaving:
             return
         self._blackboard.is_leaving = True
-        eventlet.spawn_n(self._end_lease)
+        eventlet.spawn_n(self._revoke_lease)
 
     def send_exit(self) -> None:
         """Do nothing, because the registration is already removed."""
@@ -118,7 +118,7 @@
             self._availability.record_failure(StoreCall.LEASE, result.failure())
         return result
 
-    def _end_lease(self) -> None:
+    def _revoke_lease(self) -> None:
         if self._lease is not None:
-            self._store.end_lease(self._lease)
+            self._store.revoke_lease(self._lease)
         self._has_ended = True
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_publisher.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/routes/_suspicion_publisher.py
@@ -55,7 +55,7 @@
             self._wake_ups.put_nowait(True)
 
     def run(self) -> None:
-        """Publish changes of suspicions until the process exits."""
+        """Publish status changes of suspected poison requests until exit."""
         while True:  # noqa: WPS457  # as long as the daemon runs
             self._wait_for_wake_up(
                 self._rng.uniform(_MAX_IDLE_MS / 2, _MAX_IDLE_MS)
--- a/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_trace.py
+++ b/packages/fennelfork-daemon/src/fennelfork_daemon/tracing/_trace.py
@@ -84,7 +84,7 @@
 
 @attrs.define(kw_only=True)
 class ExplainRing:
-    """Traces of the latest requests, in memory.
+    """Ring buffer of the traces of recent requests, in memory.
 
     Traces are stored as JSON, which uses less memory than objects.
     """
--- a/packages/fennelfork/src/fennelfork/_stop.py
+++ b/packages/fennelfork/src/fennelfork/_stop.py
@@ -1,4 +1,4 @@
-"""State machine of the graceful stop of a daemon."""
+"""State machine of the graceful shutdown of a daemon."""
 
 import enum
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 
 @enum.unique
 class StopPhase(enum.Enum):
-    """Phase of the graceful stop of a daemon.
+    """Phase of the graceful shutdown of a daemon.
 
-    `SERVING`: no stop is requested. `ANNOUNCING`: the members are informed that
+    `SERVING`: no graceful shutdown is requested. `ANNOUNCING`: the members are informed that
     the daemon leaves. `LINGERING`: all members are informed, and callers may
     still connect until the longest `ttl_ms` of an entry answer has passed.
     `DRAINED`: no more callers are expected, and termination is not requested
@@ -36,12 +36,12 @@
 
 @attrs.frozen(kw_only=True)
 class StopPolicy:
-    """Time limits of a graceful stop.
+    """Time limits of a graceful shutdown.
 
     Attributes:
         entry_ttl_ms: time for which callers may cache an entry answer.
-        stop_ms: timeout of the whole stop, after which requests in progress
-            are aborted.
+        stop_ms: timeout of the whole graceful shutdown, after which requests
+            in progress are aborted.
         announce_ms: timeout of the announcement to the members.
         repeat_forces_end: whether a second request to terminate
             aborts the requests in progress, as for an interactive interrupt.
@@ -59,7 +59,7 @@
 
 @attrs.frozen(kw_only=True)
 class StopConditions:
-    """Conditions on which the phase of a graceful stop depends.
+    """Conditions on which the phase of a graceful shutdown depends.
 
     Attributes:
         now_ms: current time.
@@ -74,12 +74,12 @@
 
 @attrs.define(kw_only=True)
 class GracefulStop:
-    """Graceful stop of one daemon.
+    """Graceful shutdown of one daemon.
 
     Attributes:
-        phase: current phase of the stop.
+        phase: current phase of the graceful shutdown.
         aborted_requests: number of requests that were in progress when the
-            stop was forced or timed out.
+            graceful shutdown was forced or timed out.
     """
 
     phase: StopPhase = StopPhase.SERVING
@@ -108,7 +108,10 @@
             self._announcing_since_ms = now_ms
 
     def end(self, now_ms: float) -> None:
-        """Request the end of the process; a second call may force the end."""
+        """Request the exit of the process after the requests in progress.
+
+        A second call aborts the requests in progress if the policy allows this.
+        """
         self.drain(now_ms)
         self._forced = self._end_requested and self._policy.repeat_forces_end
         if not self._end_requested:
@@ -116,7 +119,7 @@
             self._end_ms = now_ms
 
     def step(self, conditions: StopConditions) -> StopPhase:
-        """Advance the phase of the stop as far as the conditions allow."""
+        """Advance the graceful shutdown as far as the conditions allow."""
         if self._must_abort(conditions):
             self.phase = StopPhase.ENDED
             self.aborted_requests = conditions.running
@@ -135,7 +138,7 @@
         return self._forced or timed_out
 
     def _is_phase_over(self, conditions: StopConditions) -> bool:
-        """Return whether the current phase of the stop is over."""
+        """Return whether the current phase of the graceful shutdown is over."""
         if self.phase is StopPhase.ANNOUNCING:
             waited_ms = conditions.now_ms - self._announcing_since_ms
             return conditions.announced or waited_ms >= self._policy.announce_ms
@@ -155,5 +158,5 @@
 
 
 def graceful_stop(policy: StopPolicy) -> GracefulStop:
-    """Build the state of the graceful stop of a daemon that is serving."""
+    """Build the graceful shutdown state of a daemon that is serving."""
     return GracefulStop(policy=policy)
--- a/packages/fennelfork/src/fennelfork/config/_parsed_document.py
+++ b/packages/fennelfork/src/fennelfork/config/_parsed_document.py
@@ -110,7 +110,13 @@
     reused: _Tree,
     texts: dict[str, str],
 ) -> ParsedDocument:
-    """Build a parsed document with reused trees and texts of some fronts."""
+    """Build a parsed document from a validated document.
+
+    Args:
+        document: validated document.
+        reused: JSON trees of the unchanged fronts by name.
+        texts: JSON texts that contain at least the unchanged fronts, by name.
+    """
     changed = {
         name: front
         for name, front in document.fronts.items()
--- a/packages/fennelfork/src/fennelfork/once/_response.py
+++ b/packages/fennelfork/src/fennelfork/once/_response.py
@@ -14,7 +14,7 @@
 
 @attrs.frozen(kw_only=True)
 class ExecuteCall:
-    """One attempt at a backend server.
+    """Attempt to execute a request on a backend server.
 
     Attributes:
         request_id: request id of the caller.
